--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -1,6 +1,6 @@
 //! One controller: its state, its loops and its servers.
 
-use std::collections::{BTreeMap, HashMap};
+use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
@@ -23,6 +23,7 @@
 use crate::settings::Settings;
 use crate::storage::budget::Turns;
 use crate::storage::client::{StateClient, StateError, backoff};
+use crate::storage::inventory::PendingReports;
 use crate::storage::ledger::Ledger;
 use crate::storage::records::{JobRecord, OwnerRecord};
 use crate::telemetry::Activities;
@@ -151,7 +152,10 @@
     /// When a worker was last answered by such a loan.
     pub kept_alone: Option<Instant>,
     /// What the kept workers reported under that term, to be written.
-    pub kept: BTreeMap<String, Report>,
+    pub kept: PendingReports,
+    /// The largest inventory page that the state service has not refused, if it is
+    /// less than its limits say.
+    pub inventory_bytes: Option<usize>,
     /// Until when this node should rather not own the shard.
     pub deaf_until: Option<Instant>,
     /// Up to when cancellations are known here.
@@ -212,7 +216,7 @@
             commands: Semaphore::new(MOST_COMMANDS),
             probes: Semaphore::new(MOST_PROBES),
             peers_http: HttpClient::new(),
-            run: rand::rng().random::<u64>() >> 12,
+            run: random_id(),
             started,
             inner: Mutex::new(Inner::default()),
         })
@@ -421,7 +425,7 @@
             return None;
         }
         if keeping.inventory && report.term == keeping.term {
-            inner.kept.insert(report.machine.clone(), report.clone());
+            inner.kept.insert(report.clone());
         }
         Some(keeping.term)
     }
@@ -557,6 +561,12 @@
     }
 }
 
+/// A number that nobody else has, now or later, as far as chance goes. JSON numbers
+/// are exact below 2^53.
+pub fn random_id() -> u64 {
+    rand::rng().random::<u64>() >> 12
+}
+
 /// Runs a controller until it is killed.
 pub async fn run(settings: Settings) -> Result<(), RunError> {
     let node = Node::new(settings, Arc::new(SteadyClock));
--- a/src/coordination/peering.rs
+++ b/src/coordination/peering.rs
@@ -7,7 +7,7 @@
 use hyper::Method;
 
 use super::lease::{KEEPING, Tenure};
-use super::node::{Inner, Keeping, Node, PeerView, STATE_DEADLINE};
+use super::node::{Inner, Keeping, Node, PeerView, STATE_DEADLINE, random_id};
 use super::ownership::step_down;
 use super::standing::{self, StandingLoan};
 use crate::protocol::peers::{
@@ -20,6 +20,8 @@
 };
 use crate::protocol::workers::Report;
 use crate::settings::platform::Peer;
+use crate::storage::client::StateError;
+use crate::storage::inventory::{Batch, whole_reports};
 use crate::storage::keys;
 use crate::storage::records::{HearingRecord, InventoryRecord, KeeperRecord, VERSION};
 
@@ -51,8 +53,8 @@
 const KEEPING_LOOK: Duration = Duration::from_millis(500);
 /// How long before its time a keeper stops, to cover a busy processor.
 const KEEPING_MARGIN: Duration = Duration::from_millis(100);
-/// Room left in a page of what kept workers hold.
-const INVENTORY_FRAME: usize = 96;
+/// Inventory pages aren't planned smaller than this, in bytes.
+const LEAST_INVENTORY: usize = 512;
 /// Age up to which a hearing record counts.
 const HEARING_FRESH_MS: u64 = 5000;
 /// How long a node that couldn't hear the workers leaves the shard to others.
@@ -619,15 +621,15 @@
     let Ok((pages, _)) = node.state.list(&prefix, STATE_DEADLINE).await else {
         return;
     };
+    let pages = pages.into_iter().filter_map(|item| {
+        serde_json::from_value::<InventoryRecord>(item.value)
+            .inspect_err(|error| tracing::error!(key = item.key, %error, "a record can't be read"))
+            .ok()
+    });
+    let reports = whole_reports(pages, tenure.term);
     node.with_shard(&tenure, "loans", |shard, now| {
-        for page in pages {
-            match serde_json::from_value::<InventoryRecord>(page.value) {
-                Ok(page) => page
-                    .reports
-                    .iter()
-                    .for_each(|report| shard.relayed(report, now)),
-                Err(error) => tracing::error!(key = page.key, %error, "a record can't be read"),
-            }
+        for report in &reports {
+            shard.relayed(report, now);
         }
     });
 }
@@ -635,51 +637,41 @@
 /// Writes what kept workers hold, those that were not written before; returns
 /// the number of the next page.
 async fn write_inventory(node: &Node, term: u64, mut page: u32) -> u32 {
-    loop {
-        let record = InventoryRecord {
-            v: VERSION,
-            term,
-            reports: next_reports(node),
-        };
-        let Ok(value) = serde_json::to_value(&record) else {
-            return page;
-        };
-        if record.reports.is_empty() {
-            return page;
-        }
-        let key = keys::inventory(node.label(), page);
-        page += 1;
-        let txn = Txn::default().change(Change::put(key, value));
-        if node.state.txn(&txn, STATE_DEADLINE).await.is_err() {
+    while let Some(batch) = next_batch(node, term) {
+        for record in &batch.pages {
+            let Ok(value) = serde_json::to_value(record) else {
+                return page;
+            };
+            let key = keys::inventory(node.label(), page);
             // Written or not, the next try writes another page.
-            let mut inner = node.lock();
-            for report in record.reports {
-                inner.kept.entry(report.machine.clone()).or_insert(report);
+            page += 1;
+            let txn = Txn::default().change(Change::put(key, value));
+            if let Err(error) = node.state.txn(&txn, STATE_DEADLINE).await {
+                inventory_refused(node, batch.reports, &error);
+                return page;
             }
-            return page;
         }
     }
+    page
 }
 
-/// Takes as many reports of kept workers as fit on a page.
-fn next_reports(node: &Node) -> Vec<Report> {
-    let room = node.value_bytes();
-    let mut reports = Vec::new();
-    let mut bytes = INVENTORY_FRAME;
+fn next_batch(node: &Node, term: u64) -> Option<Batch> {
+    let group = random_id();
     let mut inner = node.lock();
-    while let Some(next) = inner.kept.first_entry() {
-        let size = serde_json::to_vec(next.get()).map_or(room, |text| text.len() + 1);
-        if bytes + size > room && !reports.is_empty() {
-            break;
-        }
-        let report = next.remove();
-        // One that fits no page has to be accounted for otherwise.
-        if bytes + size <= room {
-            bytes += size;
-            reports.push(report);
-        }
+    let most = inner.inventory_bytes.unwrap_or(node.value_bytes());
+    inner.kept.next_batch(term, most, group)
+}
+
+/// Reports that could not be written are laid out again, in smaller pages if these
+/// were too large.
+fn inventory_refused(node: &Node, reports: Vec<Report>, error: &StateError) {
+    let mut inner = node.lock();
+    inner.kept.put_back(reports);
+    if let StateError::TooLarge(why) = error {
+        let most = inner.inventory_bytes.unwrap_or(node.value_bytes());
+        inner.inventory_bytes = Some((most / 2).max(LEAST_INVENTORY));
+        tracing::error!(why, "an inventory is refused; smaller pages are planned");
     }
-    reports
 }
 
 /// The zones that have controllers, but none outside this set.
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -3,6 +3,7 @@
 pub mod budget;
 pub mod client;
 pub mod facts;
+pub mod inventory;
 pub mod keys;
 pub mod ledger;
 pub mod records;
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -93,6 +93,23 @@
     pub v: u32,
     pub term: u64,
     pub reports: Vec<Report>,
+    /// Parts of reports that are larger than a value may be. An older version ignores
+    /// this field.
+    #[serde(default, skip_serializing_if = "Vec::is_empty")]
+    pub parts: Vec<ReportPart>,
+}
+
+/// A part of one report.
+#[derive(Debug, Clone, Serialize, Deserialize)]
+pub struct ReportPart {
+    /// The same for all parts of the report, and for no others.
+    pub group: u64,
+    /// How many tasks the whole report lists.
+    pub total: usize,
+    /// How many of these come before this part's.
+    pub first: usize,
+    /// The report with this part's tasks.
+    pub report: Report,
 }
 
 /// The shard's sequence number.
