--- a/src/coordination/shard/cluster.rs
+++ b/src/coordination/shard/cluster.rs
@@ -48,7 +48,7 @@
             term,
             acquired: now,
             acquired_wall_ms: wall_ms,
-            types: HashMap::new(),
+            types: BTreeMap::new(),
             jobs: BTreeMap::new(),
             machines: Machines::default(),
             gone: HashMap::new(),
--- a/src/coordination/shard/drain.rs
+++ b/src/coordination/shard/drain.rs
@@ -7,7 +7,7 @@
 
 use super::machines::Amounts;
 use super::placement::allowed;
-use super::plan::Bin;
+use super::plan::{Capacity, Readiness};
 use super::{Attempt, Job, Machine, Phase, Shard};
 use crate::protocol::users::{JobKind, JobSpec};
 use crate::protocol::{MachineId, TaskId};
@@ -26,7 +26,7 @@
 impl Shard {
     /// Goes on with the machines that services leave, and may pick the next ones.
     /// What else runs on those picked before ends by itself.
-    pub(super) fn consolidate(&mut self, bins: &[Bin], pick: bool, now: Instant) {
+    pub(super) fn consolidate(&mut self, capacities: &[Capacity], pick: bool, now: Instant) {
         // Where capacity is held for guarantees, moving little is worth more
         // than a machine less.
         let at_once = if self.policy.holds_capacity() {
@@ -46,24 +46,24 @@
         } else {
             0
         };
-        for id in self.emptiest(bins, more, now) {
+        for id in self.emptiest(capacities, more, now) {
             if let Some(machine) = self.machines.get_mut(&id) {
                 tracing::info!(machine = %id, "emptying a little used machine");
                 machine.draining = true;
                 leaving.push(id);
             }
         }
-        for (id, key) in self.next_moves(&leaving, at_once, bins) {
+        for (id, key) in self.next_moves(&leaving, at_once, capacities) {
             self.stop_service(&id, &key);
         }
         if idle && leaving.is_empty() && self.policy.holds_capacity() {
-            self.bring_one_near(bins);
+            self.bring_one_near(capacities);
         }
     }
 
     /// Moves a service to the main zone, where a controller hears it through
     /// a cut, if a machine with its image has room there.
-    fn bring_one_near(&mut self, bins: &[Bin]) {
+    fn bring_one_near(&mut self, capacities: &[Capacity]) {
         let Some(main) = &self.main_zone else {
             return;
         };
@@ -80,11 +80,16 @@
             .find_map(|machine| {
                 let (key, ..) = live_services(machine).find(|(_, _, spec)| {
                     spec.tasks == 1
-                        && bins.iter().any(|bin| {
-                            *bin.zone == **main
-                                && bin.free.fits(spec) > 0
-                                && allowed(spec, &bin.machine_type, &bin.zone, bin.spot)
-                                && self.is_open_holder(bin, &spec.image)
+                        && capacities.iter().any(|capacity| {
+                            *capacity.zone == **main
+                                && capacity.free.fits(spec) > 0
+                                && allowed(
+                                    spec,
+                                    &capacity.machine_type,
+                                    &capacity.zone,
+                                    capacity.spot,
+                                )
+                                && self.is_open_holder(capacity, &spec.image)
                         })
                 })?;
                 Some((machine.id.clone(), key.clone()))
@@ -107,9 +112,9 @@
         }
     }
 
-    fn is_open_holder(&self, bin: &Bin, image: &str) -> bool {
-        bin.rank < 2
-            && bin
+    fn is_open_holder(&self, capacity: &Capacity, image: &str) -> bool {
+        capacity.is_up()
+            && capacity
                 .machine
                 .as_ref()
                 .and_then(|id| self.machines.get(id))
@@ -117,11 +122,11 @@
     }
 
     /// Opens machines being emptied again whose room the plan needs.
-    pub(super) fn reopen(&mut self, bins: &[Bin]) {
-        for id in bins
+    pub(super) fn reopen(&mut self, capacities: &[Capacity]) {
+        for id in capacities
             .iter()
-            .filter(|bin| bin.used)
-            .filter_map(|bin| bin.machine.as_ref())
+            .filter(|capacity| capacity.used)
+            .filter_map(|capacity| capacity.machine.as_ref())
         {
             if self
                 .machines
@@ -142,7 +147,7 @@
         &self,
         leaving: &[MachineId],
         at_once: usize,
-        bins: &[Bin],
+        capacities: &[Capacity],
     ) -> Vec<(MachineId, (TaskId, u64))> {
         let waits = |job: &Job| job.spec.kind == JobKind::Standing && job.waiting() > 0;
         let moving = self
@@ -154,13 +159,13 @@
         if leaving.is_empty() || moving >= at_once || self.jobs.values().any(waits) {
             return Vec::new();
         }
-        let mut hosts: Vec<(&Bin, &Machine, Amounts)> = bins
+        let mut hosts: Vec<(&Capacity, &Machine, Amounts)> = capacities
             .iter()
-            .filter(|bin| bin.rank < 2)
-            .filter_map(|bin| {
-                let machine = self.machines.get(bin.machine.as_ref()?)?;
+            .filter(|capacity| capacity.is_up())
+            .filter_map(|capacity| {
+                let machine = self.machines.get(capacity.machine.as_ref()?)?;
                 let kind = self.types.get(&*machine.machine_type)?;
-                (!machine.draining).then(|| (bin, machine, machine.free(kind)))
+                (!machine.draining).then(|| (capacity, machine, machine.free(kind)))
             })
             .collect();
         let mut moves = Vec::new();
@@ -169,10 +174,10 @@
                 break;
             }
             for (key, _, spec) in live_services(machine) {
-                let host = hosts.iter_mut().find(|(bin, host, free)| {
+                let host = hosts.iter_mut().find(|(capacity, host, free)| {
                     free.fits(spec) > 0
                         && host.has_image(&spec.image)
-                        && allowed(spec, &bin.machine_type, &bin.zone, bin.spot)
+                        && allowed(spec, &capacity.machine_type, &capacity.zone, capacity.spot)
                 });
                 if let Some((_, _, free)) = host {
                     free.take(spec);
@@ -200,10 +205,17 @@
 
     /// The machines that are worth most to empty, if their services fit beside
     /// those of others.
-    fn emptiest(&self, bins: &[Bin], most: usize, now: Instant) -> Vec<MachineId> {
+    fn emptiest(&self, capacities: &[Capacity], most: usize, now: Instant) -> Vec<MachineId> {
         let mut worth: Vec<(f64, &Machine)> = Vec::new();
-        for bin in bins.iter().filter(|bin| !bin.used && bin.rank < 2) {
-            let Some(machine) = bin.machine.as_ref().and_then(|id| self.machines.get(id)) else {
+        for capacity in capacities
+            .iter()
+            .filter(|capacity| !capacity.used && capacity.is_up())
+        {
+            let Some(machine) = capacity
+                .machine
+                .as_ref()
+                .and_then(|id| self.machines.get(id))
+            else {
                 continue;
             };
             let Some(kind) = self.types.get(&*machine.machine_type) else {
@@ -223,7 +235,7 @@
             return Vec::new();
         }
         worth.sort_by(|a, b| b.0.total_cmp(&a.0));
-        let mut rooms = self.rooms_for_services(bins);
+        let mut rooms = self.rooms_for_services(capacities);
         let spare: f64 = rooms.iter().map(|room| room.free.cores.max(0.0)).sum();
         let mut spare = spare - self.services_to_come(now);
         let mut picked = Vec::new();
@@ -256,19 +268,24 @@
     }
 
     /// The machines that services could move to, and the room that they have.
-    fn rooms_for_services<'a>(&'a self, bins: &'a [Bin]) -> Vec<Room<'a>> {
-        bins.iter()
-            .filter(|bin| bin.rank == 0)
-            .filter_map(|bin| {
-                let machine = self.machines.get(bin.machine.as_ref()?)?;
+    fn rooms_for_services<'a>(&'a self, capacities: &'a [Capacity]) -> Vec<Room<'a>> {
+        capacities
+            .iter()
+            .filter(|capacity| capacity.readiness == Readiness::Busy)
+            .filter_map(|capacity| {
+                let machine = self.machines.get(capacity.machine.as_ref()?)?;
                 // Where capacity is held, what runs beside services stays.
                 let free = if self.policy.holds_capacity() {
-                    bin.free
+                    capacity.free
                 } else {
                     self.beside_services(machine)?
                 };
                 let hosts = hosts_services(machine) && !machine.draining;
-                hosts.then_some(Room { bin, machine, free })
+                hosts.then_some(Room {
+                    capacity,
+                    machine,
+                    free,
+                })
             })
             .collect()
     }
@@ -282,7 +299,12 @@
                 room.machine.id != leaving.id
                     && room.free.fits(spec) > 0
                     && room.machine.has_image(&spec.image)
-                    && allowed(spec, &room.bin.machine_type, &room.bin.zone, room.bin.spot)
+                    && allowed(
+                        spec,
+                        &room.capacity.machine_type,
+                        &room.capacity.zone,
+                        room.capacity.spot,
+                    )
             });
             if let Some(at) = room {
                 rooms[at].free.take(spec);
@@ -337,7 +359,7 @@
 
 /// Where services could move to.
 struct Room<'a> {
-    bin: &'a Bin,
+    capacity: &'a Capacity,
     machine: &'a Machine,
     free: Amounts,
 }
--- a/src/coordination/shard/fleet.rs
+++ b/src/coordination/shard/fleet.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::plan::{Bin, startup};
+use super::plan::{Capacity, startup};
 use super::{Action, Machine, Shard};
 use crate::protocol::MachineId;
 use crate::protocol::cloud::{Listed, ListedState, Rental};
@@ -59,7 +59,22 @@
 }
 
 /// A machine type in a zone, spot or not.
-pub(super) type Kind = (String, String, bool);
+#[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub(super) struct MachineKind {
+    pub machine_type: String,
+    pub zone: String,
+    pub spot: bool,
+}
+
+impl MachineKind {
+    fn of(rental: &Rental) -> Self {
+        Self {
+            machine_type: rental.machine_type.clone(),
+            zone: rental.zone.clone(),
+            spot: rental.spot,
+        }
+    }
+}
 
 /// A kind of machine of which the cloud had too few.
 #[derive(Debug, Clone, Copy)]
@@ -101,17 +116,17 @@
 #[derive(Debug, Default)]
 pub struct Fleet {
     pub(super) bookings: BTreeMap<String, Booking>,
-    refused: HashMap<Kind, Refusal>,
+    refused: HashMap<MachineKind, Refusal>,
     next_booking: u64,
     last_plan: Option<Instant>,
     pub(super) classes: BTreeMap<String, ClassHistory>,
-    /// Cheap room that each priority has found lately, in cores.
-    pub(super) usual_room: BTreeMap<Priority, f64>,
+    /// Cheap cores that each priority has found lately.
+    pub(super) usual_cores: BTreeMap<Priority, f64>,
 }
 
 impl Fleet {
     /// Whether a kind is better not asked for now.
-    pub(super) fn refuses(&self, kind: &Kind, now: Instant) -> bool {
+    pub(super) fn refuses(&self, kind: &MachineKind, now: Instant) -> bool {
         self.refused
             .get(kind)
             .is_some_and(|refusal| refusal.until > now)
@@ -120,7 +135,7 @@
     /// The cloud has too few of a kind. Each time in a row it is left alone for
     /// twice as long: where many kinds are used up, asking them all again in turn
     /// would never come to the one of which there is more.
-    fn note_refusal(&mut self, kind: Kind, pause: Duration, now: Instant) {
+    fn note_refusal(&mut self, kind: MachineKind, pause: Duration, now: Instant) {
         let times = self.refused.get(&kind).map_or(0, |refusal| refusal.times);
         let until = now + pause * (1 << times.min(LONGEST_REFUSAL));
         let times = times + 1;
@@ -298,11 +313,11 @@
                 if let Some(machine) = self.machines.remove(id) {
                     self.record_gone(id);
                     // There is one more to be had of its kind.
-                    let kind = (
-                        machine.machine_type.to_string(),
-                        machine.zone.to_string(),
-                        machine.spot,
-                    );
+                    let kind = MachineKind {
+                        machine_type: machine.machine_type.to_string(),
+                        zone: machine.zone.to_string(),
+                        spot: machine.spot,
+                    };
                     self.fleet.refused.remove(&kind);
                 }
                 self.gone.insert(id.clone(), now);
@@ -319,11 +334,7 @@
             return;
         };
         let rental = booking.rental.clone();
-        let key = (
-            rental.machine_type.clone(),
-            rental.zone.clone(),
-            rental.spot,
-        );
+        let key = MachineKind::of(&rental);
         match outcome {
             RentalOutcome::Unknown => {
                 booking.retry = Some(now + RETRY);
@@ -437,12 +448,11 @@
         self.restless = true;
     }
 
-    pub(super) fn book(&mut self, machine_type: String, zone: String, spot: bool, count: u32) {
-        let same = |b: &Booking| {
-            b.rental.machine_type == machine_type && b.rental.zone == zone && b.rental.spot == spot
-        };
+    /// Records a rental of so many machines, which is asked for once it is written.
+    pub(super) fn book(&mut self, kind: MachineKind, count: u32) {
         // One request for a kind at a time: its answer tells of the capacity.
-        if self.fleet.bookings.values().any(same) {
+        let mut bookings = self.fleet.bookings.values();
+        if bookings.any(|booking| MachineKind::of(&booking.rental) == kind) {
             return;
         }
         self.fleet.next_booking += 1;
@@ -451,9 +461,9 @@
                 "{}-{}-{}",
                 self.policy.label, self.term, self.fleet.next_booking
             ),
-            machine_type,
-            zone,
-            spot,
+            machine_type: kind.machine_type,
+            zone: kind.zone,
+            spot: kind.spot,
             count,
         };
         self.record_booking(&rental);
@@ -480,11 +490,11 @@
     }
 
     /// Gives back what is empty and in no plan, and what never came up.
-    pub(super) fn give_back(&mut self, bins: &[Bin], now: Instant) {
-        let spare: std::collections::HashSet<&MachineId> = bins
+    pub(super) fn give_back(&mut self, capacities: &[Capacity], now: Instant) {
+        let spare: std::collections::HashSet<&MachineId> = capacities
             .iter()
-            .filter(|bin| !bin.used)
-            .filter_map(|bin| bin.machine.as_ref())
+            .filter(|capacity| !capacity.used)
+            .filter_map(|capacity| capacity.machine.as_ref())
             .collect();
         let mut back: Vec<(MachineId, &str)> = Vec::new();
         for machine in self.machines.values().filter(|m| !m.deleting) {
@@ -532,7 +542,11 @@
     fn a_kind_that_is_used_up_is_left_alone_for_longer_each_time() {
         let start = Instant::now();
         let pause = Duration::from_secs(15);
-        let kind: Kind = ("m8".into(), "north".into(), true);
+        let kind = MachineKind {
+            machine_type: "m8".into(),
+            zone: "north".into(),
+            spot: true,
+        };
         let mut fleet = Fleet::default();
         assert!(!fleet.refuses(&kind, start));
         let mut now = start;
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -96,7 +96,7 @@
 #[derive(Debug, Clone)]
 pub struct Policy {
     pub label: String,
-    pub teams: HashMap<String, TeamPolicy>,
+    pub teams: BTreeMap<String, TeamPolicy>,
     /// Longest good wait for a start, by class.
     pub wait_within: HashMap<String, Duration>,
     /// Longest good time until the end, by class.
@@ -224,7 +224,7 @@
     acquired: Instant,
     /// The time of day then, in milliseconds.
     acquired_wall_ms: u64,
-    types: HashMap<String, Arc<MachineType>>,
+    types: BTreeMap<String, Arc<MachineType>>,
     jobs: BTreeMap<JobId, Job>,
     machines: Machines,
     /// Machines that were deleted, and when.
--- /dev/null
+++ b/src/coordination/shard/plan/capacity.rs
@@ -0,0 +1,242 @@
+//! Room for tasks that the plan counts on: on machines that are up, coming or asked for.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use super::startup;
+use crate::coordination::shard::fleet::PLAN_EVERY;
+use crate::coordination::shard::machines::Amounts;
+use crate::coordination::shard::placement::allowed;
+use crate::coordination::shard::{Machine, Shard};
+use crate::protocol::MachineId;
+use crate::protocol::cloud::MachineType;
+use crate::protocol::users::{JobKind, JobSpec, Priority};
+
+/// Over how long the room that a priority finds is averaged.
+const ROOM_MEMORY: Duration = Duration::from_secs(60);
+
+/// How long a machine may take to come up, in times of what is usual, before the plan
+/// counts on it no more; a few seconds are added.
+const LATEST_START: f64 = 2.0;
+const LATEST_START_MARGIN: Duration = Duration::from_secs(3);
+
+/// How soon the room of a machine can be used. The order is that in which the plan
+/// fills machines.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(in crate::coordination::shard) enum Readiness {
+    /// It is up and runs tasks.
+    Busy,
+    /// It is up and runs none.
+    Idle,
+    /// It is rented or asked for, and not up yet.
+    Coming,
+    /// It is being emptied.
+    Draining,
+}
+
+/// Room that is there or will be.
+pub(in crate::coordination::shard) struct Capacity {
+    /// None if it has no name yet.
+    pub machine: Option<MachineId>,
+    pub machine_type: Arc<str>,
+    pub zone: Arc<str>,
+    pub spot: bool,
+    pub free: Amounts,
+    /// Batch tasks on it, lowest priority first.
+    preemptible: Vec<Preemptible>,
+    /// Kept for batch work alone, at the full price.
+    pub costly: bool,
+    /// The plan needs it.
+    pub used: bool,
+    pub readiness: Readiness,
+}
+
+/// Tasks of one job that run on a machine and give way to higher priorities.
+struct Preemptible {
+    spec: Arc<JobSpec>,
+    count: u32,
+}
+
+impl Capacity {
+    /// A machine that is asked for, or will be.
+    pub(super) fn to_come(kind: &MachineType, zone: &str, spot: bool) -> Self {
+        Self {
+            machine: None,
+            machine_type: kind.name.as_str().into(),
+            zone: zone.into(),
+            spot,
+            free: Amounts::of_type(kind),
+            preemptible: Vec::new(),
+            costly: !spot,
+            used: false,
+            readiness: Readiness::Coming,
+        }
+    }
+
+    /// Whether its machine is up and not being emptied.
+    pub(in crate::coordination::shard) fn is_up(&self) -> bool {
+        self.readiness < Readiness::Coming
+    }
+
+    /// Whether a task fits as it is or if something gives way.
+    pub(super) fn could_hold(&self, spec: &JobSpec) -> bool {
+        let gives_way = |tasks: &Preemptible| tasks.spec.priority < spec.priority;
+        self.free.holds(spec) || self.preemptible.first().is_some_and(gives_way)
+    }
+
+    /// Counts what gives way as free, as far as some tasks of a job need it.
+    pub(super) fn make_room(&mut self, spec: &JobSpec, tasks: u32) {
+        while self.free.fits(spec) < tasks {
+            match self.preemptible.first_mut() {
+                Some(lowest) if lowest.spec.priority < spec.priority => {
+                    self.free.give(&lowest.spec);
+                    lowest.count -= 1;
+                    if lowest.count == 0 {
+                        self.preemptible.remove(0);
+                    }
+                }
+                _ => break,
+            }
+        }
+    }
+
+    /// Takes the room of so many tasks.
+    pub(super) fn take(&mut self, spec: &JobSpec, tasks: u32) {
+        for _ in 0..tasks {
+            self.free.take(spec);
+        }
+    }
+
+    /// Cores that a job's tasks can have here, now or when what runs here without a
+    /// higher priority has ended.
+    fn cores_for(&self, spec: &JobSpec) -> f64 {
+        let running: f64 = self
+            .preemptible
+            .iter()
+            .filter(|tasks| tasks.spec.priority <= spec.priority)
+            .map(|tasks| tasks.spec.cores * f64::from(tasks.count))
+            .sum();
+        self.free.cores.max(0.0) + running
+    }
+}
+
+impl Shard {
+    /// The room on all machines that can be counted on, the fullest first.
+    pub(super) fn capacities(&self, now: Instant) -> Vec<Capacity> {
+        let machines = self.machines.values();
+        let mut capacities: Vec<Capacity> = machines
+            .filter_map(|machine| self.capacity_of(machine, now))
+            .collect();
+        for booking in self.fleet.bookings.values() {
+            let rental = &booking.rental;
+            let Some(kind) = self.types.get(&rental.machine_type) else {
+                continue;
+            };
+            for _ in 0..rental.count {
+                capacities.push(Capacity::to_come(kind, &rental.zone, rental.spot));
+            }
+        }
+        capacities.sort_by(|a, b| {
+            a.readiness
+                .cmp(&b.readiness)
+                .then(a.free.cores.total_cmp(&b.free.cores))
+                .then(a.machine.cmp(&b.machine))
+        });
+        capacities
+    }
+
+    /// The room on a machine; None if it can't be counted on.
+    fn capacity_of(&self, machine: &Machine, now: Instant) -> Option<Capacity> {
+        let kind = self.types.get(&*machine.machine_type)?;
+        if self.is_leaving(machine) {
+            return None;
+        }
+        let coming = machine.heard.is_none() && !machine.admitted;
+        if coming {
+            let age = now.saturating_duration_since(machine.rented);
+            if age > startup(kind).mul_f64(LATEST_START) + LATEST_START_MARGIN {
+                return None;
+            }
+        } else if machine.heard.is_some() && machine.silence(now) > self.policy.suspect {
+            return None;
+        }
+        let readiness = match (coming, machine.tally.idle()) {
+            _ if machine.draining => Readiness::Draining,
+            (true, _) => Readiness::Coming,
+            (false, true) => Readiness::Idle,
+            (false, false) => Readiness::Busy,
+        };
+        Some(Capacity {
+            machine: Some(machine.id.clone()),
+            machine_type: machine.machine_type.clone(),
+            zone: machine.zone.clone(),
+            spot: machine.spot,
+            free: machine.free(kind),
+            preemptible: preemptible(machine),
+            costly: self.costly(machine, now),
+            used: false,
+            readiness,
+        })
+    }
+
+    /// Whether a machine is on its way out, or can't be reached.
+    fn is_leaving(&self, machine: &Machine) -> bool {
+        machine.deleting
+            || machine.condemned
+            || machine.notice.is_some()
+            || machine.vanished
+            || (machine.heard.is_none() && self.cut_off.contains(&*machine.zone))
+    }
+
+    /// The cheap cores that a priority finds: as it is now, or as it was lately
+    /// on average if that is more. Bursts of work that goes first come and go.
+    pub(super) fn usual_cores<'a>(
+        &self,
+        spec: &JobSpec,
+        capacities: impl Iterator<Item = &'a Capacity>,
+    ) -> f64 {
+        let usual = self.fleet.usual_cores.get(&spec.priority).copied();
+        cores_for(spec, capacities).max(usual.unwrap_or(0.0))
+    }
+
+    /// Takes the room of the moment into the averages.
+    pub(super) fn note_cores(&mut self, capacities: &[Capacity]) {
+        let specs: BTreeMap<Priority, Arc<JobSpec>> = self
+            .jobs
+            .values()
+            .filter(|job| job.spec.kind == JobKind::Batch && job.spec.spot)
+            .map(|job| (job.spec.priority, job.spec.clone()))
+            .collect();
+        let weight = PLAN_EVERY.as_secs_f64() / ROOM_MEMORY.as_secs_f64();
+        for (priority, spec) in specs {
+            let cheap = capacities.iter().filter(|capacity| !capacity.costly);
+            let now = cores_for(&spec, cheap);
+            let usual = self.fleet.usual_cores.entry(priority).or_insert(now);
+            *usual += (now - *usual) * weight;
+        }
+    }
+}
+
+/// Cores that a job's tasks can have here, now or when what runs there without a
+/// higher priority has ended.
+pub(super) fn cores_for<'a>(spec: &JobSpec, capacities: impl Iterator<Item = &'a Capacity>) -> f64 {
+    capacities
+        .filter(|at| allowed(spec, &at.machine_type, &at.zone, at.spot))
+        .map(|at| at.cores_for(spec))
+        .sum()
+}
+
+/// The batch tasks on a machine, lowest priority first.
+fn preemptible(machine: &Machine) -> Vec<Preemptible> {
+    let batch = |(spec, _): &&(Arc<JobSpec>, u32)| spec.kind == JobKind::Batch;
+    let tasks = machine.tally.tasks.iter().filter(batch);
+    let mut tasks: Vec<Preemptible> = tasks
+        .map(|(spec, count)| Preemptible {
+            spec: spec.clone(),
+            count: *count,
+        })
+        .collect();
+    tasks.sort_by_key(|tasks| tasks.spec.priority);
+    tasks
+}
--- /dev/null
+++ b/src/coordination/shard/plan/mod.rs
@@ -0,0 +1,198 @@
+//! How much room is wanted, and which machines are worth renting for it.
+
+mod capacity;
+mod demand;
+mod offer;
+
+use std::collections::{BTreeMap, HashMap};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+pub(super) use capacity::{Capacity, Readiness};
+use demand::{Demand, OfferFilter};
+use offer::{Crowds, Offer};
+
+use super::Shard;
+use super::fleet::{MOST_PER_RENTAL, MachineKind};
+use super::placement::allowed;
+use crate::protocol::cloud::MachineType;
+
+/// One plan as it is worked out.
+struct Plan {
+    /// Room that is there or will be, less what is planned for.
+    capacities: Vec<Capacity>,
+    crowds: Crowds,
+    /// Machines to be rented.
+    wanted: BTreeMap<MachineKind, u32>,
+}
+
+impl Plan {
+    /// Takes room for a demand where there is some; returns how many tasks have none.
+    fn take_room(&mut self, demand: &Demand, zone: Option<&str>) -> u32 {
+        let spec = &demand.spec;
+        let most_in_zone = spec.tasks.div_ceil(2);
+        let mut in_zone: HashMap<Arc<str>, u32> = HashMap::new();
+        let mut left = demand.count;
+        for capacity in &mut self.capacities {
+            if left == 0 {
+                break;
+            }
+            let too_costly = capacity.costly && demand.filter == OfferFilter::SpotOnly;
+            if too_costly
+                || !allowed(spec, &capacity.machine_type, &capacity.zone, capacity.spot)
+                || !capacity.could_hold(spec)
+                || zone.is_some_and(|zone| zone != &*capacity.zone)
+            {
+                continue;
+            }
+            capacity.make_room(spec, left);
+            let mut tasks = capacity.free.fits(spec).min(left);
+            if spec.scatter && demand.job.is_some() {
+                let there = in_zone.entry(capacity.zone.clone()).or_default();
+                tasks = tasks.min(most_in_zone.saturating_sub(*there));
+                *there += tasks;
+            }
+            capacity.take(spec, tasks);
+            // Work that can wait is no reason to keep a machine.
+            capacity.used |= tasks > 0 && demand.filter != OfferFilter::SpotOnly;
+            left -= tasks;
+        }
+        left
+    }
+
+    /// Plans to rent a machine; returns how many tasks have room on it.
+    fn rent(&mut self, offer: &Offer, demand: &Demand, left: u32) -> u32 {
+        let mut capacity = Capacity::to_come(&offer.kind, &offer.zone, offer.spot);
+        let tasks = capacity.free.fits(&demand.spec).min(left);
+        if tasks == 0 {
+            return 0;
+        }
+        capacity.take(&demand.spec, tasks);
+        capacity.used = true;
+        self.capacities.push(capacity);
+        let kind = MachineKind {
+            machine_type: offer.kind.name.clone(),
+            zone: offer.zone.clone(),
+            spot: offer.spot,
+        };
+        *self.wanted.entry(kind).or_default() += 1;
+        tasks
+    }
+}
+
+impl Shard {
+    /// Compares the room that is wanted with the room there is.
+    pub(super) fn plan(&mut self, now: Instant) {
+        let capacities = self.capacities(now);
+        self.note_cores(&capacities);
+        let demands = self.demands(&capacities, now);
+        let mut plan = Plan {
+            capacities,
+            crowds: self.crowds(),
+            wanted: BTreeMap::new(),
+        };
+        // A new machine is shared with the jobs of the class that follow.
+        let mut class_left: HashMap<String, u32> = HashMap::new();
+        for demand in &demands {
+            *class_left.entry(demand.spec.class.clone()).or_default() += demand.count;
+        }
+        for demand in demands {
+            let companions = class_left.entry(demand.spec.class.clone()).or_default();
+            *companions -= demand.count;
+            self.plan_for(&demand, *companions, &mut plan, now);
+        }
+        self.act_on(plan, now);
+    }
+
+    /// Finds room for a demand, on new machines if need be; so many more tasks of its
+    /// class follow.
+    fn plan_for(&self, demand: &Demand, companions: u32, plan: &mut Plan, now: Instant) {
+        let zone = self.planned_zone(demand, plan, now);
+        let zone = zone.as_deref();
+        let mut left = plan.take_room(demand, zone);
+        while left > 0 {
+            let offer = self.best_offer(demand, left + companions, zone, &plan.crowds, now);
+            let Some(offer) = offer else {
+                return;
+            };
+            let tasks = plan.rent(&offer, demand, left);
+            if tasks == 0 {
+                return;
+            }
+            left -= tasks;
+            tracing::debug!(
+                class = demand.spec.class,
+                left,
+                slack_s = demand.slack_s,
+                machine_type = offer.kind.name,
+                zone = offer.zone,
+                spot = offer.spot,
+                "a machine is wanted"
+            );
+        }
+    }
+
+    /// Rents what is wanted and gives back what isn't.
+    fn act_on(&mut self, plan: Plan, now: Instant) {
+        let growing = plan.wanted.keys().any(|kind| !kind.spot)
+            || self.fleet.bookings.values().any(|b| !b.rental.spot);
+        self.reopen(&plan.capacities);
+        // Work that nobody has accounted for yet is in no plan.
+        let accounted = self.unresolved.is_empty();
+        if accounted {
+            self.consolidate(&plan.capacities, !growing, now);
+        }
+        for (kind, count) in plan.wanted {
+            self.book(kind, count.min(MOST_PER_RENTAL));
+        }
+        self.give_back(&plan.capacities, now);
+    }
+
+    fn crowds(&self) -> Crowds {
+        let mut crowds = Crowds::default();
+        for machine in self.machines.values() {
+            crowds.add(&machine.machine_type, &machine.zone);
+        }
+        crowds
+    }
+
+    /// Where a gang's room is wanted, if it has to be in one zone: where there is most
+    /// of it already.
+    fn planned_zone(&self, demand: &Demand, plan: &Plan, now: Instant) -> Option<Arc<str>> {
+        let spec = &demand.spec;
+        if !(spec.is_gang() && spec.one_zone && demand.job.is_some()) {
+            return None;
+        }
+        let mut room: BTreeMap<Arc<str>, u32> = BTreeMap::new();
+        for at in &plan.capacities {
+            if allowed(spec, &at.machine_type, &at.zone, at.spot) {
+                *room.entry(at.zone.clone()).or_default() += at.free.fits(spec);
+            }
+        }
+        let most = room.into_iter().max_by_key(|(_, tasks)| *tasks);
+        // With little of it there, where machines come soonest counts more.
+        let most = most.filter(|(_, tasks)| *tasks * 2 >= demand.count);
+        let offered = || {
+            let offer = self.best_offer(demand, demand.count, None, &plan.crowds, now)?;
+            Some(offer.zone.as_str().into())
+        };
+        most.map(|(zone, _)| zone).or_else(offered)
+    }
+
+    /// The shortest usual time until a new machine is up.
+    pub(super) fn quickest(&self) -> Duration {
+        self.types
+            .values()
+            .map(|kind| startup(kind))
+            .min()
+            .unwrap_or_default()
+    }
+}
+
+/// The usual time until a new machine is up.
+pub(super) fn startup(kind: &MachineType) -> Duration {
+    Duration::from_secs_f64(kind.startup_s.clamp(0.0, LONGEST_STARTUP_S))
+}
+
+/// Longest start that is taken as meant.
+const LONGEST_STARTUP_S: f64 = 1e6;
