--- a/src/coordination/shard/plan/capacity.rs
+++ b/src/coordination/shard/plan/capacity.rs
@@ -189,17 +189,6 @@
             || (machine.heard.is_none() && self.cut_off.contains(&*machine.zone))
     }
 
-    /// The cheap cores that a priority finds: as it is now, or as it was lately
-    /// on average if that is more. Bursts of work that goes first come and go.
-    pub(super) fn usual_cores<'a>(
-        &self,
-        spec: &JobSpec,
-        capacities: impl Iterator<Item = &'a Capacity>,
-    ) -> f64 {
-        let usual = self.fleet.usual_cores.get(&spec.priority).copied();
-        cores_for(spec, capacities).max(usual.unwrap_or(0.0))
-    }
-
     /// Takes the room of the moment into the averages.
     pub(super) fn note_cores(&mut self, capacities: &[Capacity]) {
         let specs: BTreeMap<Priority, Arc<JobSpec>> = self
--- a/src/coordination/shard/plan/demand.rs
+++ b/src/coordination/shard/plan/demand.rs
@@ -1,6 +1,7 @@
 //! What room is wanted: for what waits, what is likely to come, and what is guaranteed.
 
 use std::cmp::Reverse;
+use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -87,10 +88,8 @@
             let Some(count) = self.enqueue(job, &mut queue) else {
                 continue;
             };
-            let cheap = capacities.iter().filter(|capacity| !capacity.costly);
-            let cheap = self.usual_cores(&job.spec, cheap);
-            let costly = capacities.iter().filter(|capacity| capacity.costly);
-            let costly = cores_for(&job.spec, costly);
+            let cheap = self.cheap_cores(job, capacities);
+            let costly = self.cores_in_reach(job, capacities, true);
             if self.urgent(job, count, queue.core_seconds, cheap, wall) > 0 {
                 pressed.push(job.id.clone());
             }
@@ -140,6 +139,38 @@
         Some(count)
     }
 
+    /// The cheap cores that a job finds: as it is now, or as it was lately on average
+    /// for its priority if that is more. Bursts of work that goes first come and go.
+    fn cheap_cores(&self, job: &Job, capacities: &[Capacity]) -> f64 {
+        let now = self.cores_in_reach(job, capacities, false);
+        if job.spec.one_zone {
+            // The average is that of all zones.
+            return now;
+        }
+        let usual = self.fleet.usual_cores.get(&job.spec.priority).copied();
+        now.max(usual.unwrap_or(0.0))
+    }
+
+    /// The cores, costly ones or others, that a job's tasks can have: if it is bound to
+    /// one zone, in the one where it has begun, or in the one with most.
+    fn cores_in_reach(&self, job: &Job, capacities: &[Capacity], costly: bool) -> f64 {
+        let wanted = capacities.iter().filter(|at| at.costly == costly);
+        if !job.spec.one_zone {
+            return cores_for(&job.spec, wanted);
+        }
+        let in_zone = |zone: &Arc<str>| {
+            let there = wanted.clone().filter(|at| at.zone == *zone);
+            cores_for(&job.spec, there)
+        };
+        match self.begun_zone(&job.id) {
+            Some(zone) => in_zone(&zone),
+            None => {
+                let zones: BTreeSet<&Arc<str>> = wanted.clone().map(|at| &at.zone).collect();
+                zones.into_iter().map(in_zone).fold(0.0, f64::max)
+            }
+        }
+    }
+
     /// Notes which jobs can't wait for cheap room alone.
     fn note_pressed(&mut self, pressed: &[JobId]) {
         for job in self.jobs.values_mut() {
--- a/src/coordination/shard/plan/mod.rs
+++ b/src/coordination/shard/plan/mod.rs
@@ -15,6 +15,7 @@
 use super::Shard;
 use super::fleet::{MOST_PER_RENTAL, MachineKind};
 use super::placement::allowed;
+use crate::protocol::JobId;
 use crate::protocol::cloud::MachineType;
 
 /// One plan as it is worked out.
@@ -24,6 +25,8 @@
     crowds: Crowds,
     /// Machines to be rented.
     wanted: BTreeMap<MachineKind, u32>,
+    /// Where the room of jobs bound to one zone is planned.
+    zones: BTreeMap<JobId, Arc<str>>,
 }
 
 impl Plan {
@@ -90,6 +93,7 @@
             capacities,
             crowds: self.crowds(),
             wanted: BTreeMap::new(),
+            zones: BTreeMap::new(),
         };
         // A new machine is shared with the jobs of the class that follow.
         let mut class_left: HashMap<String, u32> = HashMap::new();
@@ -156,27 +160,30 @@
         crowds
     }
 
-    /// Where a gang's room is wanted, if it has to be in one zone: where there is most
-    /// of it already.
-    fn planned_zone(&self, demand: &Demand, plan: &Plan, now: Instant) -> Option<Arc<str>> {
-        let spec = &demand.spec;
-        if !(spec.is_gang() && spec.one_zone && demand.job.is_some()) {
-            return None;
-        }
-        let mut room: BTreeMap<Arc<str>, u32> = BTreeMap::new();
-        for at in &plan.capacities {
-            if allowed(spec, &at.machine_type, &at.zone, at.spot) {
-                *room.entry(at.zone.clone()).or_default() += at.free.fits(spec);
-            }
+    /// Where a job's room is wanted, if it has to be in one zone; all of its demands go
+    /// to the same.
+    fn planned_zone(&self, demand: &Demand, plan: &mut Plan, now: Instant) -> Option<Arc<str>> {
+        let id = demand.job.as_ref().filter(|_| demand.spec.one_zone)?;
+        if let Some(zone) = plan.zones.get(id) {
+            return Some(zone.clone());
         }
-        let most = room.into_iter().max_by_key(|(_, tasks)| *tasks);
-        // With little of it there, where machines come soonest counts more.
-        let most = most.filter(|(_, tasks)| *tasks * 2 >= demand.count);
-        let offered = || {
-            let offer = self.best_offer(demand, demand.count, None, &plan.crowds, now)?;
-            Some(offer.zone.as_str().into())
-        };
-        most.map(|(zone, _)| zone).or_else(offered)
+        let zone = self
+            .begun_zone(id)
+            .or_else(|| roomiest_zone(demand, &plan.capacities))
+            .or_else(|| self.offered_zone(demand, plan, now))?;
+        plan.zones.insert(id.clone(), zone.clone());
+        Some(zone)
+    }
+
+    /// The zone in which tasks of a job bound to one zone may exist.
+    pub(super) fn begun_zone(&self, id: &JobId) -> Option<Arc<str>> {
+        let job = self.jobs.get(id).filter(|job| job.spec.one_zone)?;
+        self.live_zones(job).into_keys().next()
+    }
+
+    fn offered_zone(&self, demand: &Demand, plan: &Plan, now: Instant) -> Option<Arc<str>> {
+        let offer = self.best_offer(demand, demand.count, None, &plan.crowds, now)?;
+        Some(offer.zone.as_str().into())
     }
 
     /// The shortest usual time until a new machine is up.
@@ -189,6 +196,20 @@
     }
 }
 
+/// The zone with most room for a demand. With little of it there, where machines come
+/// soonest counts more: none then.
+fn roomiest_zone(demand: &Demand, capacities: &[Capacity]) -> Option<Arc<str>> {
+    let spec = &demand.spec;
+    let mut room: BTreeMap<&Arc<str>, u32> = BTreeMap::new();
+    for at in capacities {
+        if allowed(spec, &at.machine_type, &at.zone, at.spot) {
+            *room.entry(&at.zone).or_default() += at.free.fits(spec);
+        }
+    }
+    let (zone, tasks) = room.into_iter().max_by_key(|(_, tasks)| *tasks)?;
+    (tasks * 2 >= demand.count).then(|| zone.clone())
+}
+
 /// The usual time until a new machine is up.
 pub(super) fn startup(kind: &MachineType) -> Duration {
     Duration::from_secs_f64(kind.startup_s.clamp(0.0, LONGEST_STARTUP_S))
--- a/src/coordination/shard/tests/mod.rs
+++ b/src/coordination/shard/tests/mod.rs
@@ -8,3 +8,4 @@
 mod script;
 mod scripted;
 mod world;
+mod zones;
