--- a/deploy/operator.lisp
+++ b/deploy/operator.lisp
@@ -25,6 +25,10 @@
  (headroom . 0.1)
  ;; How long a machine may stay idle before it is given back [0 to 86400].
  (idle-s . 10.0)
+ ;; How long room for a team's guarantee is held, as far as it isn't used, after the
+ ;; team's last job has ended [0 to 86400]. Then the machines are given back, and work
+ ;; that comes later waits until others are up.
+ (guarantee-hold-s . 30.0)
  ;; How long a refused kind of machine is not asked for again [1 to 3600].
  (refused-s . 15.0)
  ;; How long a controller that a cut takes from the state service and the owner
--- a/src/coordination/shard/fleet.rs
+++ b/src/coordination/shard/fleet.rs
@@ -92,6 +92,12 @@
 }
 
 impl ClassHistory {
+    /// Whether some job of the class has come lately.
+    pub(super) fn is_recent(&self, now: Instant) -> bool {
+        let last = self.arrivals.back();
+        last.is_some_and(|(at, _)| now.saturating_duration_since(*at) <= ARRIVALS)
+    }
+
     /// Tasks per second to reckon with. Arrivals are counted in slots, and the
     /// fullest ones left out: a burst that is over says nothing of what comes.
     pub(super) fn rate(&self, now: Instant) -> f64 {
@@ -120,6 +126,8 @@
     next_booking: u64,
     last_plan: Option<Instant>,
     pub(super) classes: BTreeMap<String, ClassHistory>,
+    /// When each team last had an unfinished job, as far as this owner has seen.
+    last_work: BTreeMap<String, Instant>,
     /// Cheap cores that each priority has found lately.
     pub(super) usual_cores: BTreeMap<Priority, f64>,
 }
@@ -142,6 +150,20 @@
         self.refused.insert(kind, Refusal { until, times });
     }
 
+    /// Notes that a team has an unfinished job.
+    pub(super) fn note_work(&mut self, team: &str, now: Instant) {
+        if let Some(last) = self.last_work.get_mut(team) {
+            *last = now;
+        } else {
+            self.last_work.insert(team.to_owned(), now);
+        }
+    }
+
+    /// When a team last had an unfinished job, if this owner has seen one.
+    pub(super) fn last_work(&self, team: &str) -> Option<Instant> {
+        self.last_work.get(team).copied()
+    }
+
     /// Remembers a job that was accepted at a moment not long before `now`.
     pub fn note_arrival(&mut self, spec: &JobSpec, at: Instant, now: Instant) {
         let history = self
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -120,6 +120,8 @@
     pub abandon: Duration,
     pub headroom: f64,
     pub idle: Duration,
+    /// How long unused room for a guarantee is held after its team's last job.
+    pub guarantee_hold: Duration,
     pub refused: Duration,
 }
 
@@ -161,6 +163,7 @@
             abandon: given.workers.latest_report() + operator.abandon_late(),
             headroom: operator.headroom,
             idle: operator.idle(),
+            guarantee_hold: operator.guarantee_hold(),
             refused: operator.refused(),
         }
     }
--- a/src/coordination/shard/plan/demand.rs
+++ b/src/coordination/shard/plan/demand.rs
@@ -108,7 +108,8 @@
             }
         }
         demands.extend(self.foreseen(now));
-        demands.extend(self.guaranteed(&used));
+        self.note_work(now);
+        demands.extend(self.guaranteed(&used, now));
         self.note_pressed(&pressed);
         demands
     }
@@ -281,6 +282,9 @@
                 .filter(|job| job.spec.class == *class)
                 .map(|job| job.live().len())
                 .sum::<usize>() as f64;
+            if running == 0.0 && !history.is_recent(now) {
+                continue;
+            }
             let count = (expected + expected.sqrt()).max(running * self.policy.headroom);
             demands.push(Demand {
                 spec: history.spec.clone(),
@@ -293,11 +297,28 @@
         demands
     }
 
+    /// Notes which teams have unfinished jobs.
+    fn note_work(&mut self, now: Instant) {
+        let unfinished = self.jobs.values().filter(|job| job.over.is_none());
+        let teams: BTreeSet<&str> = unfinished.map(|job| &*job.spec.team).collect();
+        for team in teams {
+            self.fleet.note_work(team, now);
+        }
+    }
+
+    /// Whether a team has work, or had some lately. A new owner doesn't know of jobs
+    /// that ended before it began, and takes that for the time of the last.
+    fn has_had_work(&self, team: &str, now: Instant) -> bool {
+        let last = self.fleet.last_work(team).unwrap_or(self.acquired);
+        now.saturating_duration_since(last) <= self.policy.guarantee_hold
+    }
+
     /// Room for what the teams are guaranteed and don't use yet: they needn't
-    /// wait for machines either.
-    fn guaranteed(&self, usage: &Usage) -> Vec<Demand> {
+    /// wait for machines either, while they have work or had some lately.
+    fn guaranteed(&self, usage: &Usage, now: Instant) -> Vec<Demand> {
         let mut demands = Vec::new();
-        for (name, team) in &self.policy.teams {
+        let teams = self.policy.teams.iter();
+        for (name, team) in teams.filter(|(name, _)| self.has_had_work(name, now)) {
             let unused = team.cores - usage.of(name).cores;
             if unused <= 0.0 {
                 continue;
--- a/src/coordination/shard/tests/mod.rs
+++ b/src/coordination/shard/tests/mod.rs
@@ -2,6 +2,7 @@
 //! world.
 
 mod gangs;
+mod idle;
 mod limits;
 mod meetings;
 mod random;
--- a/src/coordination/shard/tests/scripted.rs
+++ b/src/coordination/shard/tests/scripted.rs
@@ -469,6 +469,8 @@
 #[test]
 fn a_lease_is_not_over_while_another_controller_may_keep_its_worker() {
     let mut script = Script::new(Loaded::default());
+    // The other machine stays, for what may start again there.
+    script.shard.policy.guarantee_hold = Duration::from_secs(3600);
     script.report("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
     let batch = script.launches().remove(0);
--- a/src/coordination/shard/tests/world.rs
+++ b/src/coordination/shard/tests/world.rs
@@ -111,6 +111,7 @@
         abandon: Duration::from_secs(7),
         headroom: 0.1,
         idle: Duration::from_secs(10),
+        guarantee_hold: Duration::from_secs(30),
         refused: Duration::from_secs(15),
     }
 }
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -32,6 +32,8 @@
     pub headroom: f64,
     /// How long a machine may stay idle before it is given back.
     pub idle_s: f64,
+    /// How long unused room for a team's guarantee is held after its last job ended.
+    pub guarantee_hold_s: f64,
     /// How long a refused kind of machine is not asked for again.
     pub refused_s: f64,
     /// How long a controller goes on answering workers without the state service
@@ -52,6 +54,7 @@
             abandon_late_s: 3.25,
             headroom: 0.1,
             idle_s: 10.0,
+            guarantee_hold_s: 30.0,
             refused_s: 15.0,
             keep_alone_s: 45.0,
         }
@@ -95,6 +98,7 @@
             ),
             ("headroom", self.headroom, 0.0, 10.0),
             ("idle-s", self.idle_s, 0.0, 86_400.0),
+            ("guarantee-hold-s", self.guarantee_hold_s, 0.0, 86_400.0),
             ("refused-s", self.refused_s, 1.0, 3600.0),
             ("keep-alone-s", self.keep_alone_s, 0.0, 600.0),
         ];
@@ -138,6 +142,10 @@
         Duration::from_secs_f64(self.idle_s)
     }
 
+    pub fn guarantee_hold(&self) -> Duration {
+        Duration::from_secs_f64(self.guarantee_hold_s)
+    }
+
     pub fn refused(&self) -> Duration {
         Duration::from_secs_f64(self.refused_s)
     }
