--- a/src/coordination/shard/tests/gangs.rs
+++ b/src/coordination/shard/tests/gangs.rs
@@ -14,7 +14,7 @@
     Duration::from_secs(n)
 }
 
-fn gang(tasks: u32, cores: f64) -> JobSpec {
+pub(super) fn gang(tasks: u32, cores: f64) -> JobSpec {
     JobSpec {
         kind: JobKind::Gang,
         checkpoint_s: 20.0,
@@ -24,7 +24,7 @@
 }
 
 /// Machines of eight cores that have reported, in this order, north unless said.
-fn machines(script: &mut Script, ids: &[(&str, &str)]) {
+pub(super) fn machines(script: &mut Script, ids: &[(&str, &str)]) {
     for (id, zone) in ids {
         let mut report = script.report_of(id, TERM, Vec::new());
         report.zone = (*zone).into();
@@ -35,13 +35,13 @@
     }
 }
 
-fn north(script: &mut Script, ids: &[&str]) {
+pub(super) fn north(script: &mut Script, ids: &[&str]) {
     let ids: Vec<_> = ids.iter().map(|id| (*id, "north")).collect();
     machines(script, &ids);
 }
 
 /// The launches decided since the last call, all carried out: machine, task, attempt.
-fn launched(script: &mut Script) -> Vec<(String, u32, u64)> {
+pub(super) fn launched(script: &mut Script) -> Vec<(String, u32, u64)> {
     let mut launches = Vec::new();
     // What waits for the answer to another batch comes in the next round.
     for _ in 0..3 {
@@ -67,7 +67,12 @@
 }
 
 /// A report of a machine on which all attempts on its books are in one state.
-fn lines(script: &mut Script, id: &str, state: TaskState, ending: Option<Ending>) -> Report {
+pub(super) fn lines(
+    script: &mut Script,
+    id: &str,
+    state: TaskState,
+    ending: Option<Ending>,
+) -> Report {
     let keys: Vec<(TaskId, u64)> = script.machine(id).attempts.keys().cloned().collect();
     let line = |(task, take): &(TaskId, u64)| TaskReport {
         task: task.clone(),
@@ -82,14 +87,14 @@
 }
 
 /// All that is on a machine's books is reported in one state.
-fn all_are(script: &mut Script, id: &str, state: TaskState, ending: Option<Ending>) {
+pub(super) fn all_are(script: &mut Script, id: &str, state: TaskState, ending: Option<Ending>) {
     let report = lines(script, id, state, ending);
     script.shard.report(&report, script.now);
     script.settle();
 }
 
 /// A report of a machine that shows what its books say.
-fn as_it_is(script: &mut Script, id: &str) -> Report {
+pub(super) fn as_it_is(script: &mut Script, id: &str) -> Report {
     let line = |((task, take), attempt): (&(TaskId, u64), &Attempt)| {
         let (state, ending) = match attempt.phase {
             Phase::Launching | Phase::Fetching => (TaskState::Fetching, None),
@@ -110,7 +115,7 @@
 }
 
 /// The stops decided since the last call, by machine, with their graces.
-fn stopped(script: &mut Script) -> Vec<(String, f64)> {
+pub(super) fn stopped(script: &mut Script) -> Vec<(String, f64)> {
     let mut stops = Vec::new();
     for batch in script.batches() {
         for command in &batch.2 {
--- a/tests/trial/meetings.rs
+++ b/tests/trial/meetings.rs
@@ -41,7 +41,7 @@
         "others": others, "services": { "cloud": "127.0.0.1:1", "state": state },
         "settings": {
             "zones": ["north"],
-            "teams": [{ "name": "red", "cpus": 0, "cpus_max": 8, "gpus": 0, "gpus_max": 0 }],
+            "teams": [{ "name": "red", "cpus": 0, "cpus_max": 8, "gpus": 0, "gpus_max": 3 }],
             "workers": { "report_s": 0.5, "lease_s": 10.0, "cancel_s": 20.0 },
             "state": { "rps": 1000, "write_rps": 500, "value_kb": 16, "txn_ops": 16 },
             "cloud": { "rps": 100, "list_lag_s": 0.5 },
@@ -56,7 +56,7 @@
     node.lock().types = Some(vec![MachineType {
         name: "m8".into(),
         cores: 8.0,
-        accelerators: 0.0,
+        accelerators: 2.0,
         mem_gb: 32.0,
         cache_gb: 50.0,
         fetch_gb_per_s: 1.0,
@@ -251,6 +251,15 @@
     // Two tasks of five cores: an array's run in turn, a gang's can't together.
     let mut whole = submission("run-000001", 5.0);
     whole["Form"] = json!("group");
+    let mut formless = submission("run-000001", 1.0);
+    formless["Form"] = json!("swarm");
+    let mut nobody = submission("run-000001", 1.0);
+    nobody["Form"] = json!("group");
+    nobody["Voices"] = json!(0);
+    // Two tasks of two accelerators, of which the team may use three.
+    let mut dear = submission("run-000001", 1.0);
+    dear["Form"] = json!("group");
+    dear["Accelerators"] = json!(2.0);
     let mut stranger = submission("run-000001", 1.0);
     stranger["Section"] = json!("nobody");
     for node in [&served, &cut_off] {
@@ -258,6 +267,9 @@
         assert_eq!(submit(node, &nowhere).await.status, 422);
         assert_eq!(submit(node, &stranger).await.status, 422);
         assert_eq!(submit(node, &whole).await.status, 422);
+        assert_eq!(submit(node, &formless).await.status, 400);
+        assert_eq!(submit(node, &nobody).await.status, 400);
+        assert_eq!(submit(node, &dear).await.status, 422);
         assert_eq!(poll(node, "no such id").await.status, 404);
     }
     assert_eq!(poll(&served, "run-000001").await.status, 404);
@@ -269,6 +281,10 @@
     );
     let fine = submission("run-000001", 1.0);
     assert_eq!(submit(&cut_off, &fine).await.status, 503);
+    let mut alone = submission("run-000002", 8.0);
+    alone["Form"] = json!("group");
+    alone["Voices"] = json!(1);
+    assert_eq!(submit(&served, &alone).await.status, 201, "a gang of one");
     served.lock().types = None;
     assert_eq!(submit(&served, &nowhere).await.status, 503, "not known yet");
     assert_eq!(submit(&served, &fine).await.status, 503);
--- a/tests/trial/upgrade.rs
+++ b/tests/trial/upgrade.rs
@@ -23,7 +23,30 @@
     late: Txn,
 }
 
-async fn finish_what_was_left(recorded: &str, name: &str, unfinished: &[&str]) {
+/// A job that was over when the older version ended.
+struct Over {
+    id: &'static str,
+    form: &'static str,
+    stage: &'static str,
+}
+
+const CANCELLED_ARRAY: Over = Over {
+    id: "run-000003",
+    form: "batch",
+    stage: "cancelled",
+};
+const DONE_ARRAY: Over = Over {
+    id: "run-000004",
+    form: "batch",
+    stage: "done",
+};
+const DONE_GANG: Over = Over {
+    id: "run-000007",
+    form: "group",
+    stage: "done",
+};
+
+async fn finish_what_was_left(recorded: &str, name: &str, unfinished: &[&str], over: &[Over]) {
     let recorded: Recorded = serde_json::from_str(recorded).expect("a recording");
     let service = Service::default();
     service.restore(&recorded.keys);
@@ -52,13 +75,13 @@
             insist(&client, to, Method::GET, &path, &Value::Null, done).await;
         }
         // What the older version told its users is told them still.
-        for (id, stage) in [("run-000003", "cancelled"), ("run-000004", "done")] {
+        for Over { id, form, stage } in over {
             let path = format!("/v1/jobs/{id}");
             let told = in_stage(stage);
             insist(&client, to, Method::GET, &path, &Value::Null, told).await;
-            let again = job(id, "batch", 3);
+            let again = job(id, form, 3);
             let answer = insist(&client, to, Method::POST, "/v1/jobs", &again, accepted).await;
-            assert_eq!(answer["Stage"], stage);
+            assert_eq!(answer["Stage"], *stage);
         }
     }
 }
@@ -66,7 +89,9 @@
 #[tokio::test]
 async fn controllers_go_on_from_the_version_before_gangs() {
     let recorded = include_str!("../upgrade/recorded/5161cb0.json");
-    finish_what_was_left(recorded, "o", &["run-000001", "run-000008"]).await;
+    let unfinished = ["run-000001", "run-000008"];
+    let over = [CANCELLED_ARRAY, DONE_ARRAY];
+    finish_what_was_left(recorded, "o", &unfinished, &over).await;
 }
 
 #[tokio::test]
@@ -74,5 +99,6 @@
     let recorded = include_str!("../upgrade/recorded/bee35ef.json");
     upload_gang("run-000006", 4);
     let unfinished = ["run-000001", "run-000006", "run-000008"];
-    finish_what_was_left(recorded, "p", &unfinished).await;
+    let over = [CANCELLED_ARRAY, DONE_ARRAY, DONE_GANG];
+    finish_what_was_left(recorded, "p", &unfinished, &over).await;
 }
