--- a/src/coordination/lease.rs
+++ b/src/coordination/lease.rs
@@ -6,11 +6,9 @@
 
 use tokio::sync::Notify;
 
+use super::drift;
 use crate::settings::Operator;
 
-/// Drift of steady clocks to reckon with, both ways together.
-const DRIFT: f64 = 0.002;
-
 /// How long a keeper may answer workers after it asked the state service
 /// whether the owner lends it that.
 pub const KEEPING: Duration = Duration::from_secs(2);
@@ -48,7 +46,7 @@
 /// The moment up to which a renewal sent at `sent` entitles.
 pub fn deadline(operator: &Operator, sent: Instant) -> Instant {
     let margin = Duration::from_secs_f64(operator.lease_margin_s);
-    sent + operator.lease().mul_f64(1.0 - DRIFT).saturating_sub(margin)
+    sent + drift::shortest(operator.lease()).saturating_sub(margin)
 }
 
 impl Tenure {
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -2,6 +2,7 @@
 
 pub mod answering;
 pub mod awareness;
+pub mod drift;
 pub mod io;
 pub mod lease;
 pub mod loading;
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -12,6 +12,7 @@
 
 use super::awareness::{self, Awareness};
 use super::lease::Tenure;
+use super::peering::extension;
 use super::shard::{Job, Policy, Shard};
 use super::standing::{self, Lender, StandingLoan};
 use super::{io, ownership, peering};
@@ -317,6 +318,11 @@
             .value_bytes()
     }
 
+    /// How long this run of the process has lasted.
+    pub fn up_time(&self) -> Duration {
+        self.now().saturating_duration_since(self.started)
+    }
+
     pub fn label(&self) -> &str {
         &self.settings.platform.label
     }
@@ -474,7 +480,7 @@
         let now = self.now();
         let inner = self.lock();
         let earlier =
-            (!inner.previous_run_ended).then_some(self.started + peering::LONGEST_PROMISE);
+            (!inner.previous_run_ended).then_some(self.started + extension::LONGEST_PROMISE);
         inner
             .promised_until
             .max(earlier)
@@ -585,8 +591,8 @@
         "valegap starts"
     );
     tokio::spawn(keep_types(node.clone()));
-    tokio::spawn(peering::pulse(node.clone()));
-    tokio::spawn(peering::keep_workers(node.clone()));
+    tokio::spawn(peering::run(node.clone()));
+    tokio::spawn(peering::delegation::keep_workers(node.clone()));
     tokio::spawn(ownership::seek_ownership(node.clone()));
     let idle = platform.settings.workers.report() * IDLE_REPORTS;
     let front_listener = Limited::new(front_listener, node.front_places.clone(), idle);
--- a/src/coordination/ownership.rs
+++ b/src/coordination/ownership.rs
@@ -8,9 +8,10 @@
 use super::lease::{self, Tenure};
 use super::loading::{StoredShard, parse_job};
 use super::node::{Node, Ownership, STATE_DEADLINE};
+use super::peering::extension;
 use super::shard::{Loaded, Shard};
 use super::standing::Lender;
-use super::{io, peering};
+use super::{drift, io};
 use crate::protocol::state::{Change, Item, News, Txn};
 use crate::storage::client::{StateError, TxnOutcome, backoff};
 use crate::storage::keys;
@@ -267,16 +268,16 @@
 /// controller promises not to seek the shard. Past its deadline, it may begin to
 /// again if nobody can have taken the shard since its last good renewal.
 async fn extend_by_promises(node: &Arc<Node>, tenure: &Tenure) {
-    let time = peering::LONGEST_PROMISE;
+    let time = extension::LONGEST_PROMISE;
     let sent = node.now();
     let promised = if tenure.live(sent) {
-        peering::all_promise(node, time).await
+        extension::all_promise(node, time).await
     } else {
-        peering::all_stand_aside(node, tenure, time).await
+        extension::all_stand_aside(node, tenure, time).await
     };
     if promised {
         let margin = Duration::from_secs_f64(node.settings.operator.lease_margin_s).min(time / 4);
-        tenure.extended(sent + time.mul_f64(0.998) - margin);
+        tenure.extended(sent + drift::shortest(time) - margin);
     }
 }
 
--- /dev/null
+++ b/src/coordination/peering/cancellations.rs
@@ -0,0 +1,96 @@
+//! What controllers tell one another of the cancellations that they confirmed, while
+//! the state service doesn't tell the owner.
+
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use hyper::StatusCode;
+
+use super::{ROUND_DEADLINE, post};
+use crate::coordination::drift;
+use crate::coordination::node::Node;
+use crate::protocol::tidings::{
+    CANCELLATIONS, CancellationsAsked, CancellationsTold, CancelledJob,
+};
+use crate::settings::platform::Peer;
+
+/// Age of the last look at the jobs past which others are asked what they told.
+const LOOK_LATE: Duration = Duration::from_secs(2);
+/// Pause before a controller of an older version is asked again.
+const ASK_OLDER_AGAIN: Duration = Duration::from_secs(10);
+
+/// What this node has told users of cancellations since a revision.
+pub fn cancellations_told(node: &Node, asked: &CancellationsAsked) -> CancellationsTold {
+    let jobs = node.ledger.cancelled_after(asked.after);
+    CancellationsTold {
+        up_ms: node.up_time().as_millis() as u64,
+        jobs: jobs.map(|jobs| {
+            let job = |(job, revision)| CancelledJob { job, revision };
+            jobs.into_iter().map(job).collect()
+        }),
+    }
+}
+
+/// Takes in what a controller that was asked at `sent` has told users.
+pub fn note_told(node: &Arc<Node>, label: &str, sent: Instant, told: CancellationsTold) {
+    let Some(jobs) = told.jobs else {
+        return;
+    };
+    let cancelled = jobs.into_iter().map(|told| (told.job, told.revision));
+    node.ledger.note_cancelled(cancelled.collect());
+    node.tell_endings();
+    let began = drift::latest_start(Duration::from_millis(told.up_ms), node.now());
+    let counts = node.lock().awareness.word(label, sent, began);
+    if !counts {
+        tracing::debug!(
+            peer = label,
+            "its word on cancellations doesn't count: it began too late"
+        );
+    }
+}
+
+/// While the state service doesn't tell the owner which jobs are over, the other
+/// controllers do: one of them may have been served, and have cancelled some.
+pub(super) fn ask_all(node: &Arc<Node>) {
+    let now = node.now();
+    let Some(after) = node.ledger.revision() else {
+        return;
+    };
+    let asked: Vec<Peer> = {
+        let inner = node.lock();
+        let looked = inner.awareness.last_look();
+        if (inner.ownership.is_none() && inner.loading.is_none())
+            || looked.is_some_and(|at| now.saturating_duration_since(at) < LOOK_LATE)
+        {
+            return;
+        }
+        let older = |peer: &&Peer| {
+            let shown = inner.older.get(&peer.label);
+            shown.is_none_or(|at| now.saturating_duration_since(*at) > ASK_OLDER_AGAIN)
+        };
+        let others = node.settings.platform.others.iter();
+        others.filter(older).cloned().collect()
+    };
+    for peer in asked {
+        tokio::spawn(ask_for_word(node.clone(), peer, after));
+    }
+}
+
+/// Asks one controller what it told users since a revision.
+pub async fn ask_for_word(node: Arc<Node>, peer: Peer, after: u64) {
+    let sent = node.now();
+    let frame = CancellationsAsked { after }.encode();
+    let Ok(answer) = post(&node, &peer, CANCELLATIONS, frame, ROUND_DEADLINE).await else {
+        return;
+    };
+    let told = CancellationsTold::decode(&answer.body);
+    if let Some(told) = told.filter(|_| answer.status == StatusCode::OK) {
+        node.lock().older.remove(&peer.label);
+        note_told(&node, &peer.label, sent, told);
+    } else if node.lock().older.insert(peer.label.clone(), sent).is_none() {
+        tracing::info!(
+            peer = peer.label,
+            "an older version: it doesn't say which cancellations it told"
+        );
+    }
+}
--- /dev/null
+++ b/src/coordination/peering/delegation.rs
@@ -0,0 +1,285 @@
+//! Workers that the owner can't hear, while another controller does: lending their
+//! keeping, recalling it, and what they hold.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+use std::time::Duration;
+
+use crate::coordination::drift;
+use crate::coordination::lease::{KEEPING, Tenure};
+use crate::coordination::node::{Keeping, Node, STATE_DEADLINE, random_id};
+use crate::coordination::standing;
+use crate::protocol::state::{Change, Item, Txn};
+use crate::protocol::workers::Report;
+use crate::settings::platform::Peer;
+use crate::storage::client::StateError;
+use crate::storage::inventory::{Batch, whole_reports};
+use crate::storage::keys;
+use crate::storage::records::{HearingRecord, InventoryRecord, KeeperRecord, VERSION};
+
+/// How long a new owner listens before it may call itself deaf: every machine
+/// was asked for a report at once.
+pub(super) const LISTENING: Duration = Duration::from_secs(2);
+/// A peer's pulse older than this means that it can't be reached.
+pub(super) const PULSE_FRESH: Duration = Duration::from_secs(3);
+/// A peer's pulse older than this, two rounds, means that it may be cut off.
+const PULSE_LATE: Duration = Duration::from_millis(2200);
+/// Pause between a keeper's looks at its loan.
+const KEEPING_LOOK: Duration = Duration::from_millis(500);
+/// How long before its time a keeper stops, to cover a busy processor.
+const KEEPING_MARGIN: Duration = Duration::from_millis(100);
+/// Inventory pages aren't planned smaller than this, in bytes.
+const LEAST_INVENTORY: usize = 512;
+/// Age up to which a hearing record counts.
+const HEARING_FRESH_MS: u64 = 5000;
+
+/// Tells the shard until when others may have answered workers on their own.
+pub(super) fn note_quiet(node: &Arc<Node>) {
+    let Some(tenure) = node.live_tenure() else {
+        return;
+    };
+    let now = node.now();
+    let longest = standing::longest(&node.settings);
+    let others = &node.settings.platform.others;
+    let kept = node.lock().ownership.as_ref().and_then(|own| {
+        let labels = others.iter().map(|peer| peer.label.as_str());
+        own.lender.last_kept(labels, longest, now)
+    });
+    node.with_shard(&tenure, "loans", |shard, _| shard.note_kept(kept, now));
+}
+
+/// Zones may be cut from one another while the state service reaches both:
+/// a controller that hears workers but not the owner says so there.
+pub(super) async fn tell_hearing(node: &Arc<Node>) {
+    let workers = heard_without_owner(node);
+    if workers == 0 || node.state_lost() {
+        return;
+    }
+    tracing::debug!(workers, "workers come here, and the owner can't be reached");
+    let record = HearingRecord {
+        v: VERSION,
+        workers,
+        at_ms: node.clock.wall_ms(),
+    };
+    if let Ok(value) = serde_json::to_value(record) {
+        let txn = Txn::default().change(Change::put(keys::hearing(node.label()), value));
+        let _ = node.state.txn(&txn, STATE_DEADLINE).await;
+    }
+}
+
+/// How many workers come to this node while it can't reach the owner.
+fn heard_without_owner(node: &Node) -> u32 {
+    let now = node.now();
+    let inner = node.lock();
+    let owner = inner.seen_owner.as_ref().map(|owner| &owner.label);
+    let Some(owner) = owner.filter(|label| *label != node.label()) else {
+        return 0;
+    };
+    let reachable = inner
+        .peers
+        .get(owner)
+        .is_some_and(|view| now.saturating_duration_since(view.at) < PULSE_FRESH);
+    if reachable || inner.ownership.is_some() {
+        return 0;
+    }
+    inner.workers.len() as u32
+}
+
+/// The other controllers that say in the state service that they hear workers
+/// but not the owner, and how many. None if the service doesn't answer.
+pub(super) async fn heard_elsewhere(node: &Node) -> Option<BTreeMap<String, usize>> {
+    let prefix = keys::hearing_prefix();
+    let (items, _) = node.state.list(&prefix, STATE_DEADLINE).await.ok()?;
+    let wall = node.clock.wall_ms();
+    let heard = items.into_iter().filter_map(|item| {
+        let label = item.key.strip_prefix(&prefix)?.to_owned();
+        let record: HearingRecord = serde_json::from_value(item.value).ok()?;
+        let fresh = wall.abs_diff(record.at_ms) < HEARING_FRESH_MS;
+        (fresh && label != node.label()).then_some((label, record.workers as usize))
+    });
+    Some(heard.collect())
+}
+
+/// The owner lends the keeping of workers to controllers that it can't reach
+/// but that hear them, and recalls it when it can.
+pub(super) async fn lend_and_recall(node: &Arc<Node>) {
+    let Some((tenure, unreached)) = unreached_peers(node) else {
+        return;
+    };
+    let zones = zones_of(node, &unreached);
+    node.with_shard(&tenure, "loans", |shard, _| {
+        shard.set_cut_off(zones);
+        for label in shard.keepers() {
+            if !unreached.contains(&label) {
+                shard.recall(&label);
+            }
+        }
+    });
+    if unreached.is_empty() {
+        return;
+    }
+    let Some(heard) = heard_elsewhere(node).await else {
+        return;
+    };
+    node.with_shard(&tenure, "loans", |shard, now| {
+        for label in shard.keepers() {
+            if !heard.contains_key(&label) {
+                shard.recall(&label);
+            }
+        }
+        for label in unreached.iter().filter(|label| heard.contains_key(*label)) {
+            shard.lend(label, now);
+        }
+    });
+    let wanted = node.with_shard(&tenure, "loans", |shard, _| shard.wants_inventories());
+    if wanted == Some(true) {
+        read_inventories(node, &tenure).await;
+    }
+}
+
+/// The controllers that this owner can't reach; None if it isn't one, or has just begun.
+fn unreached_peers(node: &Node) -> Option<(Arc<Tenure>, BTreeSet<String>)> {
+    let now = node.now();
+    let inner = node.lock();
+    let tenure = &inner.ownership.as_ref()?.tenure;
+    if !tenure.live(now) || now.saturating_duration_since(tenure.since) < LISTENING {
+        return None;
+    }
+    let silent = |peer: &&Peer| {
+        let view = inner.peers.get(&peer.label);
+        view.is_none_or(|view| now.saturating_duration_since(view.at) > PULSE_LATE)
+    };
+    let others = node.settings.platform.others.iter();
+    let labels = others.filter(silent).map(|peer| peer.label.clone());
+    Some((tenure.clone(), labels.collect()))
+}
+
+/// Takes in what keepers wrote of the workers that this owner can't hear.
+async fn read_inventories(node: &Arc<Node>, tenure: &Arc<Tenure>) {
+    let prefix = keys::inventory_prefix();
+    let Ok((pages, _)) = node.state.list(&prefix, STATE_DEADLINE).await else {
+        return;
+    };
+    let parse = |item: Item| {
+        serde_json::from_value::<InventoryRecord>(item.value)
+            .inspect_err(|error| tracing::error!(key = item.key, %error, "a record can't be read"))
+            .ok()
+    };
+    let reports = whole_reports(pages.into_iter().filter_map(parse), tenure.term);
+    node.with_shard(tenure, "loans", |shard, now| {
+        for report in &reports {
+            shard.relayed(report, now);
+        }
+    });
+}
+
+/// Writes what kept workers hold, those that were not written before; returns
+/// the number of the next page.
+async fn write_inventory(node: &Node, term: u64, mut page: u32) -> u32 {
+    while let Some(batch) = next_batch(node, term) {
+        for record in &batch.pages {
+            let Ok(value) = serde_json::to_value(record) else {
+                return page;
+            };
+            let key = keys::inventory(node.label(), page);
+            // Written or not, the next try writes another page.
+            page += 1;
+            let txn = Txn::default().change(Change::put(key, value));
+            if let Err(error) = node.state.txn(&txn, STATE_DEADLINE).await {
+                inventory_refused(node, batch.reports, &error);
+                return page;
+            }
+        }
+    }
+    page
+}
+
+fn next_batch(node: &Node, term: u64) -> Option<Batch> {
+    let group = random_id();
+    let mut inner = node.lock();
+    let most = inner.inventory_bytes.unwrap_or(node.value_bytes());
+    inner.kept.next_batch(term, most, group)
+}
+
+/// Reports that could not be written are laid out again, in smaller pages if these
+/// were too large.
+fn inventory_refused(node: &Node, reports: Vec<Report>, error: &StateError) {
+    let mut inner = node.lock();
+    inner.kept.put_back(reports);
+    if let StateError::TooLarge(why) = error {
+        let most = inner.inventory_bytes.unwrap_or(node.value_bytes());
+        inner.inventory_bytes = Some((most / 2).max(LEAST_INVENTORY));
+        tracing::error!(why, "an inventory is refused; smaller pages are planned");
+    }
+}
+
+/// The zones that have controllers, but none outside this set.
+fn zones_of(node: &Node, unreached: &BTreeSet<String>) -> BTreeSet<String> {
+    let platform = &node.settings.platform;
+    let reached = |peer: &&Peer| !unreached.contains(&peer.label);
+    let mut zones: BTreeSet<String> = platform
+        .others
+        .iter()
+        .map(|peer| peer.area.clone())
+        .collect();
+    for peer in platform.others.iter().filter(reached) {
+        zones.remove(&peer.area);
+    }
+    zones.remove(&platform.area);
+    zones
+}
+
+/// Notes what may be kept from now on; true if it is kept for a new owner.
+fn note_keeping(node: &Node, keeping: Option<Keeping>) -> bool {
+    let term = |keeping: Option<Keeping>| keeping.map(|keeping| keeping.term);
+    let mut inner = node.lock();
+    let changed = term(inner.keeping) != term(keeping);
+    if changed {
+        inner.kept.clear();
+    }
+    inner.keeping = keeping;
+    changed && keeping.is_some()
+}
+
+/// Keeps workers for an owner that can't hear them, while it lends that.
+pub async fn keep_workers(node: Arc<Node>) {
+    let mut page = 0;
+    loop {
+        tokio::time::sleep(KEEPING_LOOK).await;
+        if heard_without_owner(&node) == 0 {
+            note_keeping(&node, None);
+            continue;
+        }
+        let sent = node.now();
+        let prefix = keys::owner_prefix();
+        // A keeper has to know which jobs are over: what it keeps alive of
+        // them is its to stop.
+        let read = tokio::join!(node.state.list(&prefix, KEEPING), node.look());
+        let (Ok((items, _)), Ok(())) = read else {
+            continue;
+        };
+        let find = |key: String| items.iter().find(|item| item.key == key);
+        let lent = find(keys::keeper(node.label()))
+            .and_then(|item| serde_json::from_value::<KeeperRecord>(item.value.clone()).ok());
+        // A loan ends with the term of the owner that gave it.
+        let term = find(keys::owner())
+            .map(|item| item.version)
+            .filter(|term| lent.as_ref().is_some_and(|loan| loan.term == *term));
+        let until = sent + drift::shortest(KEEPING) - KEEPING_MARGIN;
+        let inventory = lent.is_some_and(|loan| loan.inventory);
+        let keeping = term.map(|term| Keeping {
+            term,
+            until,
+            inventory,
+        });
+        let began = note_keeping(&node, keeping);
+        if let Some(term) = term
+            && inventory
+        {
+            page = write_inventory(&node, term, page).await;
+        }
+        if began {
+            tracing::info!(term, "keeping workers that the owner can't hear");
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/peering/extension.rs
@@ -0,0 +1,122 @@
+//! Extending the shard's lease by the votes of all other controllers, while the state
+//! service is out for everybody.
+//!
+//! Before its deadline an owner needs their promises not to seek the shard for a while.
+//! Past it, each must say besides that it has taken no later term.
+
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use super::{ROUND_DEADLINE, ask, post};
+use crate::coordination::drift;
+use crate::coordination::lease::Tenure;
+use crate::coordination::node::{Inner, Node};
+use crate::protocol::peers::{PeerAnswer, PeerRequest};
+use crate::protocol::tidings::{STAND_ASIDE, StandAside, StoodAside};
+use crate::settings::platform::Peer;
+
+/// Longest promise that is given. A process that has just started waits this
+/// long before it seeks the shard: its earlier run may have promised.
+pub const LONGEST_PROMISE: Duration = Duration::from_secs(1);
+
+/// Promises not to seek the shard for a while, so that its owner can go on
+/// through an outage of the state service. Not given when the service serves
+/// this node: then the owner alone is cut off, and should be replaced.
+pub fn promise(node: &Node, time: Duration) -> bool {
+    let now = node.now();
+    let lost = node.state_failing();
+    let mut inner = node.lock();
+    if !lost || inner.acquiring || inner.ownership.is_some() || time > LONGEST_PROMISE {
+        return false;
+    }
+    // Our own clock may run fast against the owner's.
+    let until = now + drift::longest(time);
+    inner.promised_until = inner.promised_until.max(Some(until));
+    true
+}
+
+/// Asks all other controllers for a promise; true if every one gives it.
+pub async fn all_promise(node: &Arc<Node>, time: Duration) -> bool {
+    let request = PeerRequest::Promise {
+        millis: time.as_millis() as u64,
+    };
+    all_others(node, move |node, peer| {
+        let request = request.clone();
+        async move {
+            let answer = ask(&node, &peer, &request, ROUND_DEADLINE).await;
+            matches!(answer, Some(PeerAnswer::Promise { given: true }))
+        }
+    })
+    .await
+}
+
+/// Whether every other controller, asked at the same time, says yes.
+async fn all_others<Ask, Vote>(node: &Arc<Node>, vote: Ask) -> bool
+where
+    Ask: Fn(Arc<Node>, Peer) -> Vote,
+    Vote: Future<Output = bool> + Send + 'static,
+{
+    let mut asked = tokio::task::JoinSet::new();
+    for peer in &node.settings.platform.others {
+        asked.spawn(vote(node.clone(), peer.clone()));
+    }
+    let mut all = true;
+    while let Some(answer) = asked.join_next().await {
+        all &= answer.unwrap_or(false);
+    }
+    all
+}
+
+/// Answers an owner past its deadline: the same promise, given only by a run that
+/// has taken no later term.
+pub fn stand_aside(node: &Node, asked: &StandAside) -> StoodAside {
+    let later = {
+        let inner = node.lock();
+        end_earlier(&inner, asked.term);
+        inner.latest_term > asked.term
+    };
+    StoodAside {
+        given: !later && promise(node, Duration::from_millis(asked.millis)),
+        up_ms: node.up_time().as_millis() as u64,
+    }
+}
+
+/// Whether an answer that has just come proves that its giver left the shard alone
+/// since an owner's last good renewal was sent: an earlier run may have taken it.
+pub fn left_alone(answer: &StoodAside, now: Instant, renewed: Instant) -> bool {
+    answer.given && drift::latest_start(Duration::from_millis(answer.up_ms), now) < renewed
+}
+
+/// Asks all other controllers to stand aside; true if every one does, and none can
+/// have taken the shard since.
+pub async fn all_stand_aside(node: &Arc<Node>, tenure: &Tenure, time: Duration) -> bool {
+    if !node.state_failing() || tenure.ended() {
+        return false;
+    }
+    let renewed = tenure.last_renewed();
+    let frame = StandAside {
+        term: tenure.term,
+        millis: time.as_millis() as u64,
+    };
+    let frame = frame.encode();
+    all_others(node, move |node, peer| {
+        let frame = frame.clone();
+        async move {
+            let answer = post(&node, &peer, STAND_ASIDE, frame, ROUND_DEADLINE).await;
+            let answer = answer.ok().and_then(|a| StoodAside::decode(&a.body));
+            answer.is_some_and(|answer| left_alone(&answer, node.now(), renewed))
+        }
+    })
+    .await
+}
+
+/// A later term than ours means that the record of ours is gone, though the service
+/// may not tell us: the later owner counts on our promise.
+pub(super) fn end_earlier(inner: &Inner, later: u64) {
+    let own = inner.ownership.as_ref().map(|own| &own.tenure);
+    let superseded = |tenure: &&Arc<Tenure>| tenure.term < later && !tenure.ended();
+    for tenure in own.into_iter().chain(&inner.loading).filter(superseded) {
+        tracing::warn!(term = tenure.term, later, "another owns the shard");
+        tenure.finish();
+    }
+}
--- /dev/null
+++ b/src/coordination/peering/handover.rs
@@ -0,0 +1,154 @@
+//! When an owner gives the shard to a controller that is better placed.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+use super::delegation::{LISTENING, PULSE_FRESH, heard_elsewhere};
+use crate::coordination::node::Node;
+use crate::coordination::ownership::step_down;
+
+/// Rounds for which an owner must hear too little before it gives up.
+const DEAF_ROUNDS: u32 = 2;
+/// How long an owner stays at the least before it hands over to a nearer one.
+const LEAST_TENURE: Duration = Duration::from_secs(6);
+/// How long it stays while work waits: a change of owners makes it wait longer.
+const LONGEST_BUSY: Duration = Duration::from_secs(15);
+/// How long a node that couldn't hear the workers leaves the shard to others.
+const DEAF_FOR: Duration = Duration::from_secs(30);
+/// A nearer controller's pulse must not be older than this, for it to take over.
+const NEARER_HEARD: Duration = Duration::from_secs(2);
+
+/// The owner's own zone, unless another one with a controller holds by far
+/// more machines: handing over for a few machines more would never end.
+fn preferred_zone(node: &Node, zones: &BTreeMap<&str, usize>) -> Option<String> {
+    let platform = &node.settings.platform;
+    let here = zones.get(platform.area.as_str()).copied().unwrap_or(0);
+    let (zone, most) = zones
+        .iter()
+        .filter(|(zone, _)| platform.others.iter().any(|peer| peer.area == **zone))
+        .max_by_key(|(_, count)| **count)?;
+    Some(if *most > here * 2 + 1 {
+        (*zone).to_owned()
+    } else {
+        platform.area.clone()
+    })
+}
+
+/// The owner works out which zone holds most of the machines.
+pub(super) fn note_main_zone(node: &Node) {
+    let mut inner = node.lock();
+    let Some(own) = &inner.ownership else {
+        return;
+    };
+    let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
+    for machine in own.shard.machines().values().filter(|m| m.should_report()) {
+        *zones.entry(&machine.zone).or_default() += 1;
+    }
+    let main = preferred_zone(node, &zones);
+    if main.is_some() {
+        if let Some(own) = &mut inner.ownership {
+            own.shard.main_zone.clone_from(&main);
+        }
+        inner.main_zone = main;
+    }
+}
+
+/// Ends this node's ownership if it hears too few workers, or if a nearer controller
+/// can take over. `deaf_rounds` counts the rounds in which it heard too few.
+pub(super) async fn step_down_if_unfit(node: &Arc<Node>, deaf_rounds: &mut u32) {
+    *deaf_rounds = match hearing(node).await {
+        Hearing::Enough => 0,
+        Hearing::Less => *deaf_rounds + 1,
+        Hearing::FarLess => DEAF_ROUNDS,
+    };
+    let Some(tenure) = node.tenure() else {
+        return;
+    };
+    if *deaf_rounds >= DEAF_ROUNDS {
+        *deaf_rounds = 0;
+        node.lock().deaf_until = Some(node.now() + DEAF_FOR);
+        let why = "it hears too few workers, and another controller does";
+        step_down(node, &tenure, why).await;
+    } else if nearer_peer(node) {
+        let why = "a controller nearer to the machines can take over";
+        step_down(node, &tenure, why).await;
+    }
+}
+
+/// How many workers this owner hears, against the peer that hears most.
+enum Hearing {
+    Enough,
+    /// Fewer than half of them, and fewer than a peer.
+    Less,
+    /// Fewer than half of what a peer hears: there is nothing to wait for.
+    FarLess,
+}
+
+async fn hearing(node: &Node) -> Hearing {
+    let now = node.now();
+    let (heard, by_pulse) = {
+        let inner = node.lock();
+        let Some(own) = &inner.ownership else {
+            return Hearing::Enough;
+        };
+        if !own.tenure.live(now) || now.saturating_duration_since(own.tenure.since) < LISTENING {
+            return Hearing::Enough;
+        }
+        let (heard, expected) = own.shard.hearing(now);
+        if expected < 2 || heard * 2 >= expected {
+            return Hearing::Enough;
+        }
+        let by_pulse = inner
+            .peers
+            .values()
+            .filter(|view| {
+                now.saturating_duration_since(view.at) < PULSE_FRESH && view.pulse.state_served
+            })
+            .map(|view| view.pulse.workers_heard as usize)
+            .max()
+            .unwrap_or(0);
+        (heard, by_pulse)
+    };
+    let by_record = heard_elsewhere(node).await.unwrap_or_default();
+    let by_record = by_record.into_values().max().unwrap_or(0);
+    tracing::debug!(
+        heard,
+        by_pulse,
+        by_record,
+        "this owner hears too few workers"
+    );
+    match by_pulse.max(by_record) {
+        most if most > heard * 2 => Hearing::FarLess,
+        most if most > heard => Hearing::Less,
+        _ => Hearing::Enough,
+    }
+}
+
+/// Whether a peer in the zone of most machines could run the shard instead.
+fn nearer_peer(node: &Node) -> bool {
+    let now = node.now();
+    // Who can't end its hold leaves the shard to nobody until it has run out, and
+    // through an outage that begins before.
+    if node.state_failing() {
+        return false;
+    }
+    let inner = node.lock();
+    let (Some(own), Some(main)) = (&inner.ownership, &inner.main_zone) else {
+        return false;
+    };
+    let least = if own.shard.is_busy() {
+        LONGEST_BUSY
+    } else {
+        LEAST_TENURE
+    };
+    *main != node.settings.platform.area
+        && now.saturating_duration_since(own.tenure.since) > least
+        && inner.peers.values().any(|view| {
+            now.saturating_duration_since(view.at) < NEARER_HEARD
+                && view.pulse.zone == *main
+                && view.pulse.state_served
+                && !view.pulse.deaf
+                && view.pulse.up_s > LEAST_TENURE.as_secs() / 2
+        })
+}
--- /dev/null
+++ b/src/coordination/peering/mod.rs
@@ -0,0 +1,86 @@
+//! What controllers say to one another once a second, and what follows from it.
+
+pub mod cancellations;
+pub mod delegation;
+pub mod extension;
+pub mod handover;
+pub mod heartbeat;
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use hyper::Method;
+
+use super::node::Node;
+use crate::protocol::peers::{PeerAnswer, PeerRequest, decode_answer, encode_request};
+use crate::settings::platform::Peer;
+use crate::transport::client::{Answer, CallError};
+
+/// Pause between two rounds.
+const ROUND: Duration = Duration::from_secs(1);
+/// Deadline of a question to a peer that the next round asks again.
+const ROUND_DEADLINE: Duration = Duration::from_millis(700);
+/// The path of the first frames, [`PeerRequest`] and [`PeerAnswer`].
+const PEER: &str = "/peer";
+
+/// Sends a frame to another controller.
+pub async fn ask(
+    node: &Node,
+    peer: &Peer,
+    request: &PeerRequest,
+    deadline: Duration,
+) -> Option<PeerAnswer> {
+    let frame = encode_request(request);
+    let answer = post(node, peer, PEER, frame, deadline).await.ok()?;
+    decode_answer(&answer.body)
+}
+
+async fn post(
+    node: &Node,
+    peer: &Peer,
+    path: &str,
+    frame: Vec<u8>,
+    deadline: Duration,
+) -> Result<Answer, CallError> {
+    let http = &node.peers_http;
+    http.call(Method::POST, peer.address, path, frame, deadline)
+        .await
+}
+
+/// Exchanges heartbeats for ever, and does what they call for.
+pub async fn run(node: Arc<Node>) {
+    let mut deaf_rounds = 0;
+    let mut was_ready = false;
+    loop {
+        handover::note_main_zone(&node);
+        log_readiness(&node, &mut was_ready);
+        heartbeat::send_to_all(&node);
+        cancellations::ask_all(&node);
+        keep_ledger_fresh(&node);
+        tokio::time::sleep(ROUND).await;
+        delegation::note_quiet(&node);
+        delegation::tell_hearing(&node).await;
+        delegation::lend_and_recall(&node).await;
+        handover::step_down_if_unfit(&node, &mut deaf_rounds).await;
+    }
+}
+
+fn log_readiness(node: &Node, was_ready: &mut bool) {
+    let ready = node.ready();
+    if ready != std::mem::replace(was_ready, ready) {
+        tracing::info!(
+            ready,
+            state_lost = node.state_lost(),
+            peer_served = node.peer_served(),
+            "readiness changed"
+        );
+    }
+}
+
+/// A look at the state service keeps this node's picture of it fresh.
+fn keep_ledger_fresh(node: &Arc<Node>) {
+    let node = node.clone();
+    tokio::spawn(async move {
+        let _ = node.look().await;
+    });
+}
--- a/src/coordination/shard/keeping.rs
+++ b/src/coordination/shard/keeping.rs
@@ -12,19 +12,20 @@
 
 use super::commands::stop;
 use super::{Fact, Job, Machine, Shard};
+use crate::coordination::drift;
 use crate::coordination::lease::KEEPING;
 use crate::protocol::state::Change;
 use crate::protocol::workers::{Command, Report, TaskState};
 use crate::storage::keys;
 use crate::storage::records::{KeeperRecord, VERSION};
 
-/// Our clock may run fast against the keeper's.
-const DRIFT: f64 = 1.002;
-
 /// How long keepers have to account for their workers: a report or two, and the
 /// writing and reading of what they say.
 const INVENTORY_WAIT: Duration = Duration::from_secs(12);
 
+/// For what a keeper decided in time and sent a little later.
+const DELIVERY_MARGIN: Duration = Duration::from_millis(50);
+
 /// How a loan stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Loan {
@@ -188,7 +189,7 @@
     /// Forgets loans under which nobody can answer any more. Until then the
     /// keeper may have answered any silent worker.
     pub(super) fn end_loans(&mut self, now: Instant) {
-        let answers = KEEPING.mul_f64(DRIFT) + Duration::from_millis(50);
+        let answers = drift::longest(KEEPING) + DELIVERY_MARGIN;
         let over = |loan: &Loan| matches!(loan, Loan::Ended(at) if *at + answers <= now);
         if !self.loans.values().any(over) {
             return;
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -33,7 +33,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use crate::coordination::standing;
+use crate::coordination::{drift, standing};
 use crate::protocol::cloud::{MachineType, Rental};
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::{Command, Report};
@@ -92,6 +92,9 @@
 /// rentals) may use; jobs' facts need the rest.
 const FACT_WRITE_SHARE: f64 = 0.3;
 
+/// For an answer that reaches a worker later than it was given.
+const LEASE_MARGIN: Duration = Duration::from_millis(300);
+
 /// What the shard's decisions depend on besides its state.
 #[derive(Debug, Clone)]
 pub struct Policy {
@@ -182,7 +185,7 @@
     /// How long after our last answer left a worker's lease has surely ended:
     /// its own clock may run slow, and ours fast.
     pub fn lease_surely_over(&self) -> Duration {
-        self.worker_lease.mul_f64(1.002) + Duration::from_millis(300)
+        drift::longest(self.worker_lease) + LEASE_MARGIN
     }
 }
 
--- a/src/coordination/standing.rs
+++ b/src/coordination/standing.rs
@@ -11,10 +11,10 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
+use super::drift;
 use crate::settings::Settings;
 
-/// For the pace of clocks, and for a busy processor.
-const DRIFT: f64 = 1.002;
+/// For a busy processor.
 const MARGIN: Duration = Duration::from_millis(200);
 
 /// How long a controller that hears the owner no more waits before it answers
@@ -36,7 +36,7 @@
 /// The time that a cancelled job's tasks have beyond a worker's lease.
 pub fn beyond_lease(settings: &Settings) -> Duration {
     let workers = &settings.platform.settings.workers;
-    let lease = workers.lease().mul_f64(DRIFT) + MARGIN;
+    let lease = drift::longest(workers.lease()) + MARGIN;
     workers.cancel().saturating_sub(lease)
 }
 
@@ -54,7 +54,7 @@
     /// `known` are known.
     pub fn until(&self, known: Option<Instant>, longest: Duration) -> Option<Instant> {
         let from = self.seen.min(known?);
-        Some(from + longest.mul_f64(2.0 - DRIFT).checked_sub(MARGIN / 2)?)
+        Some(from + drift::shortest(longest).checked_sub(MARGIN / 2)?)
     }
 
     /// Takes in that an owner answered a pulse sent then.
--- a/src/coordination/tests/awareness.rs
+++ b/src/coordination/tests/awareness.rs
@@ -11,7 +11,7 @@
 use crate::coordination::awareness::{Awareness, bound};
 use crate::coordination::lease::Tenure;
 use crate::coordination::node::{Node, Ownership, STATE_DEADLINE};
-use crate::coordination::peering::{cancellations_told, note_told};
+use crate::coordination::peering::cancellations::{cancellations_told, note_told};
 use crate::coordination::shard::{Loaded, Shard};
 use crate::coordination::standing::Lender;
 use crate::protocol::TaskId;
--- a/src/coordination/tests/peering.rs
+++ b/src/coordination/tests/peering.rs
@@ -8,9 +8,8 @@
 use crate::clock::FakeClock;
 use crate::coordination::lease::Tenure;
 use crate::coordination::node::{Node, Ownership, STATE_DEADLINE};
-use crate::coordination::peering::{
-    heard_pulse, left_alone, own_pulse, promise, pulse_answered, stand_aside,
-};
+use crate::coordination::peering::extension::{left_alone, promise, stand_aside};
+use crate::coordination::peering::heartbeat::{heard_pulse, own_pulse, pulse_answered};
 use crate::coordination::shard::{Loaded, Shard};
 use crate::coordination::standing::{self, Lender};
 use crate::protocol::peers::Pulse;
--- a/src/transport/internal.rs
+++ b/src/transport/internal.rs
@@ -11,7 +11,7 @@
 use axum::routing::{get, post};
 
 use crate::coordination::node::Node;
-use crate::coordination::peering;
+use crate::coordination::peering::{cancellations, extension, heartbeat};
 use crate::coordination::requests::{self, Ask};
 use crate::protocol::peers::{PeerAnswer, PeerRequest, decode_request, encode_answer};
 use crate::protocol::tidings::{CANCELLATIONS, CancellationsAsked, STAND_ASIDE, StandAside};
@@ -33,7 +33,7 @@
 
 async fn cancellations(State(node): State<Arc<Node>>, body: Bytes) -> Response {
     match CancellationsAsked::decode(&body) {
-        Some(asked) => peering::cancellations_told(&node, &asked)
+        Some(asked) => cancellations::cancellations_told(&node, &asked)
             .encode()
             .into_response(),
         None => StatusCode::BAD_REQUEST.into_response(),
@@ -42,16 +42,18 @@
 
 async fn stand_aside(State(node): State<Arc<Node>>, body: Bytes) -> Response {
     match StandAside::decode(&body) {
-        Some(asked) => peering::stand_aside(&node, &asked).encode().into_response(),
+        Some(asked) => extension::stand_aside(&node, &asked)
+            .encode()
+            .into_response(),
         None => StatusCode::BAD_REQUEST.into_response(),
     }
 }
 
 async fn peer(State(node): State<Arc<Node>>, body: Bytes) -> Vec<u8> {
     let answer = match decode_request(&body) {
-        Some(PeerRequest::Pulse(pulse)) => PeerAnswer::Pulse(peering::answer_pulse(&node, pulse)),
+        Some(PeerRequest::Pulse(pulse)) => PeerAnswer::Pulse(heartbeat::answer_pulse(&node, pulse)),
         Some(PeerRequest::Promise { millis }) => PeerAnswer::Promise {
-            given: peering::promise(&node, Duration::from_millis(millis)),
+            given: extension::promise(&node, Duration::from_millis(millis)),
         },
         Some(PeerRequest::Forward { method, path, body }) => {
             match Ask::from_forward(&method, &path, body) {
