--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -19,7 +19,7 @@
 use crate::clock::{Clock, SteadyClock};
 use crate::protocol::JobId;
 use crate::protocol::cloud::MachineType;
-use crate::protocol::peers::Pulse;
+use crate::protocol::peers::Heartbeat;
 use crate::protocol::workers::Report;
 use crate::settings::Settings;
 use crate::storage::budget::Turns;
@@ -92,7 +92,7 @@
 /// Another controller as last heard.
 #[derive(Debug, Clone)]
 pub struct PeerView {
-    pub pulse: Pulse,
+    pub heartbeat: Heartbeat,
     pub at: Instant,
 }
 
@@ -100,7 +100,7 @@
 pub struct Ownership {
     pub tenure: Arc<Tenure>,
     pub shard: Shard,
-    /// The standing loans that this tenure's pulses gave.
+    /// The standing loans that this tenure's heartbeats gave.
     pub lender: Lender,
     /// How much of what is over the shard was told, by the ledger's count.
     pub endings: Option<u64>,
@@ -144,11 +144,11 @@
     /// The owner's term under which this node may answer workers that the
     /// owner can't hear, and until when.
     pub keeping: Option<Keeping>,
-    /// The highest term that a pulse named, and when one last did. A pulse
+    /// The highest term that a heartbeat named, and when one last did. A heartbeat
     /// without a term, late or of an owner past its deadline, changes nothing:
     /// the owner counts on its having been heard.
     pub owner_heard: Option<(u64, Instant)>,
-    /// What the owner's last answer to a pulse entitles to.
+    /// What the owner's last answer to a heartbeat entitles to.
     pub standing: Option<StandingLoan>,
     /// When a worker was last answered by such a loan.
     pub kept_alone: Option<Instant>,
@@ -448,13 +448,13 @@
         }
         let now = self.now();
         let inner = self.lock();
-        let by_pulse = inner
+        let by_heartbeat = inner
             .peers
             .values()
             .filter(|view| now.saturating_duration_since(view.at) < Duration::from_secs(3))
-            .filter_map(|view| Some((view.pulse.term?, view.pulse.label.clone())))
+            .filter_map(|view| Some((view.heartbeat.term?, view.heartbeat.label.clone())))
             .max();
-        match by_pulse {
+        match by_heartbeat {
             Some((_, label)) => Some(label),
             None => inner
                 .seen_owner
@@ -497,7 +497,7 @@
     pub fn peer_served(&self) -> bool {
         let now = self.now();
         self.lock().peers.values().any(|view| {
-            view.pulse.state_served && now.saturating_duration_since(view.at) < PEER_HEARD
+            view.heartbeat.state_served && now.saturating_duration_since(view.at) < PEER_HEARD
         })
     }
 
@@ -529,15 +529,15 @@
         for view in inner.peers.values() {
             page.push_str(&format!(
                 "peer {}: heard {:?} ago, state service {}, workers {}, term {:?}\n",
-                view.pulse.label,
+                view.heartbeat.label,
                 now.saturating_duration_since(view.at),
-                if view.pulse.state_served {
+                if view.heartbeat.state_served {
                     "serves it"
                 } else {
                     "doesn't"
                 },
-                view.pulse.workers_heard,
-                view.pulse.term,
+                view.heartbeat.workers_heard,
+                view.heartbeat.term,
             ));
         }
         if let Some(own) = &inner.ownership {
--- a/src/coordination/peering/cancellations.rs
+++ b/src/coordination/peering/cancellations.rs
@@ -9,7 +9,7 @@
 use super::{ROUND_DEADLINE, post};
 use crate::coordination::drift;
 use crate::coordination::node::Node;
-use crate::protocol::tidings::{
+use crate::protocol::peer_messages::{
     CANCELLATIONS, CancellationsAsked, CancellationsTold, CancelledJob,
 };
 use crate::settings::platform::Peer;
--- a/src/coordination/peering/delegation.rs
+++ b/src/coordination/peering/delegation.rs
@@ -20,10 +20,10 @@
 /// How long a new owner listens before it may call itself deaf: every machine
 /// was asked for a report at once.
 pub(super) const LISTENING: Duration = Duration::from_secs(2);
-/// A peer's pulse older than this means that it can't be reached.
-pub(super) const PULSE_FRESH: Duration = Duration::from_secs(3);
-/// A peer's pulse older than this, two rounds, means that it may be cut off.
-const PULSE_LATE: Duration = Duration::from_millis(2200);
+/// A peer's heartbeat older than this means that it can't be reached.
+pub(super) const HEARTBEAT_FRESH: Duration = Duration::from_secs(3);
+/// A peer's heartbeat older than this, two rounds, means that it may be cut off.
+const HEARTBEAT_LATE: Duration = Duration::from_millis(2200);
 /// Pause between a keeper's looks at its loan.
 const KEEPING_LOOK: Duration = Duration::from_millis(500);
 /// How long before its time a keeper stops, to cover a busy processor.
@@ -78,7 +78,7 @@
     let reachable = inner
         .peers
         .get(owner)
-        .is_some_and(|view| now.saturating_duration_since(view.at) < PULSE_FRESH);
+        .is_some_and(|view| now.saturating_duration_since(view.at) < HEARTBEAT_FRESH);
     if reachable || inner.ownership.is_some() {
         return 0;
     }
@@ -147,7 +147,7 @@
     }
     let silent = |peer: &&Peer| {
         let view = inner.peers.get(&peer.label);
-        view.is_none_or(|view| now.saturating_duration_since(view.at) > PULSE_LATE)
+        view.is_none_or(|view| now.saturating_duration_since(view.at) > HEARTBEAT_LATE)
     };
     let others = node.settings.platform.others.iter();
     let labels = others.filter(silent).map(|peer| peer.label.clone());
--- a/src/coordination/peering/extension.rs
+++ b/src/coordination/peering/extension.rs
@@ -12,7 +12,7 @@
 use crate::coordination::lease::Tenure;
 use crate::coordination::node::{Inner, Node};
 use crate::protocol::peers::{PeerAnswer, PeerRequest};
-use crate::protocol::tidings::{STAND_ASIDE, StandAside, StoodAside};
+use crate::protocol::peer_messages::{STAND_ASIDE, StandAside, StoodAside};
 use crate::settings::platform::Peer;
 
 /// Longest promise that is given. A process that has just started waits this
--- a/src/coordination/peering/handover.rs
+++ b/src/coordination/peering/handover.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::delegation::{LISTENING, PULSE_FRESH, heard_elsewhere};
+use super::delegation::{LISTENING, HEARTBEAT_FRESH, heard_elsewhere};
 use crate::coordination::node::Node;
 use crate::coordination::ownership::step_down;
 
@@ -16,7 +16,7 @@
 const LONGEST_BUSY: Duration = Duration::from_secs(15);
 /// How long a node that couldn't hear the workers leaves the shard to others.
 const DEAF_FOR: Duration = Duration::from_secs(30);
-/// A nearer controller's pulse must not be older than this, for it to take over.
+/// A nearer controller's heartbeat must not be older than this, for it to take over.
 const NEARER_HEARD: Duration = Duration::from_secs(2);
 
 /// The owner's own zone, unless another one with a controller holds by far
@@ -87,7 +87,7 @@
 
 async fn hearing(node: &Node) -> Hearing {
     let now = node.now();
-    let (heard, by_pulse) = {
+    let (heard, by_heartbeat) = {
         let inner = node.lock();
         let Some(own) = &inner.ownership else {
             return Hearing::Enough;
@@ -99,26 +99,26 @@
         if expected < 2 || heard * 2 >= expected {
             return Hearing::Enough;
         }
-        let by_pulse = inner
+        let by_heartbeat = inner
             .peers
             .values()
             .filter(|view| {
-                now.saturating_duration_since(view.at) < PULSE_FRESH && view.pulse.state_served
+                now.saturating_duration_since(view.at) < HEARTBEAT_FRESH && view.heartbeat.state_served
             })
-            .map(|view| view.pulse.workers_heard as usize)
+            .map(|view| view.heartbeat.workers_heard as usize)
             .max()
             .unwrap_or(0);
-        (heard, by_pulse)
+        (heard, by_heartbeat)
     };
     let by_record = heard_elsewhere(node).await.unwrap_or_default();
     let by_record = by_record.into_values().max().unwrap_or(0);
     tracing::debug!(
         heard,
-        by_pulse,
+        by_heartbeat,
         by_record,
         "this owner hears too few workers"
     );
-    match by_pulse.max(by_record) {
+    match by_heartbeat.max(by_record) {
         most if most > heard * 2 => Hearing::FarLess,
         most if most > heard => Hearing::Less,
         _ => Hearing::Enough,
@@ -146,9 +146,9 @@
         && now.saturating_duration_since(own.tenure.since) > least
         && inner.peers.values().any(|view| {
             now.saturating_duration_since(view.at) < NEARER_HEARD
-                && view.pulse.zone == *main
-                && view.pulse.state_served
-                && !view.pulse.deaf
-                && view.pulse.up_s > LEAST_TENURE.as_secs() / 2
+                && view.heartbeat.zone == *main
+                && view.heartbeat.state_served
+                && !view.heartbeat.deaf
+                && view.heartbeat.up_s > LEAST_TENURE.as_secs() / 2
         })
 }
--- a/src/coordination/peering/heartbeat.rs
+++ b/src/coordination/peering/heartbeat.rs
@@ -6,13 +6,13 @@
 use super::{ROUND_DEADLINE, ask, extension};
 use crate::coordination::node::{Node, PeerView};
 use crate::coordination::standing::StandingLoan;
-use crate::protocol::peers::{PeerAnswer, PeerRequest, Progress, Pulse};
+use crate::protocol::peers::{PeerAnswer, PeerRequest, Progress, Heartbeat};
 
 /// How long a worker that came by counts as heard.
 const HEARD: Duration = Duration::from_secs(8);
 
 /// What this node says of itself.
-pub fn own_pulse(node: &Node) -> Pulse {
+pub fn own_heartbeat(node: &Node) -> Heartbeat {
     let now = node.now();
     let state_served = !node.state_lost();
     let mut inner = node.lock();
@@ -24,7 +24,7 @@
         .as_ref()
         .filter(|own| own.tenure.live(now))
         .map(|own| own.tenure.term);
-    Pulse {
+    Heartbeat {
         label: node.label().to_owned(),
         zone: node.settings.platform.area.clone(),
         state_served,
@@ -59,26 +59,26 @@
 
 /// Sends a heartbeat to every other controller; the answers are taken in as they come.
 pub(super) fn send_to_all(node: &Arc<Node>) {
-    let mut own = own_pulse(node);
+    let mut own = own_heartbeat(node);
     own.progress = progress(node);
     for peer in &node.settings.platform.others {
         let (node, peer) = (node.clone(), peer.clone());
-        let (request, told) = (PeerRequest::Pulse(own.clone()), own.term);
+        let (request, told) = (PeerRequest::Heartbeat(own.clone()), own.term);
         tokio::spawn(async move {
             let sent = node.now();
             let answer = ask(&node, &peer, &request, ROUND_DEADLINE).await;
-            if let Some(PeerAnswer::Pulse(pulse)) = answer {
-                pulse_answered(&node, pulse, sent, told);
+            if let Some(PeerAnswer::Heartbeat(heartbeat)) = answer {
+                heartbeat_answered(&node, heartbeat, sent, told);
             }
         });
     }
 }
 
-/// Answers a pulse, which lends its sender the keeping of workers in advance.
-pub fn answer_pulse(node: &Node, pulse: Pulse) -> Pulse {
-    let label = pulse.label.clone();
-    heard_pulse(node, pulse);
-    let answer = own_pulse(node);
+/// Answers a heartbeat, which lends its sender the keeping of workers in advance.
+pub fn answer_heartbeat(node: &Node, heartbeat: Heartbeat) -> Heartbeat {
+    let label = heartbeat.label.clone();
+    note_heartbeat(node, heartbeat);
+    let answer = own_heartbeat(node);
     if let Some(term) = answer.term
         && let Some(own) = &mut node.lock().ownership
         && own.tenure.term == term
@@ -88,13 +88,13 @@
     answer
 }
 
-/// Takes in the answer to a pulse that was sent at `sent` under the term `told`.
-pub(crate) fn pulse_answered(node: &Node, pulse: Pulse, sent: Instant, told: Option<u64>) {
+/// Takes in the answer to a heartbeat that was sent at `sent` under the term `told`.
+pub(crate) fn heartbeat_answered(node: &Node, heartbeat: Heartbeat, sent: Instant, told: Option<u64>) {
     let now = node.now();
-    let kept = now.checked_sub(Duration::from_millis(pulse.kept_ago_ms));
+    let kept = now.checked_sub(Duration::from_millis(heartbeat.kept_ago_ms));
     {
         let mut inner = node.lock();
-        if let Some(term) = pulse.term {
+        if let Some(term) = heartbeat.term {
             inner.standing = Some(StandingLoan::renewed(inner.standing, term, sent));
         }
         // Who was told our term keeps nothing for a while.
@@ -102,34 +102,34 @@
             && told == Some(own.tenure.term)
         {
             let kept = kept.unwrap_or(own.tenure.since);
-            own.lender.answered(&pulse.label, sent, kept);
+            own.lender.answered(&heartbeat.label, sent, kept);
         }
     }
-    heard_pulse(node, pulse);
+    note_heartbeat(node, heartbeat);
 }
 
 /// Notes what a peer says of itself.
-pub fn heard_pulse(node: &Node, mut pulse: Pulse) {
+pub fn note_heartbeat(node: &Node, mut heartbeat: Heartbeat) {
     let at = node.now();
     let mut inner = node.lock();
-    if pulse.term.is_some() && !pulse.progress.is_empty() {
-        inner.progress = std::mem::take(&mut pulse.progress)
+    if heartbeat.term.is_some() && !heartbeat.progress.is_empty() {
+        inner.progress = std::mem::take(&mut heartbeat.progress)
             .into_iter()
             .map(|row| (row.job, (row.done, row.running)))
             .collect();
     }
-    if let Some(term) = pulse.term {
+    if let Some(term) = heartbeat.term {
         extension::end_earlier(&inner, term);
     }
-    if let Some(term) = pulse.term
+    if let Some(term) = heartbeat.term
         && inner.owner_heard.is_none_or(|(known, _)| term >= known)
     {
         inner.owner_heard = Some((term, at));
     }
-    if pulse.term.is_some() && pulse.main_zone.is_some() {
-        inner.main_zone.clone_from(&pulse.main_zone);
+    if heartbeat.term.is_some() && heartbeat.main_zone.is_some() {
+        inner.main_zone.clone_from(&heartbeat.main_zone);
     }
     inner
         .peers
-        .insert(pulse.label.clone(), PeerView { pulse, at });
+        .insert(heartbeat.label.clone(), PeerView { heartbeat, at });
 }
--- a/src/coordination/requests.rs
+++ b/src/coordination/requests.rs
@@ -201,7 +201,7 @@
             .iter()
             .filter(|peer| {
                 inner.peers.get(&peer.label).is_some_and(|view| {
-                    view.pulse.state_served
+                    view.heartbeat.state_served
                         && now.saturating_duration_since(view.at) < Duration::from_secs(3)
                 })
             })
--- a/src/coordination/standing.rs
+++ b/src/coordination/standing.rs
@@ -1,8 +1,8 @@
 //! Standing loans: going on without the state service.
 //!
 //! A controller that a cut takes from the owner and the state service at once
-//! can't ask for a loan. So each answer of the owner to a controller's pulse
-//! lends it the keeping of workers in advance: for a while after that pulse it
+//! can't ask for a loan. So each answer of the owner to a controller's heartbeat
+//! lends it the keeping of workers in advance: for a while after that heartbeat it
 //! may answer them with the owner's term, but only once it hears neither the
 //! owner nor the service. An owner past its deadline may do the same for its
 //! own term. The time is short enough that no task of a job cancelled meanwhile
@@ -20,8 +20,8 @@
 /// How long a controller that hears the owner no more waits before it answers
 /// workers on its own.
 pub const OWNER_SILENT: Duration = Duration::from_secs(3);
-/// How long after a pulse that was answered its receiver surely keeps nothing:
-/// less than [`OWNER_SILENT`] from when it heard that pulse.
+/// How long after a heartbeat that was answered its receiver surely keeps nothing:
+/// less than [`OWNER_SILENT`] from when it heard that heartbeat.
 const SURELY_HEARD: Duration = Duration::from_millis(2500);
 
 /// For how long a controller may keep workers on its own: their leases and this
@@ -40,12 +40,12 @@
     workers.cancel().saturating_sub(lease)
 }
 
-/// What an owner's answer to a pulse entitles to.
+/// What an owner's answer to a heartbeat entitles to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StandingLoan {
     /// The owner's term.
     pub term: u64,
-    /// When the pulse was sent that the owner answered.
+    /// When the heartbeat was sent that the owner answered.
     pub seen: Instant,
 }
 
@@ -57,7 +57,7 @@
         Some(from + drift::shortest(longest).checked_sub(MARGIN / 2)?)
     }
 
-    /// Takes in that an owner answered a pulse sent then.
+    /// Takes in that an owner answered a heartbeat sent then.
     pub fn renewed(known: Option<Self>, term: u64, sent: Instant) -> Self {
         match known {
             Some(loan) if loan.term > term => loan,
@@ -75,18 +75,18 @@
 pub struct Lender {
     /// By controller: when it last got an answer of ours.
     granted: HashMap<String, Instant>,
-    /// By controller: when we sent the last pulse of this term that it answered,
+    /// By controller: when we sent the last heartbeat of this term that it answered,
     /// and a moment after which it had answered no worker then.
     quiet: HashMap<String, (Instant, Instant)>,
 }
 
 impl Lender {
-    /// A controller's pulse is answered.
+    /// A controller's heartbeat is answered.
     pub fn grant(&mut self, label: &str, now: Instant) {
         self.granted.insert(label.to_owned(), now);
     }
 
-    /// A controller answered a pulse sent then: when it last kept workers.
+    /// A controller answered a heartbeat sent then: when it last kept workers.
     pub fn answered(&mut self, label: &str, sent: Instant, kept: Instant) {
         self.quiet.insert(label.to_owned(), (sent, kept));
     }
@@ -119,7 +119,7 @@
     const LONGEST: Duration = Duration::from_secs(20);
 
     #[test]
-    fn a_standing_loan_runs_from_the_older_of_pulse_and_look() {
+    fn a_standing_loan_runs_from_the_older_of_heartbeat_and_look() {
         let start = Instant::now();
         let later = start + Duration::from_secs(5);
         let loan = StandingLoan::renewed(None, 7, later);
--- a/src/coordination/tests/awareness.rs
+++ b/src/coordination/tests/awareness.rs
@@ -16,7 +16,7 @@
 use crate::coordination::standing::Lender;
 use crate::protocol::TaskId;
 use crate::protocol::state::News;
-use crate::protocol::tidings::{CancellationsAsked, CancellationsTold};
+use crate::protocol::peer_messages::{CancellationsAsked, CancellationsTold};
 use crate::protocol::users::{JobSpec, Stage, parse_submission};
 use crate::protocol::workers::{Command, TaskReport, TaskState};
 use crate::storage::keys;
--- a/src/coordination/tests/peering.rs
+++ b/src/coordination/tests/peering.rs
@@ -9,11 +9,11 @@
 use crate::coordination::lease::Tenure;
 use crate::coordination::node::{Node, Ownership, STATE_DEADLINE};
 use crate::coordination::peering::extension::{left_alone, promise, stand_aside};
-use crate::coordination::peering::heartbeat::{heard_pulse, own_pulse, pulse_answered};
+use crate::coordination::peering::heartbeat::{note_heartbeat, own_heartbeat, heartbeat_answered};
 use crate::coordination::shard::{Loaded, Shard};
 use crate::coordination::standing::{self, Lender};
-use crate::protocol::peers::Pulse;
-use crate::protocol::tidings::{StandAside, StoodAside};
+use crate::protocol::peers::Heartbeat;
+use crate::protocol::peer_messages::{StandAside, StoodAside};
 
 /// Has a controller own an empty shard.
 fn own(node: &Node, term: u64) -> Arc<Tenure> {
@@ -58,18 +58,18 @@
     let node = node(clock.clone());
     node.lock().types = Some(Vec::new());
     let _ = node.state.get("o/0/owner", STATE_DEADLINE).await;
-    let peer = Pulse {
+    let peer = Heartbeat {
         label: "beta".into(),
-        ..Pulse::default()
+        ..Heartbeat::default()
     };
-    heard_pulse(&node, peer.clone());
+    note_heartbeat(&node, peer.clone());
     assert!(node.ready(), "an outage for all: nobody is served anyway");
     clock.advance(Duration::from_secs(3));
     assert!(!node.ready());
     let reply = answer(&node, Ask::Poll("run-1".into()), false).await;
     assert_eq!(reply.status, 503);
     assert!(node.live_tenure().is_none() && node.owner_label().is_none());
-    heard_pulse(&node, peer);
+    note_heartbeat(&node, peer);
     assert!(node.ready());
 }
 
@@ -81,33 +81,33 @@
     let node = node(clock.clone());
     let mut report = report(5);
     node.lock().awareness.looked(node.now());
-    let owner = Pulse {
+    let owner = Heartbeat {
         label: "beta".into(),
         term: Some(7),
-        ..Pulse::default()
+        ..Heartbeat::default()
     };
-    pulse_answered(&node, owner, node.now(), None);
+    heartbeat_answered(&node, owner, node.now(), None);
     clock.advance(standing::OWNER_SILENT);
     assert_eq!(node.keeps(&report), None, "the state service may answer");
     let _ = node.state.get("o/0/owner", STATE_DEADLINE).await;
     assert_eq!(node.keeps(&report), Some(7));
-    assert_eq!(own_pulse(&node).kept_ago_ms, 0);
+    assert_eq!(own_heartbeat(&node).kept_ago_ms, 0);
     report.term = 8;
     assert_eq!(node.keeps(&report), None, "the worker obeys another");
     report.term = 7;
     // The owner heard again, even by an old message: it answers, not we.
-    let pulse = Pulse {
+    let heartbeat = Heartbeat {
         label: "beta".into(),
         term: Some(7),
-        ..Pulse::default()
+        ..Heartbeat::default()
     };
-    heard_pulse(&node, pulse);
+    note_heartbeat(&node, heartbeat);
     // An older one without a term, which comes late, takes nothing back.
-    let before = Pulse {
+    let before = Heartbeat {
         label: "beta".into(),
-        ..Pulse::default()
+        ..Heartbeat::default()
     };
-    heard_pulse(&node, before);
+    note_heartbeat(&node, before);
     assert_eq!(node.keeps(&report), None);
     clock.advance(standing::OWNER_SILENT);
     assert_eq!(node.keeps(&report), Some(7));
@@ -118,7 +118,7 @@
 
 /// Refused by the state service alone, an owner is replaced, and the service then
 /// falls out for all: the new owner needs the promise of the old, which was never
-/// told that its hold has ended. Its term in the new owner's pulse tells it.
+/// told that its hold has ended. Its term in the new owner's heartbeat tells it.
 #[tokio::test]
 async fn an_owner_that_hears_of_a_later_one_gives_up_and_promises() {
     let clock = Arc::new(FakeClock::new());
@@ -127,18 +127,18 @@
     let tenure = own(&node, 9);
     let _ = node.state.get("o/0/owner", STATE_DEADLINE).await;
     clock.advance(Duration::from_secs(4));
-    let pulse = |term| Pulse {
+    let heartbeat = |term| Heartbeat {
         label: "n1".into(),
         term: Some(term),
-        ..Pulse::default()
+        ..Heartbeat::default()
     };
-    heard_pulse(&node, pulse(8));
+    note_heartbeat(&node, heartbeat(8));
     assert!(
         !tenure.ended(),
-        "an older owner's late pulse proves nothing"
+        "an older owner's late heartbeat proves nothing"
     );
     assert!(!promise(&node, Duration::from_secs(1)), "it may go on yet");
-    heard_pulse(&node, pulse(10));
+    note_heartbeat(&node, heartbeat(10));
     assert!(tenure.ended());
     tenure.renewed(now, now + Duration::from_secs(60));
     assert!(!tenure.live(node.now()));
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -5,7 +5,7 @@
 pub mod cloud;
 pub mod peers;
 pub mod state;
-pub mod tidings;
+pub mod peer_messages;
 pub mod users;
 pub mod workers;
 
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, Archive, Serialize, Deserialize)]
 pub enum PeerRequest {
     /// How are you, and whom do you hear? Sent about once a second.
-    Pulse(Pulse),
+    Heartbeat(Heartbeat),
     /// The owner can't reach the state service: will you leave the shard alone
     /// for this long?
     Promise { millis: u64 },
@@ -20,7 +20,7 @@
 
 /// What a controller knows of itself.
 #[derive(Debug, Clone, Default, PartialEq, Archive, Serialize, Deserialize)]
-pub struct Pulse {
+pub struct Heartbeat {
     pub label: String,
     pub zone: String,
     /// Whether the state service answered it lately.
@@ -52,7 +52,7 @@
 /// The answer to a [`PeerRequest`].
 #[derive(Debug, Clone, Archive, Serialize, Deserialize)]
 pub enum PeerAnswer {
-    Pulse(Pulse),
+    Heartbeat(Heartbeat),
     /// Whether the promise is given.
     Promise {
         given: bool,
--- a/tests/upgrade/frames.rs
+++ b/tests/upgrade/frames.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use valegap::protocol::state::Change;
-use valegap::protocol::tidings::{
+use valegap::protocol::peer_messages::{
     CANCELLATIONS, CancellationsAsked, CancellationsTold, CancelledJob, STAND_ASIDE, StandAside,
     StoodAside,
 };
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use valegap::protocol::peers::{
-    PeerAnswer, PeerRequest, Progress, Pulse, decode_answer, decode_request, encode_answer,
+    PeerAnswer, PeerRequest, Progress, Heartbeat, decode_answer, decode_request, encode_answer,
     encode_request,
 };
 use valegap::protocol::users::{JobKind, Stage};
@@ -12,7 +12,7 @@
     FinalRecord, HearingRecord, JobRecord, KeeperRecord, OwnerRecord, RosterRecord, SequenceRecord,
 };
 
-const PULSE: &[&str] = &[
+const HEARTBEAT: &[&str] = &[
     "6764616e736b2d6c6f6674706f7a6e616e2d68616c6c72756e2d3136373431398a000000f6ffffff",
     "0300000039000000000000000000000063656c6c61722d318b000000c0ffffff01000000e4020000",
     "5d0000000000000001000000000000005e03000000000000010000008b0000009fffffffacffffff",
@@ -28,7 +28,7 @@
     "ffffffff9a000000d4ffffffe6ffffff030000000000000000000000000000000000000000000000",
     "00000000000000000000000000000000000000000000000000000000000000000000000000000000",
 ];
-const ANSWERED_PULSE: &[&str] = &[
+const ANSWERED_HEARTBEAT: &[&str] = &[
     "6764616e736b2d6c6f6674706f7a6e616e2d68616c6c72756e2d3136373431398a000000f6ffffff",
     "0300000039000000000000000000000063656c6c61722d318b000000c0ffffff01000000e4020000",
     "5d0000000000000001000000000000005e03000000000000010000008b0000009fffffffacffffff",
@@ -63,8 +63,8 @@
     (0..text.len()).step_by(2).map(pair).collect()
 }
 
-fn pulse() -> Pulse {
-    Pulse {
+fn heartbeat() -> Heartbeat {
+    Heartbeat {
         label: "cellar-1".into(),
         zone: "gdansk-loft".into(),
         state_served: true,
@@ -91,7 +91,7 @@
     };
     let promise = PeerRequest::Promise { millis: 1000 };
     for (request, recorded) in [
-        (PeerRequest::Pulse(pulse()), PULSE),
+        (PeerRequest::Heartbeat(heartbeat()), HEARTBEAT),
         (promise, PROMISE),
         (forward, FORWARD),
     ] {
@@ -105,7 +105,7 @@
         body: b"{}".to_vec(),
     };
     for (answer, recorded) in [
-        (PeerAnswer::Pulse(pulse()), ANSWERED_PULSE),
+        (PeerAnswer::Heartbeat(heartbeat()), ANSWERED_HEARTBEAT),
         (PeerAnswer::Promise { given: true }, ANSWERED_PROMISE),
         (answer, ANSWER),
         (PeerAnswer::Unreadable, UNREADABLE),
