--- a/deploy/operator.lisp
+++ b/deploy/operator.lisp
@@ -1,12 +1,12 @@
 ;; The operators' own settings of valegap. Every line is optional; the values
 ;; here are the defaults, and a test keeps it so. Ranges stand in brackets.
 (
- ;; Time to live of a controller's hold in the state service [1 to 60]. Longer
+ ;; Time to live of a controller's lease in the state service [1 to 60]. Longer
  ;; rides out slower state services; shorter takes over sooner after a crash.
  (lease-s . 3.0)
- ;; How often the hold is renewed [0.1 to a third of lease-s].
+ ;; How often the lease is renewed [0.1 to a third of lease-s].
  (renew-s . 0.5)
- ;; How long before the hold's earliest end its owner stops acting, to cover
+ ;; How long before the lease's earliest end its owner stops acting, to cover
  ;; clock drift and a busy processor [0.05 to a third of lease-s].
  (lease-margin-s . 0.3)
  ;; How often a changed shard is snapshotted [0.2 to 60].
--- a/src/coordination/answering.rs
+++ b/src/coordination/answering.rs
@@ -22,17 +22,17 @@
 pub fn answer_report(node: &Arc<Node>, report: &Report) -> Verdict {
     let now = node.now();
     node.lock().workers.insert(report.machine.clone(), now);
-    if let Some(tenure) = node.live_tenure() {
-        let outcome = node.with_shard(&tenure, "reports", |shard, now| shard.report(report, now));
-        // The shard took a moment: only a tenure that still holds may answer.
+    if let Some(lease) = node.live_lease() {
+        let outcome = node.with_shard(&lease, "reports", |shard, now| shard.report(report, now));
+        // The shard took a moment: only a lease that still holds may answer.
         let now = node.now();
         match outcome {
-            Some(ReportOutcome::Refuse) if tenure.live(now) => return Verdict::Refused,
-            Some(ReportOutcome::Answer(commands)) if tenure.live(now) => {
+            Some(ReportOutcome::Refuse) if lease.live(now) => return Verdict::Refused,
+            Some(ReportOutcome::Answer(commands)) if lease.live(now) => {
                 if !node.may_renew_leases(now) {
                     return Verdict::Elsewhere(Redirect { owner: None });
                 }
-                let term = tenure.term;
+                let term = lease.term;
                 return Verdict::Renewed(ReportAnswer { term, commands });
             }
             _ => {}
@@ -42,8 +42,8 @@
         && let Some(term) = node.keeps(report)
     {
         // An owner past its deadline stays informed: it may go on.
-        if let Some(tenure) = node.tenure().filter(|tenure| tenure.term == term) {
-            node.with_shard(&tenure, "reports", |shard, now| shard.report(report, now));
+        if let Some(lease) = node.lease().filter(|lease| lease.term == term) {
+            node.with_shard(&lease, "reports", |shard, now| shard.report(report, now));
         }
         let commands = keeper_commands(report, |job| node.ledger.is_open(job));
         return Verdict::Renewed(ReportAnswer { term, commands });
--- a/src/coordination/io.rs
+++ b/src/coordination/io.rs
@@ -7,7 +7,7 @@
 use serde::de::DeserializeOwned;
 use tracing::{debug, error, warn};
 
-use super::lease::Tenure;
+use super::lease::ShardLease;
 use super::node::{Node, STATE_DEADLINE};
 use super::shard::{Action, CommandOutcome, RentalOutcome, ShardWrite};
 use crate::protocol::MachineId;
@@ -28,7 +28,7 @@
 const LIST_PAGE: usize = 500;
 
 /// Carries out one action.
-pub async fn carry_out(node: Arc<Node>, tenure: Arc<Tenure>, action: Action) {
+pub async fn carry_out(node: Arc<Node>, lease: Arc<ShardLease>, action: Action) {
     match action {
         Action::Command {
             machine,
@@ -37,44 +37,44 @@
             number,
             commands,
         } => {
-            let outcome = command(&node, &tenure, &addr, session, &commands).await;
-            node.with_shard(&tenure, "answers", |shard, now| {
+            let outcome = command(&node, &lease, &addr, session, &commands).await;
+            node.with_shard(&lease, "answers", |shard, now| {
                 shard.command_answered(&machine, number, &commands, outcome, now);
             });
         }
         Action::Write(write) => {
-            let written = write_shard(&node, &tenure, &write).await;
-            node.with_shard(&tenure, "written", |shard, now| match written {
+            let written = write_shard(&node, &lease, &write).await;
+            node.with_shard(&lease, "written", |shard, now| match written {
                 Written::Applied => shard.shard_written(&write, now),
                 Written::TooLarge => shard.write_refused(&write, now),
                 Written::Ended => {}
             });
         }
-        Action::Finish { job, mark } => finish(&node, &tenure, &job, mark).await,
-        Action::ReadFinal { job } => read_final(&node, &tenure, &job).await,
+        Action::Finish { job, mark } => finish(&node, &lease, &job, mark).await,
+        Action::ReadFinal { job } => read_final(&node, &lease, &job).await,
         Action::Rent(rental) => {
-            let outcome = if tenure.live(node.now()) {
+            let outcome = if lease.live(node.now()) {
                 rent(&node, &rental).await
             } else {
                 RentalOutcome::Unknown
             };
-            node.with_shard(&tenure, "cloud", |shard, now| {
+            node.with_shard(&lease, "cloud", |shard, now| {
                 shard.rental_answered(&rental.request, outcome, now);
             });
         }
         Action::Delete(machines) => {
-            let done = tenure.live(node.now()) && delete(&node, &machines).await;
-            node.with_shard(&tenure, "cloud", |shard, now| {
+            let done = lease.live(node.now()) && delete(&node, &machines).await;
+            node.with_shard(&lease, "cloud", |shard, now| {
                 shard.deletion_answered(&machines, done, now);
             });
         }
-        Action::Fenced { seen } => check_fence(&node, &tenure, seen).await,
+        Action::Fenced { seen } => check_fence(&node, &lease, seen).await,
     }
 }
 
 async fn command(
     node: &Node,
-    tenure: &Tenure,
+    lease: &ShardLease,
     addr: &str,
     session: u64,
     commands: &[Command],
@@ -83,7 +83,7 @@
         return CommandOutcome::NotSent;
     };
     let batch = CommandBatch {
-        term: tenure.term,
+        term: lease.term,
         session,
         commands: commands.to_vec(),
     };
@@ -96,7 +96,7 @@
         (COMMAND_DEADLINE, &node.commands)
     };
     let _turn = turns.acquire().await;
-    if !tenure.live(node.now()) {
+    if !lease.live(node.now()) {
         return CommandOutcome::NotSent;
     }
     let answer = node
@@ -123,27 +123,27 @@
     Applied,
     /// The state service won't take it as it is, now or later.
     TooLarge,
-    /// The tenure ended before it was known to be applied.
+    /// The lease ended before it was known to be applied.
     Ended,
 }
 
 /// Applies one shard write, fenced by the term and ordered by the sequence
 /// number.
-async fn write_shard(node: &Node, tenure: &Tenure, write: &ShardWrite) -> Written {
-    let mut sequence = tenure.sequence.lock().await;
+async fn write_shard(node: &Node, lease: &ShardLease, write: &ShardWrite) -> Written {
+    let mut sequence = lease.sequence.lock().await;
     let n = sequence.n + 1;
     let record = SequenceRecord {
         v: VERSION,
-        term: tenure.term,
+        term: lease.term,
         n,
     };
     let Ok(value) = serde_json::to_value(&record) else {
         return Written::Ended;
     };
     let mut attempt = 0;
-    while !tenure.ended() {
+    while !lease.ended() {
         let mut txn = Txn::default()
-            .guard(keys::owner(), tenure.term)
+            .guard(keys::owner(), lease.term)
             .guard(keys::sequence(), sequence.version)
             .change(Change::put(keys::sequence(), value.clone()));
         txn.changes.extend(write.changes.iter().cloned());
@@ -165,11 +165,11 @@
                     Ok(found) => {
                         let version = found.map_or(0, |(version, _)| version);
                         if version != sequence.version {
-                            warn!(term = tenure.term, "the shard was written by another owner");
-                            tenure.finish();
+                            warn!(term = lease.term, "the shard was written by another owner");
+                            lease.finish();
                             return Written::Ended;
                         }
-                        if !still_ours(node, tenure).await {
+                        if !still_ours(node, lease).await {
                             return Written::Ended;
                         }
                     }
@@ -199,34 +199,34 @@
     }))
 }
 
-/// Whether the ownership record is still this tenure's; ends the tenure if it
+/// Whether the ownership record is still this lease's; ends the lease if it
 /// surely isn't.
-async fn still_ours(node: &Node, tenure: &Tenure) -> bool {
+async fn still_ours(node: &Node, lease: &ShardLease) -> bool {
     match node.state.get(&keys::owner(), STATE_DEADLINE).await {
-        Ok(Some(item)) if item.version == tenure.term => true,
+        Ok(Some(item)) if item.version == lease.term => true,
         Ok(_) => {
-            warn!(term = tenure.term, "the shard is another's");
-            tenure.finish();
+            warn!(term = lease.term, "the shard is another's");
+            lease.finish();
             false
         }
         Err(_) => true,
     }
 }
 
-async fn check_fence(node: &Node, tenure: &Tenure, seen: u64) {
-    if still_ours(node, tenure).await {
-        debug!(seen, term = tenure.term, "a worker has seen a higher term");
+async fn check_fence(node: &Node, lease: &ShardLease, seen: u64) {
+    if still_ours(node, lease).await {
+        debug!(seen, term = lease.term, "a worker has seen a higher term");
     }
 }
 
 /// Records that a job is done, unless its user cancelled it first.
-async fn finish(node: &Arc<Node>, tenure: &Arc<Tenure>, job: &str, mark: u64) {
+async fn finish(node: &Arc<Node>, lease: &Arc<ShardLease>, job: &str, mark: u64) {
     let mut attempt = 0;
-    while !tenure.ended() {
+    while !lease.ended() {
         let item = match node.state.get(&keys::job(job), STATE_DEADLINE).await {
             Ok(Some(item)) => item,
             Ok(None) => {
-                node.with_shard(tenure, "jobs", |shard, _| shard.job_gone(job, None));
+                node.with_shard(lease, "jobs", |shard, _| shard.job_gone(job, None));
                 return;
             }
             Err(_) => {
@@ -244,16 +244,16 @@
         let Ok(txn) = facts::end_job(job, mark, &last) else {
             return;
         };
-        let txn = txn.guard(keys::owner(), tenure.term);
+        let txn = txn.guard(keys::owner(), lease.term);
         match node.state.txn(&txn, STATE_DEADLINE).await {
             Ok(TxnOutcome::Committed { .. }) => {
-                node.with_shard(tenure, "jobs", |shard, _| {
+                node.with_shard(lease, "jobs", |shard, _| {
                     shard.job_gone(job, Some(Stage::Done));
                 });
                 return;
             }
             Ok(TxnOutcome::Conflict) => {
-                if !still_ours(node, tenure).await {
+                if !still_ours(node, lease).await {
                     return;
                 }
             }
@@ -264,12 +264,12 @@
     }
 }
 
-async fn read_final(node: &Arc<Node>, tenure: &Arc<Tenure>, job: &str) {
+async fn read_final(node: &Arc<Node>, lease: &Arc<ShardLease>, job: &str) {
     let mut attempt = 0;
-    while !tenure.ended() {
+    while !lease.ended() {
         if let Ok(item) = node.state.get(&keys::final_job(job), STATE_DEADLINE).await {
             let record = item.and_then(|item| serde_json::from_value(item.value).ok());
-            node.with_shard(tenure, "jobs", |shard, _| shard.orphan_read(job, record));
+            node.with_shard(lease, "jobs", |shard, _| shard.orphan_read(job, record));
             return;
         }
         attempt += 1;
@@ -341,18 +341,18 @@
 }
 
 /// Reads the machine list again and again.
-pub async fn watch_cloud(node: Arc<Node>, tenure: Arc<Tenure>) {
+pub async fn watch_cloud(node: Arc<Node>, lease: Arc<ShardLease>) {
     let lag = node.settings.platform.settings.cloud.list_lag_s;
     let pause = Duration::from_secs_f64((lag / 2.0).clamp(2.0, 10.0));
-    while !tenure.ended() {
-        if tenure.live(node.now())
+    while !lease.ended() {
+        if lease.live(node.now())
             && let Some(list) = machine_list(&node).await
         {
-            node.with_shard(&tenure, "cloud", |shard, now| shard.listed(&list, now));
+            node.with_shard(&lease, "cloud", |shard, now| shard.listed(&list, now));
         }
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            () = tenure.end.notified() => {}
+            () = lease.end.notified() => {}
         }
     }
 }
--- a/src/coordination/lease.rs
+++ b/src/coordination/lease.rs
@@ -1,4 +1,4 @@
-//! Holding the shard: the hold in the state service, and what it entitles to.
+//! Holding the shard: the lease in the state service, and what it entitles to.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,13 +15,14 @@
 
 /// One term of ownership.
 ///
-/// An owner acts only while [`Tenure::live`]: until its deadline, which runs
-/// from when the last successful renewal was *sent*. Past it the hold may have
-/// ended. If a later renewal succeeds, the hold never did, and the owner goes
+/// An owner acts only while [`ShardLease::live`]: until its deadline, which runs
+/// from when the last successful renewal was *sent*. Past it the lease may have
+/// ended. If a later renewal succeeds, the lease never did, and the owner goes
 /// on in the same term.
 #[derive(Debug)]
-pub struct Tenure {
-    pub hold: u64,
+pub struct ShardLease {
+    /// Its id in the state service.
+    pub id: u64,
     pub term: u64,
     deadline: Mutex<Instant>,
     /// When the last renewal that succeeded was sent.
@@ -30,7 +31,7 @@
     pub since: Instant,
     /// Woken when the shard has something to decide.
     pub work: Notify,
-    /// Woken when the tenure ends.
+    /// Woken when the lease ends.
     pub end: Notify,
     /// The shard's sequence number, held while a shard write is under way.
     pub sequence: tokio::sync::Mutex<Sequence>,
@@ -49,11 +50,11 @@
     sent + drift::shortest(operator.lease()).saturating_sub(margin)
 }
 
-impl Tenure {
-    /// A term whose hold was asked for at `sent`, which entitles until `deadline`.
-    pub fn new(hold: u64, term: u64, sent: Instant, deadline: Instant, since: Instant) -> Self {
+impl ShardLease {
+    /// A term whose lease was asked for at `sent`, which entitles until `deadline`.
+    pub fn new(id: u64, term: u64, sent: Instant, deadline: Instant, since: Instant) -> Self {
         Self {
-            hold,
+            id,
             term,
             deadline: Mutex::new(deadline),
             renewed: Mutex::new(sent),
@@ -117,19 +118,19 @@
         let until = deadline(&operator, sent);
         let margin = Duration::from_secs_f64(operator.lease_margin_s);
         assert!(until < sent + operator.lease() - margin);
-        let tenure = Tenure::new(1, 10, sent, until, sent);
-        assert!(tenure.live(until - Duration::from_millis(1)));
-        assert!(!tenure.live(until));
-        // An outage past the deadline, then a renewal that succeeds: the hold
+        let lease = ShardLease::new(1, 10, sent, until, sent);
+        assert!(lease.live(until - Duration::from_millis(1)));
+        assert!(!lease.live(until));
+        // An outage past the deadline, then a renewal that succeeds: the lease
         // never ended, so the same term goes on.
         let late = sent + Duration::from_secs(30);
-        tenure.renewed(late, deadline(&operator, late));
+        lease.renewed(late, deadline(&operator, late));
         assert_eq!(
-            tenure.unrenewed(late + Duration::from_secs(1)),
+            lease.unrenewed(late + Duration::from_secs(1)),
             Duration::from_secs(1)
         );
-        assert!(tenure.live(late + Duration::from_secs(1)));
-        tenure.finish();
-        assert!(!tenure.live(late + Duration::from_secs(1)));
+        assert!(lease.live(late + Duration::from_secs(1)));
+        lease.finish();
+        assert!(!lease.live(late + Duration::from_secs(1)));
     }
 }
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -11,7 +11,7 @@
 use tracing::{info, warn};
 
 use super::awareness::{self, Awareness};
-use super::lease::Tenure;
+use super::lease::ShardLease;
 use super::peering::extension;
 use super::shard::{Job, Policy, Shard};
 use super::standing::{self, Lender, StandingLoan};
@@ -98,9 +98,9 @@
 
 /// A shard that this controller runs.
 pub struct Ownership {
-    pub tenure: Arc<Tenure>,
+    pub lease: Arc<ShardLease>,
     pub shard: Shard,
-    /// The standing loans that this tenure's heartbeats gave.
+    /// The standing loans that this lease's heartbeats gave.
     pub lender: Lender,
     /// How much of what is over the shard was told, by the ledger's count.
     pub endings: Option<u64>,
@@ -123,7 +123,7 @@
 pub struct Inner {
     pub ownership: Option<Ownership>,
     /// A term whose shard is not loaded yet.
-    pub loading: Option<Arc<Tenure>>,
+    pub loading: Option<Arc<ShardLease>>,
     pub seen_owner: Option<OwnerRecord>,
     pub types: Option<Vec<MachineType>>,
     pub peers: HashMap<String, PeerView>,
@@ -244,7 +244,7 @@
     /// be over: whatever the ledger knows, the owner has to act on.
     pub fn tell_endings(self: &Arc<Self>) {
         let endings = self.ledger.endings();
-        let tenure = {
+        let lease = {
             let mut inner = self.lock();
             let Some(own) = inner.ownership.as_mut() else {
                 return;
@@ -252,9 +252,9 @@
             if own.endings.replace(endings) == Some(endings) {
                 return;
             }
-            own.tenure.clone()
+            own.lease.clone()
         };
-        self.with_shard(&tenure, "jobs", |shard, _| {
+        self.with_shard(&lease, "jobs", |shard, _| {
             let ended = |job: &&Job| job.over.is_none() && self.ledger.has_ended(&job.id, job.mark);
             let over: Vec<JobId> = shard
                 .jobs()
@@ -327,12 +327,12 @@
         &self.settings.platform.label
     }
 
-    /// Gives the shard of this tenure an event, and carries out what follows
+    /// Gives the shard of this lease an event, and carries out what follows
     /// from it at once. What it needs decided, the next pass decides for many
-    /// events together. None if the tenure is over.
+    /// events together. None if the lease is over.
     pub fn with_shard<T>(
         self: &Arc<Self>,
-        tenure: &Arc<Tenure>,
+        lease: &Arc<ShardLease>,
         activity: &'static str,
         event: impl FnOnce(&mut Shard, Instant) -> T,
     ) -> Option<T> {
@@ -342,17 +342,17 @@
             let ownership = inner
                 .ownership
                 .as_mut()
-                .filter(|own| Arc::ptr_eq(&own.tenure, tenure) && !tenure.ended())?;
+                .filter(|own| Arc::ptr_eq(&own.lease, lease) && !lease.ended())?;
             let result = event(&mut ownership.shard, now);
             let took = self.clock.now().saturating_duration_since(now);
             ownership.activities.note(activity, took);
             if ownership.shard.restless() {
-                tenure.work.notify_one();
+                lease.work.notify_one();
             }
             (result, ownership.shard.take_actions())
         };
         for action in actions {
-            tokio::spawn(io::carry_out(self.clone(), tenure.clone(), action));
+            tokio::spawn(io::carry_out(self.clone(), lease.clone(), action));
         }
         Some(result)
     }
@@ -369,11 +369,11 @@
         }
     }
 
-    /// The tenure under which this node may act right now.
-    pub fn live_tenure(&self) -> Option<Arc<Tenure>> {
+    /// The lease under which this node may act right now.
+    pub fn live_lease(&self) -> Option<Arc<ShardLease>> {
         let inner = self.lock();
-        let tenure = &inner.ownership.as_ref()?.tenure;
-        tenure.live(self.now()).then(|| tenure.clone())
+        let lease = &inner.ownership.as_ref()?.lease;
+        lease.live(self.now()).then(|| lease.clone())
     }
 
     /// The term under which this node may keep a worker for the owner, if the
@@ -389,8 +389,8 @@
     /// Their leases are counted from when it will have been loaded.
     fn keeps_while_loading(&self, report: &Report) -> Option<u64> {
         let inner = self.lock();
-        let tenure = inner.loading.as_ref()?;
-        (tenure.live(self.now()) && report.term <= tenure.term).then_some(tenure.term)
+        let lease = inner.loading.as_ref()?;
+        (lease.live(self.now()) && report.term <= lease.term).then_some(lease.term)
     }
 
     /// The same without the state service and the owner, by the standing loan
@@ -402,10 +402,10 @@
         let now = self.now();
         let mut inner = self.lock();
         let known = self.known_up_to(&inner, now);
-        let own = inner.ownership.as_ref().filter(|own| !own.tenure.ended());
+        let own = inner.ownership.as_ref().filter(|own| !own.lease.ended());
         let own = own.map(|own| StandingLoan {
-            term: own.tenure.term,
-            seen: own.tenure.last_renewed(),
+            term: own.lease.term,
+            seen: own.lease.last_renewed(),
         });
         let loan = inner.standing.into_iter().chain(own);
         let loan = loan.max_by_key(|loan| loan.term)?;
@@ -436,14 +436,14 @@
         Some(keeping.term)
     }
 
-    /// The tenure of this node, live or not.
-    pub fn tenure(&self) -> Option<Arc<Tenure>> {
-        self.lock().ownership.as_ref().map(|own| own.tenure.clone())
+    /// The lease of this node, live or not.
+    pub fn lease(&self) -> Option<Arc<ShardLease>> {
+        self.lock().ownership.as_ref().map(|own| own.lease.clone())
     }
 
     /// Who runs the shard, as far as this node knows.
     pub fn owner_label(&self) -> Option<String> {
-        if self.live_tenure().is_some() {
+        if self.live_lease().is_some() {
             return Some(self.label().to_owned());
         }
         let now = self.now();
@@ -543,8 +543,8 @@
         if let Some(own) = &inner.ownership {
             page.push_str(&format!(
                 "term {}, {} its deadline\n",
-                own.tenure.term,
-                if own.tenure.live(now) {
+                own.lease.term,
+                if own.lease.live(now) {
                     "before"
                 } else {
                     "past"
@@ -612,16 +612,16 @@
         let pause = match io::machine_types(&node).await {
             Some(types) => {
                 attempt = 0;
-                let tenure = {
+                let lease = {
                     let mut inner = node.lock();
                     if inner.types.is_none() {
                         info!(types = types.len(), "machine types known");
                     }
                     inner.types = Some(types.clone());
-                    inner.ownership.as_ref().map(|own| own.tenure.clone())
+                    inner.ownership.as_ref().map(|own| own.lease.clone())
                 };
-                if let Some(tenure) = tenure {
-                    node.with_shard(&tenure, "types", |shard, _| shard.set_types(&types));
+                if let Some(lease) = lease {
+                    node.with_shard(&lease, "types", |shard, _| shard.set_types(&types));
                 }
                 Duration::from_secs(30)
             }
--- a/src/coordination/ownership.rs
+++ b/src/coordination/ownership.rs
@@ -1,11 +1,11 @@
-//! Seeking the shard, holding it, and serving as its owner.
+//! Seeking the shard, holding its lease, and serving as its owner.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use tracing::{info, warn};
 
-use super::lease::{self, Tenure};
+use super::lease::{self, ShardLease};
 use super::loading::{StoredShard, parse_job};
 use super::node::{Node, Ownership, STATE_DEADLINE};
 use super::peering::extension;
@@ -33,7 +33,7 @@
 const WATCH: Duration = Duration::from_secs(3);
 /// Share of the lease without a renewal past which an owner sees trouble.
 const TROUBLE: f64 = 0.6;
-/// Pause between two tries to renew a hold in trouble.
+/// Pause between two tries to renew a lease in trouble.
 const RENEW_RETRY: Duration = Duration::from_millis(150);
 /// Advantage of the candidate that is nearest to the machines.
 const NEAREST_FIRST: Duration = Duration::from_millis(150);
@@ -50,8 +50,8 @@
         match stand_by(&node).await {
             Ok(()) => {
                 attempt = 0;
-                if let Some(tenure) = acquire(&node).await {
-                    serve(&node, tenure).await;
+                if let Some(lease) = acquire(&node).await {
+                    serve(&node, lease).await;
                 }
             }
             Err(error) => {
@@ -91,16 +91,16 @@
                 // Our earlier process is certainly dead: nobody else has its
                 // label and addresses.
                 info!(
-                    hold = owner.hold,
-                    "ending the hold of this node's earlier run"
+                    lease = owner.lease,
+                    "ending the lease of this node's earlier run"
                 );
-                node.state.release(owner.hold, STATE_DEADLINE).await?;
+                node.state.end_lease(owner.lease, STATE_DEADLINE).await?;
                 node.lock().previous_run_ended = true;
             }
             Some(owner) if owner.label == node.label() => {
-                // A tenure that this run gave up, or an acquisition whose
+                // A lease that this run gave up, or an acquisition whose
                 // answer was lost and that came too late to be used.
-                node.state.release(owner.hold, STATE_DEADLINE).await?;
+                node.state.end_lease(owner.lease, STATE_DEADLINE).await?;
             }
             Some(_) => {
                 let page = node
@@ -144,32 +144,36 @@
     }
 }
 
-/// Raises the term; the tenure it returns is being renewed.
-async fn acquire(node: &Arc<Node>) -> Option<Arc<Tenure>> {
+/// Raises the term; the lease it returns is being renewed.
+async fn acquire(node: &Arc<Node>) -> Option<Arc<ShardLease>> {
     {
         if node.may_not_seek().is_some() {
             return None;
         }
         node.lock().acquiring = true;
     }
-    let (tenure, settled) = try_acquire(node).await;
+    let (lease, settled) = try_acquire(node).await;
     // Without a settled outcome no promise is given until the next try.
     node.lock().acquiring = !settled;
-    tenure
+    lease
 }
 
-/// A tenure if the shard is ours, and whether the outcome is surely known.
-async fn try_acquire(node: &Arc<Node>) -> (Option<Arc<Tenure>>, bool) {
+/// A lease if the shard is ours, and whether the outcome is surely known.
+async fn try_acquire(node: &Arc<Node>) -> (Option<Arc<ShardLease>>, bool) {
     let operator = &node.settings.operator;
     let sent = node.now();
-    let Ok(hold) = node.state.hold(operator.lease(), STATE_DEADLINE).await else {
-        // A hold that nothing is attached to runs out unnoticed.
+    let Ok(lease_id) = node
+        .state
+        .grant_lease(operator.lease(), STATE_DEADLINE)
+        .await
+    else {
+        // A lease that nothing is attached to runs out unnoticed.
         return (None, true);
     };
     let record = OwnerRecord {
         v: VERSION,
         label: node.label().to_owned(),
-        hold,
+        lease: lease_id,
         run: node.run,
     };
     let Ok(value) = serde_json::to_value(&record) else {
@@ -178,41 +182,41 @@
     let txn = Txn::default().guard(keys::owner(), 0).change(Change::Put {
         key: keys::owner(),
         value,
-        hold: Some(hold),
+        lease: Some(lease_id),
     });
     let term = match node.state.txn(&txn, STATE_DEADLINE).await {
         Ok(TxnOutcome::Committed { revision }) => revision,
         Ok(TxnOutcome::Conflict) => {
-            let _ = node.state.release(hold, STATE_DEADLINE).await;
+            let _ = node.state.end_lease(lease_id, STATE_DEADLINE).await;
             return (None, true);
         }
         Err(error) => {
-            // It may be applied yet; ending the hold takes its record along,
+            // It may be applied yet; ending the lease takes its record along,
             // and standing by ends it again if this has no answer either.
             warn!(%error, "the shard could not be acquired");
-            let released = node.state.release(hold, STATE_DEADLINE).await;
+            let released = node.state.end_lease(lease_id, STATE_DEADLINE).await;
             return (None, released.is_ok());
         }
     };
     let until = lease::deadline(operator, sent);
-    let tenure = Arc::new(Tenure::new(hold, term, sent, until, node.now()));
-    info!(term, hold, "shard acquired");
+    let lease = Arc::new(ShardLease::new(lease_id, term, sent, until, node.now()));
+    info!(term, lease_id, "shard acquired");
     node.lock().latest_term = term;
-    tokio::spawn(renew(node.clone(), tenure.clone()));
-    (Some(tenure), true)
+    tokio::spawn(renew(node.clone(), lease.clone()));
+    (Some(lease), true)
 }
 
-/// Renews the hold until it has ended, on connections of its own. The next
+/// Renews the lease until it has ended, on connections of its own. The next
 /// renewal doesn't wait for the answer to the last: a slow state service must
 /// not take the shard from an owner that it serves.
-async fn renew(node: Arc<Node>, tenure: Arc<Tenure>) {
+async fn renew(node: Arc<Node>, lease: Arc<ShardLease>) {
     let operator = &node.settings.operator;
     let most_open = (operator.lease_s / operator.renew_s).ceil() as usize;
     let mut open = tokio::task::JoinSet::new();
     let mut trouble = false;
-    while !tenure.ended() {
+    while !lease.ended() {
         if open.len() < most_open {
-            open.spawn(renew_once(node.clone(), tenure.clone()));
+            open.spawn(renew_once(node.clone(), lease.clone()));
         }
         // Answers that come within the usual pause; late ones count as well.
         let mut refused = false;
@@ -221,7 +225,7 @@
         loop {
             tokio::select! {
                 () = &mut pause => break,
-                () = tenure.end.notified() => break,
+                () = lease.end.notified() => break,
                 Some(result) = open.join_next() => {
                     if matches!(result, Ok(Err(StateError::Refused(_)))) {
                         refused = true;
@@ -232,16 +236,16 @@
         }
         let now = node.now();
         let was = trouble;
-        let unrenewed = tenure.unrenewed(now);
+        let unrenewed = lease.unrenewed(now);
         trouble = unrenewed > operator.lease().mul_f64(TROUBLE)
             || (was && unrenewed > operator.renew() * 3);
         if trouble && !was {
-            warn!(term = tenure.term, refused, "the hold can't be renewed");
+            warn!(term = lease.term, refused, "the lease can't be renewed");
         } else if was && !trouble {
-            info!(term = tenure.term, "hold renewed again");
+            info!(term = lease.term, "lease renewed again");
         }
         if trouble {
-            extend_by_promises(&node, &tenure).await;
+            extend_by_promises(&node, &lease).await;
         }
         if refused {
             tokio::time::sleep(RENEW_RETRY).await;
@@ -249,15 +253,15 @@
     }
 }
 
-async fn renew_once(node: Arc<Node>, tenure: Arc<Tenure>) -> Result<(), StateError> {
+async fn renew_once(node: Arc<Node>, lease: Arc<ShardLease>) -> Result<(), StateError> {
     let operator = &node.settings.operator;
     let sent = node.now();
-    let result = node.state.renew(tenure.hold, operator.lease()).await;
+    let result = node.state.renew_lease(lease.id, operator.lease()).await;
     match &result {
-        Ok(()) => tenure.renewed(sent, lease::deadline(operator, sent)),
-        Err(StateError::HoldEnded) if !tenure.ended() => {
-            warn!(term = tenure.term, "the hold has ended");
-            tenure.finish();
+        Ok(()) => lease.renewed(sent, lease::deadline(operator, sent)),
+        Err(StateError::LeaseEnded) if !lease.ended() => {
+            warn!(term = lease.term, "the lease has ended");
+            lease.finish();
         }
         Err(_) => {}
     }
@@ -267,41 +271,41 @@
 /// Without the state service, an owner goes on as long as every other
 /// controller promises not to seek the shard. Past its deadline, it may begin to
 /// again if nobody can have taken the shard since its last good renewal.
-async fn extend_by_promises(node: &Arc<Node>, tenure: &Tenure) {
+async fn extend_by_promises(node: &Arc<Node>, lease: &ShardLease) {
     let time = extension::LONGEST_PROMISE;
     let sent = node.now();
-    let promised = if tenure.live(sent) {
+    let promised = if lease.live(sent) {
         extension::all_promise(node, time).await
     } else {
-        extension::all_stand_aside(node, tenure, time).await
+        extension::all_stand_aside(node, lease, time).await
     };
     if promised {
         let margin = Duration::from_secs_f64(node.settings.operator.lease_margin_s).min(time / 4);
-        tenure.extended(sent + drift::shortest(time) - margin);
+        lease.extended(sent + drift::shortest(time) - margin);
     }
 }
 
-/// Owns the shard until the tenure ends.
-async fn serve(node: &Arc<Node>, tenure: Arc<Tenure>) {
+/// Owns the shard until the lease ends.
+async fn serve(node: &Arc<Node>, lease: Arc<ShardLease>) {
     let mut attempt = 0;
-    node.lock().loading = Some(tenure.clone());
+    node.lock().loading = Some(lease.clone());
     let (loaded, revision) = loop {
-        if tenure.ended() {
+        if lease.ended() {
             node.lock().loading = None;
             return;
         }
-        match load(node, &tenure).await {
+        match load(node, &lease).await {
             Ok(loaded) => break loaded,
             Err(error) => {
                 attempt += 1;
-                warn!(term = tenure.term, %error, "the shard can't be loaded yet");
+                warn!(term = lease.term, %error, "the shard can't be loaded yet");
                 tokio::time::sleep(backoff(attempt)).await;
             }
         }
     };
     let shard = Shard::take_over(
         node.policy.clone(),
-        tenure.term,
+        lease.term,
         loaded,
         node.now(),
         node.clock.wall_ms(),
@@ -310,7 +314,7 @@
         let mut inner = node.lock();
         inner.loading = None;
         inner.ownership = Some(Ownership {
-            tenure: tenure.clone(),
+            lease: lease.clone(),
             shard,
             lender: Lender::default(),
             endings: None,
@@ -320,39 +324,39 @@
     // The ledger may know of endings since what was loaded was read.
     node.tell_endings();
     let types = node.lock().types.clone();
-    node.with_shard(&tenure, "types", |shard, _| {
+    node.with_shard(&lease, "types", |shard, _| {
         if let Some(types) = types {
             shard.set_types(&types);
         }
     });
-    tokio::spawn(watch_jobs(node.clone(), tenure.clone(), revision));
-    tokio::spawn(io::watch_cloud(node.clone(), tenure.clone()));
-    decide(node, &tenure).await;
+    tokio::spawn(watch_jobs(node.clone(), lease.clone(), revision));
+    tokio::spawn(io::watch_cloud(node.clone(), lease.clone()));
+    decide(node, &lease).await;
     let mut inner = node.lock();
     inner.ownership = None;
     drop(inner);
-    info!(term = tenure.term, "shard given up");
+    info!(term = lease.term, "shard given up");
 }
 
-/// Has the shard decide, after events and now and then, until the tenure ends.
+/// Has the shard decide, after events and now and then, until the lease ends.
 ///
 /// Events come far more often than decisions are worth making on a share of a
 /// core: the costlier a pass was, the longer the next one waits, and the more
 /// events it serves.
-async fn decide(node: &Arc<Node>, tenure: &Arc<Tenure>) {
+async fn decide(node: &Arc<Node>, lease: &Arc<ShardLease>) {
     let mut next_tick = node.now();
     let mut next_summary = node.now() + SUMMARY;
-    while !tenure.ended() {
+    while !lease.ended() {
         tokio::select! {
             () = tokio::time::sleep(next_tick.saturating_duration_since(node.now())) => {}
-            () = tenure.work.notified() => {}
-            () = tenure.end.notified() => {}
+            () = lease.work.notified() => {}
+            () = lease.end.notified() => {}
         }
         let begun = node.now();
         let ticks = begun >= next_tick;
-        if tenure.live(begun) {
+        if lease.live(begun) {
             let activity = if ticks { "ticks" } else { "passes" };
-            node.with_shard(tenure, activity, |shard, now| {
+            node.with_shard(lease, activity, |shard, now| {
                 if ticks {
                     shard.tick(now);
                 } else {
@@ -369,7 +373,7 @@
             next_summary = ended + SUMMARY;
             if let Some(own) = &node.lock().ownership {
                 info!(
-                    term = tenure.term,
+                    term = lease.term,
                     summary = own.shard.summary(),
                     time = %own.activities,
                     "shard"
@@ -380,26 +384,26 @@
     }
 }
 
-/// Ends a tenure at once, so that another controller can begin.
-pub async fn step_down(node: &Arc<Node>, tenure: &Arc<Tenure>, why: &str) {
-    info!(term = tenure.term, why, "stepping down");
-    tenure.finish();
-    if let Err(error) = node.state.release(tenure.hold, STATE_DEADLINE).await {
-        warn!(%error, "the hold could not be ended; it runs out");
+/// Ends a lease at once, so that another controller can begin.
+pub async fn step_down(node: &Arc<Node>, lease: &Arc<ShardLease>, why: &str) {
+    info!(term = lease.term, why, "stepping down");
+    lease.finish();
+    if let Err(error) = node.state.end_lease(lease.id, STATE_DEADLINE).await {
+        warn!(%error, "the lease could not be ended; it runs out");
     }
 }
 
-async fn load(node: &Arc<Node>, tenure: &Tenure) -> Result<(Loaded, u64), StateError> {
+async fn load(node: &Arc<Node>, lease: &ShardLease) -> Result<(Loaded, u64), StateError> {
     let stored = StoredShard::read(&node.state).await?;
-    *tenure.sequence.lock().await = stored.sequence();
+    *lease.sequence.lock().await = stored.sequence();
     let revision = stored.revision;
     Ok((stored.parse(), revision))
 }
 
 /// Tells the shard of accepted and ended jobs.
-async fn watch_jobs(node: Arc<Node>, tenure: Arc<Tenure>, mut revision: u64) {
+async fn watch_jobs(node: Arc<Node>, lease: Arc<ShardLease>, mut revision: u64) {
     let mut attempt = 0;
-    while !tenure.ended() {
+    while !lease.ended() {
         match node.state.follow(keys::JOBS, revision, WATCH).await {
             Ok(page) => {
                 attempt = 0;
@@ -407,7 +411,7 @@
                 if page.events.is_empty() {
                     continue;
                 }
-                node.with_shard(&tenure, "jobs", |shard, now| {
+                node.with_shard(&lease, "jobs", |shard, now| {
                     for event in page.events {
                         match event {
                             News::Put {
@@ -419,7 +423,7 @@
                                     key,
                                     value,
                                     version,
-                                    hold: None,
+                                    lease: None,
                                 };
                                 if let Some((id, mark, record)) = parse_job(item) {
                                     node.tell_accepted(shard, &id, mark, record, now);
@@ -440,7 +444,7 @@
                     let open = |(id, mark, _): &(String, u64, _)| !node.ledger.has_ended(id, *mark);
                     let jobs = items.into_iter().filter_map(parse_job);
                     let jobs: Vec<_> = jobs.filter(open).collect();
-                    node.with_shard(&tenure, "jobs", |shard, now| {
+                    node.with_shard(&lease, "jobs", |shard, now| {
                         shard.jobs_reread(jobs, at, now)
                     });
                 }
--- a/src/coordination/peering/delegation.rs
+++ b/src/coordination/peering/delegation.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use crate::coordination::drift;
-use crate::coordination::lease::{KEEPING, Tenure};
+use crate::coordination::lease::{KEEPING, ShardLease};
 use crate::coordination::node::{Keeping, Node, STATE_DEADLINE, random_id};
 use crate::coordination::standing;
 use crate::protocol::state::{Change, Item, Txn};
@@ -35,7 +35,7 @@
 
 /// Tells the shard until when others may have answered workers on their own.
 pub(super) fn note_quiet(node: &Arc<Node>) {
-    let Some(tenure) = node.live_tenure() else {
+    let Some(lease) = node.live_lease() else {
         return;
     };
     let now = node.now();
@@ -45,7 +45,7 @@
         let labels = others.iter().map(|peer| peer.label.as_str());
         own.lender.last_kept(labels, longest, now)
     });
-    node.with_shard(&tenure, "loans", |shard, _| shard.note_kept(kept, now));
+    node.with_shard(&lease, "loans", |shard, _| shard.note_kept(kept, now));
 }
 
 /// Zones may be cut from one another while the state service reaches both:
@@ -103,11 +103,11 @@
 /// The owner lends the keeping of workers to controllers that it can't reach
 /// but that hear them, and recalls it when it can.
 pub(super) async fn lend_and_recall(node: &Arc<Node>) {
-    let Some((tenure, unreached)) = unreached_peers(node) else {
+    let Some((lease, unreached)) = unreached_peers(node) else {
         return;
     };
     let zones = zones_of(node, &unreached);
-    node.with_shard(&tenure, "loans", |shard, _| {
+    node.with_shard(&lease, "loans", |shard, _| {
         shard.set_cut_off(zones);
         for label in shard.keepers() {
             if !unreached.contains(&label) {
@@ -121,7 +121,7 @@
     let Some(heard) = heard_elsewhere(node).await else {
         return;
     };
-    node.with_shard(&tenure, "loans", |shard, now| {
+    node.with_shard(&lease, "loans", |shard, now| {
         for label in shard.keepers() {
             if !heard.contains_key(&label) {
                 shard.recall(&label);
@@ -131,18 +131,18 @@
             shard.lend(label, now);
         }
     });
-    let wanted = node.with_shard(&tenure, "loans", |shard, _| shard.wants_inventories());
+    let wanted = node.with_shard(&lease, "loans", |shard, _| shard.wants_inventories());
     if wanted == Some(true) {
-        read_inventories(node, &tenure).await;
+        read_inventories(node, &lease).await;
     }
 }
 
 /// The controllers that this owner can't reach; None if it isn't one, or has just begun.
-fn unreached_peers(node: &Node) -> Option<(Arc<Tenure>, BTreeSet<String>)> {
+fn unreached_peers(node: &Node) -> Option<(Arc<ShardLease>, BTreeSet<String>)> {
     let now = node.now();
     let inner = node.lock();
-    let tenure = &inner.ownership.as_ref()?.tenure;
-    if !tenure.live(now) || now.saturating_duration_since(tenure.since) < LISTENING {
+    let lease = &inner.ownership.as_ref()?.lease;
+    if !lease.live(now) || now.saturating_duration_since(lease.since) < LISTENING {
         return None;
     }
     let silent = |peer: &&Peer| {
@@ -151,11 +151,11 @@
     };
     let others = node.settings.platform.others.iter();
     let labels = others.filter(silent).map(|peer| peer.label.clone());
-    Some((tenure.clone(), labels.collect()))
+    Some((lease.clone(), labels.collect()))
 }
 
 /// Takes in what keepers wrote of the workers that this owner can't hear.
-async fn read_inventories(node: &Arc<Node>, tenure: &Arc<Tenure>) {
+async fn read_inventories(node: &Arc<Node>, lease: &Arc<ShardLease>) {
     let prefix = keys::inventory_prefix();
     let Ok((pages, _)) = node.state.list(&prefix, STATE_DEADLINE).await else {
         return;
@@ -165,8 +165,8 @@
             .inspect_err(|error| tracing::error!(key = item.key, %error, "a record can't be read"))
             .ok()
     };
-    let reports = whole_reports(pages.into_iter().filter_map(parse), tenure.term);
-    node.with_shard(tenure, "loans", |shard, now| {
+    let reports = whole_reports(pages.into_iter().filter_map(parse), lease.term);
+    node.with_shard(lease, "loans", |shard, now| {
         for report in &reports {
             shard.relayed(report, now);
         }
--- a/src/coordination/peering/extension.rs
+++ b/src/coordination/peering/extension.rs
@@ -9,10 +9,10 @@
 
 use super::{ROUND_DEADLINE, ask, post};
 use crate::coordination::drift;
-use crate::coordination::lease::Tenure;
+use crate::coordination::lease::ShardLease;
 use crate::coordination::node::{Inner, Node};
-use crate::protocol::peers::{PeerAnswer, PeerRequest};
 use crate::protocol::peer_messages::{STAND_ASIDE, StandAside, StoodAside};
+use crate::protocol::peers::{PeerAnswer, PeerRequest};
 use crate::settings::platform::Peer;
 
 /// Longest promise that is given. A process that has just started waits this
@@ -89,13 +89,13 @@
 
 /// Asks all other controllers to stand aside; true if every one does, and none can
 /// have taken the shard since.
-pub async fn all_stand_aside(node: &Arc<Node>, tenure: &Tenure, time: Duration) -> bool {
-    if !node.state_failing() || tenure.ended() {
+pub async fn all_stand_aside(node: &Arc<Node>, lease: &ShardLease, time: Duration) -> bool {
+    if !node.state_failing() || lease.ended() {
         return false;
     }
-    let renewed = tenure.last_renewed();
+    let renewed = lease.last_renewed();
     let frame = StandAside {
-        term: tenure.term,
+        term: lease.term,
         millis: time.as_millis() as u64,
     };
     let frame = frame.encode();
@@ -113,10 +113,10 @@
 /// A later term than ours means that the record of ours is gone, though the service
 /// may not tell us: the later owner counts on our promise.
 pub(super) fn end_earlier(inner: &Inner, later: u64) {
-    let own = inner.ownership.as_ref().map(|own| &own.tenure);
-    let superseded = |tenure: &&Arc<Tenure>| tenure.term < later && !tenure.ended();
-    for tenure in own.into_iter().chain(&inner.loading).filter(superseded) {
-        tracing::warn!(term = tenure.term, later, "another owns the shard");
-        tenure.finish();
+    let own = inner.ownership.as_ref().map(|own| &own.lease);
+    let superseded = |lease: &&Arc<ShardLease>| lease.term < later && !lease.ended();
+    for lease in own.into_iter().chain(&inner.loading).filter(superseded) {
+        tracing::warn!(term = lease.term, later, "another owns the shard");
+        lease.finish();
     }
 }
--- a/src/coordination/peering/handover.rs
+++ b/src/coordination/peering/handover.rs
@@ -4,14 +4,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::delegation::{LISTENING, HEARTBEAT_FRESH, heard_elsewhere};
+use super::delegation::{HEARTBEAT_FRESH, LISTENING, heard_elsewhere};
 use crate::coordination::node::Node;
 use crate::coordination::ownership::step_down;
 
 /// Rounds for which an owner must hear too little before it gives up.
 const DEAF_ROUNDS: u32 = 2;
 /// How long an owner stays at the least before it hands over to a nearer one.
-const LEAST_TENURE: Duration = Duration::from_secs(6);
+const LEAST_OWNERSHIP: Duration = Duration::from_secs(6);
 /// How long it stays while work waits: a change of owners makes it wait longer.
 const LONGEST_BUSY: Duration = Duration::from_secs(15);
 /// How long a node that couldn't hear the workers leaves the shard to others.
@@ -62,17 +62,17 @@
         Hearing::Less => *deaf_rounds + 1,
         Hearing::FarLess => DEAF_ROUNDS,
     };
-    let Some(tenure) = node.tenure() else {
+    let Some(lease) = node.lease() else {
         return;
     };
     if *deaf_rounds >= DEAF_ROUNDS {
         *deaf_rounds = 0;
         node.lock().deaf_until = Some(node.now() + DEAF_FOR);
         let why = "it hears too few workers, and another controller does";
-        step_down(node, &tenure, why).await;
+        step_down(node, &lease, why).await;
     } else if nearer_peer(node) {
         let why = "a controller nearer to the machines can take over";
-        step_down(node, &tenure, why).await;
+        step_down(node, &lease, why).await;
     }
 }
 
@@ -92,7 +92,7 @@
         let Some(own) = &inner.ownership else {
             return Hearing::Enough;
         };
-        if !own.tenure.live(now) || now.saturating_duration_since(own.tenure.since) < LISTENING {
+        if !own.lease.live(now) || now.saturating_duration_since(own.lease.since) < LISTENING {
             return Hearing::Enough;
         }
         let (heard, expected) = own.shard.hearing(now);
@@ -103,7 +103,8 @@
             .peers
             .values()
             .filter(|view| {
-                now.saturating_duration_since(view.at) < HEARTBEAT_FRESH && view.heartbeat.state_served
+                now.saturating_duration_since(view.at) < HEARTBEAT_FRESH
+                    && view.heartbeat.state_served
             })
             .map(|view| view.heartbeat.workers_heard as usize)
             .max()
@@ -128,7 +129,7 @@
 /// Whether a peer in the zone of most machines could run the shard instead.
 fn nearer_peer(node: &Node) -> bool {
     let now = node.now();
-    // Who can't end its hold leaves the shard to nobody until it has run out, and
+    // Who can't end its lease leaves the shard to nobody until it has run out, and
     // through an outage that begins before.
     if node.state_failing() {
         return false;
@@ -140,15 +141,15 @@
     let least = if own.shard.is_busy() {
         LONGEST_BUSY
     } else {
-        LEAST_TENURE
+        LEAST_OWNERSHIP
     };
     *main != node.settings.platform.area
-        && now.saturating_duration_since(own.tenure.since) > least
+        && now.saturating_duration_since(own.lease.since) > least
         && inner.peers.values().any(|view| {
             now.saturating_duration_since(view.at) < NEARER_HEARD
                 && view.heartbeat.zone == *main
                 && view.heartbeat.state_served
                 && !view.heartbeat.deaf
-                && view.heartbeat.up_s > LEAST_TENURE.as_secs() / 2
+                && view.heartbeat.up_s > LEAST_OWNERSHIP.as_secs() / 2
         })
 }
--- a/src/coordination/peering/heartbeat.rs
+++ b/src/coordination/peering/heartbeat.rs
@@ -6,7 +6,7 @@
 use super::{ROUND_DEADLINE, ask, extension};
 use crate::coordination::node::{Node, PeerView};
 use crate::coordination::standing::StandingLoan;
-use crate::protocol::peers::{PeerAnswer, PeerRequest, Progress, Heartbeat};
+use crate::protocol::peers::{Heartbeat, PeerAnswer, PeerRequest, Progress};
 
 /// How long a worker that came by counts as heard.
 const HEARD: Duration = Duration::from_secs(8);
@@ -22,8 +22,8 @@
     let term = inner
         .ownership
         .as_ref()
-        .filter(|own| own.tenure.live(now))
-        .map(|own| own.tenure.term);
+        .filter(|own| own.lease.live(now))
+        .map(|own| own.lease.term);
     Heartbeat {
         label: node.label().to_owned(),
         zone: node.settings.platform.area.clone(),
@@ -81,7 +81,7 @@
     let answer = own_heartbeat(node);
     if let Some(term) = answer.term
         && let Some(own) = &mut node.lock().ownership
-        && own.tenure.term == term
+        && own.lease.term == term
     {
         own.lender.grant(&label, node.now());
     }
@@ -89,7 +89,12 @@
 }
 
 /// Takes in the answer to a heartbeat that was sent at `sent` under the term `told`.
-pub(crate) fn heartbeat_answered(node: &Node, heartbeat: Heartbeat, sent: Instant, told: Option<u64>) {
+pub(crate) fn heartbeat_answered(
+    node: &Node,
+    heartbeat: Heartbeat,
+    sent: Instant,
+    told: Option<u64>,
+) {
     let now = node.now();
     let kept = now.checked_sub(Duration::from_millis(heartbeat.kept_ago_ms));
     {
@@ -99,9 +104,9 @@
         }
         // Who was told our term keeps nothing for a while.
         if let Some(own) = &mut inner.ownership
-            && told == Some(own.tenure.term)
+            && told == Some(own.lease.term)
         {
-            let kept = kept.unwrap_or(own.tenure.since);
+            let kept = kept.unwrap_or(own.lease.since);
             own.lender.answered(&heartbeat.label, sent, kept);
         }
     }
--- a/src/coordination/requests.rs
+++ b/src/coordination/requests.rs
@@ -290,8 +290,8 @@
         .change(Change::put(keys::job(id), value));
     match user_write(node, &txn).await? {
         TxnOutcome::Committed { revision } => {
-            if let Some(tenure) = node.tenure() {
-                node.with_shard(&tenure, "jobs", |shard, now| {
+            if let Some(lease) = node.lease() {
+                node.with_shard(&lease, "jobs", |shard, now| {
                     node.tell_accepted(shard, id, revision, record, now)
                 });
             }
--- a/src/coordination/tests/awareness.rs
+++ b/src/coordination/tests/awareness.rs
@@ -9,14 +9,14 @@
 use crate::clock::FakeClock;
 use crate::coordination::answering::{Verdict, answer_report};
 use crate::coordination::awareness::{Awareness, bound};
-use crate::coordination::lease::Tenure;
+use crate::coordination::lease::ShardLease;
 use crate::coordination::node::{Node, Ownership, STATE_DEADLINE};
 use crate::coordination::peering::cancellations::{cancellations_told, note_told};
 use crate::coordination::shard::{Loaded, Shard};
 use crate::coordination::standing::Lender;
 use crate::protocol::TaskId;
-use crate::protocol::state::News;
 use crate::protocol::peer_messages::{CancellationsAsked, CancellationsTold};
+use crate::protocol::state::News;
 use crate::protocol::users::{JobSpec, Stage, parse_submission};
 use crate::protocol::workers::{Command, TaskReport, TaskState};
 use crate::storage::keys;
@@ -48,7 +48,7 @@
     clock: Arc<FakeClock>,
     owner: Arc<Node>,
     peer: Arc<Node>,
-    tenure: Arc<Tenure>,
+    lease: Arc<ShardLease>,
     seq: u64,
 }
 
@@ -67,7 +67,7 @@
             jobs: vec![("run-000001".into(), ACCEPTED, record.clone())],
             ..Loaded::default()
         };
-        let tenure = Arc::new(Tenure::new(1, TERM, now, now + second(3), now));
+        let lease = Arc::new(ShardLease::new(1, TERM, now, now + second(3), now));
         let shard = Shard::take_over(owner.policy.clone(), TERM, loaded, now, 0);
         let opened = News::Put {
             key: keys::job("run-000001"),
@@ -79,7 +79,7 @@
             node.lock().awareness.looked(now);
         }
         owner.lock().ownership = Some(Ownership {
-            tenure: tenure.clone(),
+            lease: lease.clone(),
             shard,
             lender: Lender::default(),
             endings: None,
@@ -90,7 +90,7 @@
             clock,
             owner,
             peer,
-            tenure,
+            lease,
             seq: 1,
         }
     }
@@ -105,7 +105,7 @@
     /// Time passes in an outage; the owner goes on by promises.
     fn pass(&self, time: Duration) {
         self.clock.advance(time);
-        self.tenure.extended(self.owner.now() + second(1));
+        self.lease.extended(self.owner.now() + second(1));
     }
 
     fn told_by(&self, peer: &Node) -> CancellationsTold {
@@ -178,7 +178,7 @@
     assert!(gap.report().is_some());
     gap.pass(second(1));
     assert!(gap.owner.now() < latest);
-    assert!(gap.tenure.live(gap.owner.now()), "the promises still come");
+    assert!(gap.lease.live(gap.owner.now()), "the promises still come");
     assert_eq!(gap.report(), None);
     // The state service answers again: a look, and all is as before.
     gap.owner.lock().awareness.looked(gap.owner.now());
@@ -231,13 +231,13 @@
     gap.owner.tell_endings();
     assert!(stops(gap.report()));
     // The watch, far behind, still tells of its acceptance.
-    let tenure = gap.tenure.clone();
+    let lease = gap.lease.clone();
     let record = JobRecord {
         v: VERSION,
         at_ms: 0,
         spec: spec(),
     };
-    let known = gap.owner.with_shard(&tenure, "jobs", |shard, now| {
+    let known = gap.owner.with_shard(&lease, "jobs", |shard, now| {
         gap.owner
             .tell_accepted(shard, "run-000001", ACCEPTED, record, now);
         let job = shard.jobs().get("run-000001");
--- a/src/coordination/tests/peering.rs
+++ b/src/coordination/tests/peering.rs
@@ -6,28 +6,34 @@
 
 use super::{node, report};
 use crate::clock::FakeClock;
-use crate::coordination::lease::Tenure;
+use crate::coordination::lease::ShardLease;
 use crate::coordination::node::{Node, Ownership, STATE_DEADLINE};
 use crate::coordination::peering::extension::{left_alone, promise, stand_aside};
-use crate::coordination::peering::heartbeat::{note_heartbeat, own_heartbeat, heartbeat_answered};
+use crate::coordination::peering::heartbeat::{heartbeat_answered, note_heartbeat, own_heartbeat};
 use crate::coordination::shard::{Loaded, Shard};
 use crate::coordination::standing::{self, Lender};
-use crate::protocol::peers::Heartbeat;
 use crate::protocol::peer_messages::{StandAside, StoodAside};
+use crate::protocol::peers::Heartbeat;
 
 /// Has a controller own an empty shard.
-fn own(node: &Node, term: u64) -> Arc<Tenure> {
+fn own(node: &Node, term: u64) -> Arc<ShardLease> {
     let now = node.now();
-    let tenure = Arc::new(Tenure::new(1, term, now, now + Duration::from_secs(3), now));
+    let lease = Arc::new(ShardLease::new(
+        1,
+        term,
+        now,
+        now + Duration::from_secs(3),
+        now,
+    ));
     let shard = Shard::take_over(node.policy.clone(), term, Loaded::default(), now, 0);
     node.lock().ownership = Some(Ownership {
-        tenure: tenure.clone(),
+        lease: lease.clone(),
         shard,
         lender: Lender::default(),
         endings: None,
         activities: Default::default(),
     });
-    tenure
+    lease
 }
 
 #[tokio::test]
@@ -68,7 +74,7 @@
     assert!(!node.ready());
     let reply = answer(&node, Ask::Poll("run-1".into()), false).await;
     assert_eq!(reply.status, 503);
-    assert!(node.live_tenure().is_none() && node.owner_label().is_none());
+    assert!(node.live_lease().is_none() && node.owner_label().is_none());
     note_heartbeat(&node, peer);
     assert!(node.ready());
 }
@@ -118,13 +124,13 @@
 
 /// Refused by the state service alone, an owner is replaced, and the service then
 /// falls out for all: the new owner needs the promise of the old, which was never
-/// told that its hold has ended. Its term in the new owner's heartbeat tells it.
+/// told that its lease has ended. Its term in the new owner's heartbeat tells it.
 #[tokio::test]
 async fn an_owner_that_hears_of_a_later_one_gives_up_and_promises() {
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
     let now = node.now();
-    let tenure = own(&node, 9);
+    let lease = own(&node, 9);
     let _ = node.state.get("o/0/owner", STATE_DEADLINE).await;
     clock.advance(Duration::from_secs(4));
     let heartbeat = |term| Heartbeat {
@@ -134,14 +140,14 @@
     };
     note_heartbeat(&node, heartbeat(8));
     assert!(
-        !tenure.ended(),
+        !lease.ended(),
         "an older owner's late heartbeat proves nothing"
     );
     assert!(!promise(&node, Duration::from_secs(1)), "it may go on yet");
     note_heartbeat(&node, heartbeat(10));
-    assert!(tenure.ended());
-    tenure.renewed(now, now + Duration::from_secs(60));
-    assert!(!tenure.live(node.now()));
+    assert!(lease.ended());
+    lease.renewed(now, now + Duration::from_secs(60));
+    assert!(!lease.live(node.now()));
     node.lock().ownership = None;
     assert!(promise(&node, Duration::from_secs(1)));
 }
@@ -190,12 +196,16 @@
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
     node.lock().awareness.looked(node.now());
-    let tenure = own(&node, 9);
+    let lease = own(&node, 9);
     let _ = node.state.get("o/0/owner", STATE_DEADLINE).await;
     clock.advance(Duration::from_secs(4));
     let report = report(9);
-    assert!(node.live_tenure().is_none());
+    assert!(node.live_lease().is_none());
     assert_eq!(node.keeps(&report), Some(9));
-    tenure.finish();
-    assert_eq!(node.keeps(&report), None, "its hold is known to have ended");
+    lease.finish();
+    assert_eq!(
+        node.keeps(&report),
+        None,
+        "its lease is known to have ended"
+    );
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -3,9 +3,9 @@
 //! The wire's own field names appear only in this layer, as serde renames.
 
 pub mod cloud;
+pub mod peer_messages;
 pub mod peers;
 pub mod state;
-pub mod peer_messages;
 pub mod users;
 pub mod workers;
 
--- a/src/protocol/peer_messages.rs
+++ b/src/protocol/peer_messages.rs
@@ -36,7 +36,7 @@
 /// The path at which controllers stand aside for an owner past its deadline.
 pub const STAND_ASIDE: &str = "/peer/stand-aside/1";
 
-/// The sender's hold of this term may have run out before the state service fell
+/// The sender's lease of this term may have run out before the state service fell
 /// out for all: will you leave the shard alone for this long, and has nobody
 /// taken it since?
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -13,7 +13,7 @@
     #[serde(rename = "Mark")]
     pub version: u64,
     #[serde(rename = "Tenure", default, skip_serializing_if = "Option::is_none")]
-    pub hold: Option<u64>,
+    pub lease: Option<u64>,
 }
 
 /// A page of keys.
@@ -46,7 +46,7 @@
         #[serde(rename = "V")]
         value: Value,
         #[serde(rename = "Tenure", default, skip_serializing_if = "Option::is_none")]
-        hold: Option<u64>,
+        lease: Option<u64>,
     },
     Delete {
         #[serde(rename = "Drop")]
@@ -59,7 +59,7 @@
         Self::Put {
             key: key.into(),
             value,
-            hold: None,
+            lease: None,
         }
     }
 
@@ -101,16 +101,16 @@
     pub revision: u64,
 }
 
-/// The answer to a new hold.
+/// The answer to a new lease.
 #[derive(Debug, Clone, Deserialize, Serialize)]
-pub struct HoldGranted {
+pub struct LeaseGranted {
     #[serde(rename = "Tenure")]
-    pub hold: u64,
+    pub lease: u64,
 }
 
-/// A request for a hold.
+/// A request for a lease.
 #[derive(Debug, Clone, Deserialize, Serialize)]
-pub struct HoldRequest {
+pub struct LeaseRequest {
     #[serde(rename = "TtlMs")]
     pub ttl_ms: u64,
 }
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -10,11 +10,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Operator {
-    /// Time to live of a controller's hold in the state service.
+    /// Time to live of a controller's lease in the state service.
     pub lease_s: f64,
-    /// How often the hold is renewed.
+    /// How often the lease is renewed.
     pub renew_s: f64,
-    /// How long before the hold's earliest end an owner stops acting.
+    /// How long before the lease's earliest end an owner stops acting.
     pub lease_margin_s: f64,
     /// How often a changed shard is snapshotted.
     pub snapshot_s: f64,
--- a/src/storage/client.rs
+++ b/src/storage/client.rs
@@ -12,7 +12,7 @@
 use thiserror::Error;
 
 use crate::clock::Clock;
-use crate::protocol::state::{Committed, HoldGranted, HoldRequest, Item, NewsPage, Page, Txn};
+use crate::protocol::state::{Committed, Item, LeaseGranted, LeaseRequest, NewsPage, Page, Txn};
 use crate::transport::client::{Answer, CallError, HttpClient};
 
 /// Why the state service didn't do what was asked.
@@ -24,9 +24,9 @@
     /// It may have done it, or may still do it.
     #[error("no answer")]
     NoAnswer,
-    /// The hold has ended.
-    #[error("the hold has ended")]
-    HoldEnded,
+    /// The lease has ended.
+    #[error("the lease has ended")]
+    LeaseEnded,
     /// The watch's starting point is too old, or too much has changed since: the
     /// keys have to be read again, in pages.
     #[error("the watch is too old")]
@@ -214,16 +214,16 @@
             }
             StatusCode::CONFLICT => Ok(TxnOutcome::Conflict),
             StatusCode::BAD_REQUEST if answer.body.windows(13).any(|w| w == b"no such lease") => {
-                Err(StateError::HoldEnded)
+                Err(StateError::LeaseEnded)
             }
             StatusCode::BAD_REQUEST => Err(StateError::TooLarge(text(&answer))),
             _ => Err(unexpected(&answer)),
         }
     }
 
-    /// Asks for a hold.
-    pub async fn hold(&self, ttl: Duration, deadline: Duration) -> Result<u64, StateError> {
-        let request = HoldRequest {
+    /// Asks for a lease.
+    pub async fn grant_lease(&self, ttl: Duration, deadline: Duration) -> Result<u64, StateError> {
+        let request = LeaseRequest {
             ttl_ms: ttl.as_millis() as u64,
         };
         let body =
@@ -234,25 +234,25 @@
         if answer.status != StatusCode::OK {
             return Err(unexpected(&answer));
         }
-        parse::<HoldGranted>(&answer).map(|granted| granted.hold)
+        parse::<LeaseGranted>(&answer).map(|granted| granted.lease)
     }
 
-    /// Renews a hold.
-    pub async fn renew(&self, hold: u64, deadline: Duration) -> Result<(), StateError> {
-        let path = format!("/holds/{hold}/renew");
+    /// Renews a lease.
+    pub async fn renew_lease(&self, lease: u64, deadline: Duration) -> Result<(), StateError> {
+        let path = format!("/holds/{lease}/renew");
         let answer = self
             .call(&self.renewals, Method::POST, &path, Vec::new(), deadline)
             .await?;
         match answer.status {
             StatusCode::OK => Ok(()),
-            StatusCode::NOT_FOUND => Err(StateError::HoldEnded),
+            StatusCode::NOT_FOUND => Err(StateError::LeaseEnded),
             _ => Err(unexpected(&answer)),
         }
     }
 
-    /// Ends a hold at once.
-    pub async fn release(&self, hold: u64, deadline: Duration) -> Result<(), StateError> {
-        let path = format!("/holds/{hold}");
+    /// Ends a lease at once.
+    pub async fn end_lease(&self, lease: u64, deadline: Duration) -> Result<(), StateError> {
+        let path = format!("/holds/{lease}");
         let answer = self
             .call(&self.renewals, Method::DELETE, &path, Vec::new(), deadline)
             .await?;
--- a/src/storage/keys.rs
+++ b/src/storage/keys.rs
@@ -26,7 +26,7 @@
     format!("o/{SHARD}/")
 }
 
-/// The shard's ownership record, attached to its owner's hold.
+/// The shard's ownership record, attached to its owner's lease.
 pub fn owner() -> String {
     format!("o/{SHARD}/owner")
 }
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -72,7 +72,9 @@
 pub struct OwnerRecord {
     pub v: u32,
     pub label: String,
-    pub hold: u64,
+    /// The id of the lease that its record is attached to.
+    #[serde(rename = "hold")]
+    pub lease: u64,
     /// Tells one run of a controller's process from the next.
     pub run: u64,
 }
--- a/src/transport/internal.rs
+++ b/src/transport/internal.rs
@@ -13,8 +13,8 @@
 use crate::coordination::node::Node;
 use crate::coordination::peering::{cancellations, extension, heartbeat};
 use crate::coordination::requests::{self, Ask};
-use crate::protocol::peers::{PeerAnswer, PeerRequest, decode_request, encode_answer};
 use crate::protocol::peer_messages::{CANCELLATIONS, CancellationsAsked, STAND_ASIDE, StandAside};
+use crate::protocol::peers::{PeerAnswer, PeerRequest, decode_request, encode_answer};
 
 /// Routes of the internal address.
 pub fn router(node: Arc<Node>) -> Router {
@@ -51,7 +51,9 @@
 
 async fn peer(State(node): State<Arc<Node>>, body: Bytes) -> Vec<u8> {
     let answer = match decode_request(&body) {
-        Some(PeerRequest::Heartbeat(heartbeat)) => PeerAnswer::Heartbeat(heartbeat::answer_heartbeat(&node, heartbeat)),
+        Some(PeerRequest::Heartbeat(heartbeat)) => {
+            PeerAnswer::Heartbeat(heartbeat::answer_heartbeat(&node, heartbeat))
+        }
         Some(PeerRequest::Promise { millis }) => PeerAnswer::Promise {
             given: extension::promise(&node, Duration::from_millis(millis)),
         },
--- a/tests/trial/meetings.rs
+++ b/tests/trial/meetings.rs
@@ -11,7 +11,7 @@
 use valegap::clock::SteadyClock;
 use valegap::coordination::awareness;
 use valegap::coordination::io::carry_out;
-use valegap::coordination::lease::Tenure;
+use valegap::coordination::lease::ShardLease;
 use valegap::coordination::node::Node;
 use valegap::coordination::peering::cancellations::ask_for_word;
 use valegap::coordination::peering::extension::{all_promise, all_stand_aside};
@@ -205,12 +205,15 @@
 #[tokio::test]
 async fn a_late_shard_write_undoes_no_newer_one() {
     let (service, node, _) = two().await;
-    let hold = node.state.hold(Duration::from_secs(60), DEADLINE).await;
-    let hold = hold.expect("a hold");
+    let lease_id = node
+        .state
+        .grant_lease(Duration::from_secs(60), DEADLINE)
+        .await;
+    let lease_id = lease_id.expect("a lease");
     let owner = Change::Put {
         key: keys::owner(),
-        value: json!({ "v": 2, "label": "n0", "hold": hold, "run": 1 }),
-        hold: Some(hold),
+        value: json!({ "v": 2, "label": "n0", "hold": lease_id, "run": 1 }),
+        lease: Some(lease_id),
     };
     let txn = Txn::default().change(owner);
     let Ok(TxnOutcome::Committed { revision }) = node.state.txn(&txn, DEADLINE).await else {
@@ -218,13 +221,13 @@
     };
     let now = Instant::now();
     let until = now + Duration::from_secs(60);
-    let tenure = Arc::new(Tenure::new(hold, revision, now, until, now));
+    let lease = Arc::new(ShardLease::new(lease_id, revision, now, until, now));
     let key = keys::roster_page(0);
     let write = |value: Value| {
         let changes = vec![Change::put(key.clone(), value)];
         let facts = Vec::new();
         let action = Action::Write(ShardWrite { facts, changes });
-        carry_out(node.clone(), tenure.clone(), action)
+        carry_out(node.clone(), lease.clone(), action)
     };
     service.hold_up(&key);
     write(json!("first")).await;
@@ -236,7 +239,7 @@
     // The owner goes on: its next write finds the number that it expects.
     write(json!("third")).await;
     assert_eq!(service.value(&key), Some(json!("third")));
-    assert!(!tenure.ended());
+    assert!(!lease.ended());
 }
 
 /// What is wrong in itself is refused at once, whatever else fails, and never
@@ -340,9 +343,9 @@
     let _ = node.state.get("o/0/owner", DEADLINE).await;
     let now = Instant::now();
     let time = Duration::from_secs(1);
-    let tenure = Tenure::new(1, 9, now, now + time, now);
+    let lease = ShardLease::new(1, 9, now, now + time, now);
     assert!(all_promise(&node, time).await);
-    assert!(!all_stand_aside(&node, &tenure, time).await);
+    assert!(!all_stand_aside(&node, &lease, time).await);
     // Its answers end with the bound after its own last look.
     let bound = awareness::bound(&node.settings);
     node.lock().awareness.looked(now);
--- a/tests/trial/support/state.rs
+++ b/tests/trial/support/state.rs
@@ -1,4 +1,4 @@
-//! A state service: keys with versions, transactions, holds and watches.
+//! A state service: keys with versions, transactions, leases and watches.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex};
@@ -11,15 +11,15 @@
 use axum::routing::{delete, get, post};
 use serde_json::{Value, json};
 use tokio::sync::Notify;
-use valegap::protocol::state::{Change, HoldRequest, Item, Txn};
+use valegap::protocol::state::{Change, Item, LeaseRequest, Txn};
 
 #[derive(Default)]
 struct Store {
     keys: BTreeMap<String, (Value, u64, Option<u64>)>,
     revision: u64,
-    /// Time to live and end of each hold.
-    holds: HashMap<u64, (Duration, Instant)>,
-    next_hold: u64,
+    /// Time to live and end of each lease.
+    leases: HashMap<u64, (Duration, Instant)>,
+    next_lease: u64,
     log: Vec<(String, u64, Value)>,
 }
 
@@ -34,24 +34,24 @@
     fn expire(&mut self) {
         let now = Instant::now();
         let over: Vec<u64> = self
-            .holds
+            .leases
             .iter()
             .filter(|(_, (_, end))| *end <= now)
             .map(|(id, _)| *id)
             .collect();
         for id in over {
-            self.end_hold(id);
+            self.end_lease(id);
         }
     }
 
-    fn end_hold(&mut self, id: u64) {
-        if self.holds.remove(&id).is_none() {
+    fn end_lease(&mut self, id: u64) {
+        if self.leases.remove(&id).is_none() {
             return;
         }
         let attached: Vec<String> = self
             .keys
             .iter()
-            .filter(|(_, (_, _, hold))| *hold == Some(id))
+            .filter(|(_, (_, _, lease))| *lease == Some(id))
             .map(|(key, _)| key.clone())
             .collect();
         if !attached.is_empty() {
@@ -84,7 +84,7 @@
     /// has ended since is not among them.
     pub fn restore(&self, items: &[Item]) {
         let mut store = self.store.lock().expect("store");
-        for item in items.iter().filter(|item| item.hold.is_none()) {
+        for item in items.iter().filter(|item| item.lease.is_none()) {
             let entry = (item.value.clone(), item.version, None);
             store.keys.insert(item.key.clone(), entry);
             store.revision = store.revision.max(item.version);
@@ -160,7 +160,7 @@
         .route("/store", get(list))
         .route("/store/{*key}", get(read))
         .route("/txn", post(txn))
-        .route("/holds", post(hold))
+        .route("/holds", post(grant))
         .route("/holds/{id}/renew", post(renew))
         .route("/holds/{id}", delete(end))
         .route("/follow", get(follow))
@@ -170,8 +170,8 @@
 async fn read(State(service): State<Service>, Path(key): Path<String>) -> Response {
     let store = service.store.lock().expect("store");
     match store.keys.get(&key) {
-        Some((value, version, hold)) => {
-            Json(json!({ "Path": key, "V": value, "Mark": version, "Tenure": hold }))
+        Some((value, version, lease)) => {
+            Json(json!({ "Path": key, "V": value, "Mark": version, "Tenure": lease }))
                 .into_response()
         }
         None => {
@@ -208,8 +208,10 @@
         let mut store = self.store.lock().expect("store");
         store.expire();
         for change in &txn.changes {
-            if let Change::Put { hold: Some(id), .. } = change
-                && !store.holds.contains_key(id)
+            if let Change::Put {
+                lease: Some(id), ..
+            } = change
+                && !store.leases.contains_key(id)
             {
                 let body = Json(json!({ "error": "no such lease" }));
                 return (StatusCode::BAD_REQUEST, body).into_response();
@@ -234,10 +236,10 @@
         let revision = store.revision;
         for change in txn.changes {
             match change {
-                Change::Put { key, value, hold } => {
+                Change::Put { key, value, lease } => {
                     let event = json!({ "Write": key, "V": value, "Mark": revision });
                     store.log.push((key.clone(), revision, event));
-                    store.keys.insert(key, (value, revision, hold));
+                    store.keys.insert(key, (value, revision, lease));
                 }
                 Change::Delete { key } => store.drop_key(&key),
             }
@@ -248,19 +250,19 @@
     }
 }
 
-async fn hold(State(service): State<Service>, Json(request): Json<HoldRequest>) -> Json<Value> {
+async fn grant(State(service): State<Service>, Json(request): Json<LeaseRequest>) -> Json<Value> {
     let mut store = service.store.lock().expect("store");
-    store.next_hold += 1;
-    let id = store.next_hold;
+    store.next_lease += 1;
+    let id = store.next_lease;
     let ttl = Duration::from_millis(request.ttl_ms);
-    store.holds.insert(id, (ttl, Instant::now() + ttl));
+    store.leases.insert(id, (ttl, Instant::now() + ttl));
     Json(json!({ "Tenure": id }))
 }
 
 async fn renew(State(service): State<Service>, Path(id): Path<u64>) -> StatusCode {
     let mut store = service.store.lock().expect("store");
     store.expire();
-    match store.holds.get_mut(&id) {
+    match store.leases.get_mut(&id) {
         Some((ttl, end)) => {
             *end = Instant::now() + *ttl;
             StatusCode::OK
@@ -270,7 +272,7 @@
 }
 
 async fn end(State(service): State<Service>, Path(id): Path<u64>) -> StatusCode {
-    service.store.lock().expect("store").end_hold(id);
+    service.store.lock().expect("store").end_lease(id);
     service.changed.notify_waiters();
     StatusCode::OK
 }
--- a/tests/upgrade/frames.rs
+++ b/tests/upgrade/frames.rs
@@ -2,11 +2,11 @@
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use valegap::protocol::state::Change;
 use valegap::protocol::peer_messages::{
     CANCELLATIONS, CancellationsAsked, CancellationsTold, CancelledJob, STAND_ASIDE, StandAside,
     StoodAside,
 };
+use valegap::protocol::state::Change;
 use valegap::protocol::users::JobKind;
 use valegap::protocol::workers::{Ending, TaskState};
 use valegap::storage::keys;
--- a/tests/upgrade/take_over.rs
+++ b/tests/upgrade/take_over.rs
@@ -86,7 +86,7 @@
                 key: key.clone(),
                 value: value.clone(),
                 version: 1,
-                hold: None,
+                lease: None,
             })
             .collect()
     }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use valegap::protocol::peers::{
-    PeerAnswer, PeerRequest, Progress, Heartbeat, decode_answer, decode_request, encode_answer,
+    Heartbeat, PeerAnswer, PeerRequest, Progress, decode_answer, decode_request, encode_answer,
     encode_request,
 };
 use valegap::protocol::users::{JobKind, Stage};
@@ -130,7 +130,7 @@
     assert_eq!((job.spec.kind, job.spec.tasks), (JobKind::Batch, 16));
     let last: FinalRecord = kept(FINAL_RECORD);
     assert_eq!(last.stage, Stage::Cancelled);
-    assert_eq!(kept::<OwnerRecord>(OWNER_RECORD).hold, 4);
+    assert_eq!(kept::<OwnerRecord>(OWNER_RECORD).lease, 4);
     assert!(kept::<KeeperRecord>(KEEPER_RECORD).inventory);
     assert_eq!(kept::<HearingRecord>(HEARING_RECORD).workers, 7);
     assert_eq!(kept::<SequenceRecord>(SEQ_RECORD).n, 41);
