--- a/src/coordination/standing.rs
+++ b/src/coordination/advance_delegation.rs
@@ -1,8 +1,8 @@
-//! Standing loans: going on without the state service.
+//! Advance delegations: going on without the state service.
 //!
 //! A controller that a cut takes from the owner and the state service at once
-//! can't ask for a loan. So each answer of the owner to a controller's heartbeat
-//! lends it the keeping of workers in advance: for a while after that heartbeat it
+//! can't ask for a delegation. So each answer of the owner to a controller's heartbeat
+//! allows it in advance to answer workers: for a while after that heartbeat it
 //! may answer them with the owner's term, but only once it hears neither the
 //! owner nor the service. An owner past its deadline may do the same for its
 //! own term. The time is short enough that no task of a job cancelled meanwhile
@@ -42,14 +42,14 @@
 
 /// What an owner's answer to a heartbeat entitles to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StandingLoan {
+pub struct AdvanceDelegation {
     /// The owner's term.
     pub term: u64,
     /// When the heartbeat was sent that the owner answered.
     pub seen: Instant,
 }
 
-impl StandingLoan {
+impl AdvanceDelegation {
     /// Until when workers may be answered, if all cancellations told before
     /// `known` are known.
     pub fn until(&self, known: Option<Instant>, longest: Duration) -> Option<Instant> {
@@ -60,19 +60,19 @@
     /// Takes in that an owner answered a heartbeat sent then.
     pub fn renewed(known: Option<Self>, term: u64, sent: Instant) -> Self {
         match known {
-            Some(loan) if loan.term > term => loan,
-            Some(loan) if loan.term == term => Self {
+            Some(delegation) if delegation.term > term => delegation,
+            Some(delegation) if delegation.term == term => Self {
                 term,
-                seen: loan.seen.max(sent),
+                seen: delegation.seen.max(sent),
             },
             _ => Self { term, seen: sent },
         }
     }
 }
 
-/// What an owner knows of the loans that its answers gave.
+/// What an owner knows of the delegations that its answers gave.
 #[derive(Debug, Default)]
-pub struct Lender {
+pub struct AdvanceGrants {
     /// By controller: when it last got an answer of ours.
     granted: HashMap<String, Instant>,
     /// By controller: when we sent the last heartbeat of this term that it answered,
@@ -80,20 +80,20 @@
     quiet: HashMap<String, (Instant, Instant)>,
 }
 
-impl Lender {
+impl AdvanceGrants {
     /// A controller's heartbeat is answered.
     pub fn grant(&mut self, label: &str, now: Instant) {
         self.granted.insert(label.to_owned(), now);
     }
 
-    /// A controller answered a heartbeat sent then: when it last kept workers.
+    /// A controller answered a heartbeat sent then: when it last answered workers.
     pub fn answered(&mut self, label: &str, sent: Instant, kept: Instant) {
         self.quiet.insert(label.to_owned(), (sent, kept));
     }
 
     /// The latest moment up to `now` at which one of these controllers may have
     /// answered workers under our term; None if none ever can have.
-    pub fn last_kept<'a>(
+    pub fn last_answer<'a>(
         &self,
         labels: impl Iterator<Item = &'a str>,
         longest: Duration,
@@ -105,8 +105,8 @@
             if quiet.is_some_and(|(sent, _)| now.saturating_duration_since(*sent) <= SURELY_HEARD) {
                 return kept;
             }
-            let lent = self.granted.get(label).map(|at| (*at + longest).min(now));
-            kept.max(lent)
+            let delegated = self.granted.get(label).map(|at| (*at + longest).min(now));
+            kept.max(delegated)
         };
         labels.filter_map(of).max()
     }
@@ -119,34 +119,53 @@
     const LONGEST: Duration = Duration::from_secs(20);
 
     #[test]
-    fn a_standing_loan_runs_from_the_older_of_heartbeat_and_look() {
+    fn an_advance_delegation_runs_from_the_older_of_heartbeat_and_look() {
         let start = Instant::now();
         let later = start + Duration::from_secs(5);
-        let loan = StandingLoan::renewed(None, 7, later);
-        assert_eq!(loan.until(None, LONGEST), None, "never looked");
-        let until = loan.until(Some(start), LONGEST).expect("a look");
+        let delegation = AdvanceDelegation::renewed(None, 7, later);
+        assert_eq!(delegation.until(None, LONGEST), None, "never looked");
+        let until = delegation.until(Some(start), LONGEST).expect("a look");
         assert!(until < start + LONGEST);
         assert!(until > start + LONGEST - Duration::from_millis(300));
         // An older owner's late answer changes nothing, a newer one's does.
-        assert_eq!(StandingLoan::renewed(Some(loan), 6, later), loan);
-        assert_eq!(StandingLoan::renewed(Some(loan), 8, later).term, 8);
-        assert_eq!(StandingLoan::renewed(Some(loan), 7, start).seen, later);
+        assert_eq!(
+            AdvanceDelegation::renewed(Some(delegation), 6, later),
+            delegation
+        );
+        assert_eq!(
+            AdvanceDelegation::renewed(Some(delegation), 8, later).term,
+            8
+        );
+        assert_eq!(
+            AdvanceDelegation::renewed(Some(delegation), 7, start).seen,
+            later
+        );
     }
 
     #[test]
-    fn a_lender_counts_on_a_keeper_that_does_not_answer() {
+    fn an_owner_counts_on_a_delegate_that_does_not_answer() {
         let start = Instant::now();
         let at = |s: f64| start + Duration::from_secs_f64(s);
-        let mut lender = Lender::default();
-        let last = |lender: &Lender, now| lender.last_kept(["b", "c"].into_iter(), LONGEST, now);
-        assert_eq!(last(&lender, at(1.0)), None, "no answer was given yet");
-        lender.grant("b", at(1.0));
-        lender.answered("b", at(1.5), at(0.5));
-        assert_eq!(last(&lender, at(3.9)), Some(at(0.5)), "it hears us");
+        let mut advance_grants = AdvanceGrants::default();
+        let last = |advance_grants: &AdvanceGrants, now| {
+            advance_grants.last_answer(["b", "c"].into_iter(), LONGEST, now)
+        };
+        assert_eq!(
+            last(&advance_grants, at(1.0)),
+            None,
+            "no answer was given yet"
+        );
+        advance_grants.grant("b", at(1.0));
+        advance_grants.answered("b", at(1.5), at(0.5));
+        assert_eq!(last(&advance_grants, at(3.9)), Some(at(0.5)), "it hears us");
         // Silent since: it may be answering workers now, until its time is up.
-        assert_eq!(last(&lender, at(5.0)), Some(at(5.0)));
-        assert_eq!(last(&lender, at(60.0)), Some(at(21.0)));
-        lender.answered("b", at(59.0), at(40.0));
-        assert_eq!(last(&lender, at(60.0)), Some(at(40.0)), "as it says itself");
+        assert_eq!(last(&advance_grants, at(5.0)), Some(at(5.0)));
+        assert_eq!(last(&advance_grants, at(60.0)), Some(at(21.0)));
+        advance_grants.answered("b", at(59.0), at(40.0));
+        assert_eq!(
+            last(&advance_grants, at(60.0)),
+            Some(at(40.0)),
+            "as it says itself"
+        );
     }
 }
--- a/src/coordination/answering.rs
+++ b/src/coordination/answering.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::node::Node;
-use super::shard::{ReportOutcome, keeper_commands};
+use super::shard::{ReportOutcome, delegate_commands};
 use crate::protocol::workers::{Redirect, Report, ReportAnswer};
 
 /// The answer to a report.
@@ -39,13 +39,13 @@
         }
     }
     if node.may_renew_leases(node.now())
-        && let Some(term) = node.keeps(report)
+        && let Some(term) = node.delegated_term(report)
     {
         // An owner past its deadline stays informed: it may go on.
         if let Some(lease) = node.lease().filter(|lease| lease.term == term) {
             node.with_shard(&lease, "reports", |shard, now| shard.report(report, now));
         }
-        let commands = keeper_commands(report, |job| node.ledger.is_open(job));
+        let commands = delegate_commands(report, |job| node.ledger.is_open(job));
         return Verdict::Renewed(ReportAnswer { term, commands });
     }
     let owner = node.owner_label().filter(|label| label != node.label());
--- a/src/coordination/awareness.rs
+++ b/src/coordination/awareness.rs
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use super::standing;
+use super::advance_delegation;
 use crate::settings::Settings;
 
 /// The least that a look at the jobs entitles to, where cancelled work has no
@@ -21,7 +21,7 @@
 /// For how long workers may be answered after the moment up to which all
 /// cancellations are known.
 pub fn bound(settings: &Settings) -> Duration {
-    standing::beyond_lease(settings).max(LEAST)
+    advance_delegation::beyond_lease(settings).max(LEAST)
 }
 
 /// What one controller knows of the cancellations told by all.
--- a/src/coordination/lease.rs
+++ b/src/coordination/lease.rs
@@ -9,9 +9,9 @@
 use super::drift;
 use crate::settings::Operator;
 
-/// How long a keeper may answer workers after it asked the state service
-/// whether the owner lends it that.
-pub const KEEPING: Duration = Duration::from_secs(2);
+/// How long a delegate may answer workers after it asked the state service
+/// whether the owner still delegates that to it.
+pub const DELEGATION_TIME: Duration = Duration::from_secs(2);
 
 /// One term of ownership.
 ///
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,5 +1,6 @@
 //! Who owns what, and what an owner does with it.
 
+pub mod advance_delegation;
 pub mod answering;
 pub mod awareness;
 pub mod drift;
@@ -11,7 +12,6 @@
 pub mod peering;
 pub mod requests;
 pub mod shard;
-pub mod standing;
 
 #[cfg(test)]
 mod tests;
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -10,11 +10,11 @@
 use tokio::sync::Semaphore;
 use tracing::{info, warn};
 
+use super::advance_delegation::{self, AdvanceDelegation, AdvanceGrants};
 use super::awareness::{self, Awareness};
 use super::lease::ShardLease;
 use super::peering::extension;
 use super::shard::{Job, Policy, Shard};
-use super::standing::{self, Lender, StandingLoan};
 use super::{io, ownership, peering};
 use crate::clock::{Clock, SteadyClock};
 use crate::protocol::JobId;
@@ -100,8 +100,8 @@
 pub struct Ownership {
     pub lease: Arc<ShardLease>,
     pub shard: Shard,
-    /// The standing loans that this lease's heartbeats gave.
-    pub lender: Lender,
+    /// The advance delegations that this lease's heartbeats gave.
+    pub advance_grants: AdvanceGrants,
     /// How much of what is over the shard was told, by the ledger's count.
     pub endings: Option<u64>,
     /// What the shard's events cost.
@@ -110,7 +110,7 @@
 
 /// The right to answer workers that the owner can't hear.
 #[derive(Debug, Clone, Copy)]
-pub struct Keeping {
+pub struct Delegation {
     /// The owner's term.
     pub term: u64,
     pub until: Instant,
@@ -143,17 +143,17 @@
     pub promised_until: Option<Instant>,
     /// The owner's term under which this node may answer workers that the
     /// owner can't hear, and until when.
-    pub keeping: Option<Keeping>,
+    pub delegation: Option<Delegation>,
     /// The highest term that a heartbeat named, and when one last did. A heartbeat
     /// without a term, late or of an owner past its deadline, changes nothing:
     /// the owner counts on its having been heard.
     pub owner_heard: Option<(u64, Instant)>,
     /// What the owner's last answer to a heartbeat entitles to.
-    pub standing: Option<StandingLoan>,
-    /// When a worker was last answered by such a loan.
-    pub kept_alone: Option<Instant>,
-    /// What the kept workers reported under that term, to be written.
-    pub kept: PendingReports,
+    pub advance_delegation: Option<AdvanceDelegation>,
+    /// When a worker was last answered by an advance delegation.
+    pub answered_alone: Option<Instant>,
+    /// what the delegated workers reported under that term, to be written.
+    pub unwritten_reports: PendingReports,
     /// The largest inventory page that the state service has not refused, if it is
     /// less than its limits say.
     pub inventory_bytes: Option<usize>,
@@ -378,24 +378,24 @@
 
     /// The term under which this node may keep a worker for the owner, if the
     /// worker would take it.
-    pub fn keeps(&self, report: &Report) -> Option<u64> {
-        self.keeps_while_loading(report)
-            .or_else(|| self.keeps_by_loan(report))
-            .or_else(|| self.keeps_alone(report))
+    pub fn delegated_term(&self, report: &Report) -> Option<u64> {
+        self.term_while_loading(report)
+            .or_else(|| self.term_by_delegation(report))
+            .or_else(|| self.term_by_advance_delegation(report))
     }
 
     /// An owner that can't load the shard yet, since the state service fell out
     /// for all just then, and that holds it by promises: workers know no other.
     /// Their leases are counted from when it will have been loaded.
-    fn keeps_while_loading(&self, report: &Report) -> Option<u64> {
+    fn term_while_loading(&self, report: &Report) -> Option<u64> {
         let inner = self.lock();
         let lease = inner.loading.as_ref()?;
         (lease.live(self.now()) && report.term <= lease.term).then_some(lease.term)
     }
 
-    /// The same without the state service and the owner, by the standing loan
+    /// The same without the state service and the owner, by the advance delegation
     /// that the owner's last answer gave, or by this node's own last renewal.
-    fn keeps_alone(&self, report: &Report) -> Option<u64> {
+    fn term_by_advance_delegation(&self, report: &Report) -> Option<u64> {
         if !self.state_failing() {
             return None;
         }
@@ -403,35 +403,39 @@
         let mut inner = self.lock();
         let known = self.known_up_to(&inner, now);
         let own = inner.ownership.as_ref().filter(|own| !own.lease.ended());
-        let own = own.map(|own| StandingLoan {
+        let own = own.map(|own| AdvanceDelegation {
             term: own.lease.term,
             seen: own.lease.last_renewed(),
         });
-        let loan = inner.standing.into_iter().chain(own);
-        let loan = loan.max_by_key(|loan| loan.term)?;
-        let until = loan.until(known, standing::longest(&self.settings))?;
+        let delegation = inner.advance_delegation.into_iter().chain(own);
+        let delegation = delegation.max_by_key(|delegation| delegation.term)?;
+        let until = delegation.until(known, advance_delegation::longest(&self.settings))?;
         let owner_heard = inner.owner_heard.is_some_and(|(term, at)| {
-            term >= loan.term && now.saturating_duration_since(at) < standing::OWNER_SILENT
+            term >= delegation.term
+                && now.saturating_duration_since(at) < advance_delegation::OWNER_SILENT
         });
-        if now >= until || owner_heard || report.term > loan.term {
+        if now >= until || owner_heard || report.term > delegation.term {
             return None;
         }
-        if inner.kept_alone.is_none() {
-            info!(term = loan.term, "answering workers without the owner");
+        if inner.answered_alone.is_none() {
+            info!(
+                term = delegation.term,
+                "answering workers without the owner"
+            );
         }
-        inner.kept_alone = Some(now);
-        Some(loan.term)
+        inner.answered_alone = Some(now);
+        Some(delegation.term)
     }
 
-    fn keeps_by_loan(&self, report: &Report) -> Option<u64> {
+    fn term_by_delegation(&self, report: &Report) -> Option<u64> {
         let now = self.now();
         let mut inner = self.lock();
-        let keeping = inner.keeping?;
+        let keeping = inner.delegation?;
         if now >= keeping.until || report.term > keeping.term {
             return None;
         }
         if keeping.inventory && report.term == keeping.term {
-            inner.kept.insert(report.clone());
+            inner.unwritten_reports.insert(report.clone());
         }
         Some(keeping.term)
     }
@@ -592,7 +596,7 @@
     );
     tokio::spawn(keep_types(node.clone()));
     tokio::spawn(peering::run(node.clone()));
-    tokio::spawn(peering::delegation::keep_workers(node.clone()));
+    tokio::spawn(peering::delegation::serve_delegated_workers(node.clone()));
     tokio::spawn(ownership::seek_ownership(node.clone()));
     let idle = platform.settings.workers.report() * IDLE_REPORTS;
     let front_listener = Limited::new(front_listener, node.front_places.clone(), idle);
--- a/src/coordination/ownership.rs
+++ b/src/coordination/ownership.rs
@@ -5,12 +5,12 @@
 
 use tracing::{info, warn};
 
+use super::advance_delegation::AdvanceGrants;
 use super::lease::{self, ShardLease};
 use super::loading::{StoredShard, parse_job};
 use super::node::{Node, Ownership, STATE_DEADLINE};
 use super::peering::extension;
 use super::shard::{Loaded, Shard};
-use super::standing::Lender;
 use super::{drift, io};
 use crate::protocol::state::{Change, Item, News, Txn};
 use crate::storage::client::{StateError, TxnOutcome, backoff};
@@ -316,7 +316,7 @@
         inner.ownership = Some(Ownership {
             lease: lease.clone(),
             shard,
-            lender: Lender::default(),
+            advance_grants: AdvanceGrants::default(),
             endings: None,
             activities: Activities::default(),
         });
--- a/src/coordination/peering/delegation.rs
+++ b/src/coordination/peering/delegation.rs
@@ -1,21 +1,21 @@
-//! Workers that the owner can't hear, while another controller does: lending their
-//! keeping, recalling it, and what they hold.
+//! Workers that the owner can't hear, while another controller does: delegating the
+//! answering of their reports, revoking it, and what they hold.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 
+use crate::coordination::advance_delegation;
 use crate::coordination::drift;
-use crate::coordination::lease::{KEEPING, ShardLease};
-use crate::coordination::node::{Keeping, Node, STATE_DEADLINE, random_id};
-use crate::coordination::standing;
+use crate::coordination::lease::{DELEGATION_TIME, ShardLease};
+use crate::coordination::node::{Delegation, Node, STATE_DEADLINE, random_id};
 use crate::protocol::state::{Change, Item, Txn};
 use crate::protocol::workers::Report;
 use crate::settings::platform::Peer;
 use crate::storage::client::StateError;
 use crate::storage::inventory::{Batch, whole_reports};
 use crate::storage::keys;
-use crate::storage::records::{HearingRecord, InventoryRecord, KeeperRecord, VERSION};
+use crate::storage::records::{DelegateRecord, HearingRecord, InventoryRecord, VERSION};
 
 /// How long a new owner listens before it may call itself deaf: every machine
 /// was asked for a report at once.
@@ -24,10 +24,10 @@
 pub(super) const HEARTBEAT_FRESH: Duration = Duration::from_secs(3);
 /// A peer's heartbeat older than this, two rounds, means that it may be cut off.
 const HEARTBEAT_LATE: Duration = Duration::from_millis(2200);
-/// Pause between a keeper's looks at its loan.
-const KEEPING_LOOK: Duration = Duration::from_millis(500);
-/// How long before its time a keeper stops, to cover a busy processor.
-const KEEPING_MARGIN: Duration = Duration::from_millis(100);
+/// Pause between a delegate's looks at its delegation.
+const DELEGATION_CHECK: Duration = Duration::from_millis(500);
+/// How long before its time a delegate stops, to cover a busy processor.
+const DELEGATION_MARGIN: Duration = Duration::from_millis(100);
 /// Inventory pages aren't planned smaller than this, in bytes.
 const LEAST_INVENTORY: usize = 512;
 /// Age up to which a hearing record counts.
@@ -39,13 +39,15 @@
         return;
     };
     let now = node.now();
-    let longest = standing::longest(&node.settings);
+    let longest = advance_delegation::longest(&node.settings);
     let others = &node.settings.platform.others;
     let kept = node.lock().ownership.as_ref().and_then(|own| {
         let labels = others.iter().map(|peer| peer.label.as_str());
-        own.lender.last_kept(labels, longest, now)
+        own.advance_grants.last_answer(labels, longest, now)
+    });
+    node.with_shard(&lease, "delegations", |shard, _| {
+        shard.note_answers_by_others(kept, now)
     });
-    node.with_shard(&lease, "loans", |shard, _| shard.note_kept(kept, now));
 }
 
 /// Zones may be cut from one another while the state service reaches both:
@@ -100,18 +102,18 @@
     Some(heard.collect())
 }
 
-/// The owner lends the keeping of workers to controllers that it can't reach
-/// but that hear them, and recalls it when it can.
-pub(super) async fn lend_and_recall(node: &Arc<Node>) {
+/// The owner delegates the answering of workers to controllers that it can't reach
+/// but that hear them, and revokes it when it can.
+pub(super) async fn delegate_and_revoke(node: &Arc<Node>) {
     let Some((lease, unreached)) = unreached_peers(node) else {
         return;
     };
     let zones = zones_of(node, &unreached);
-    node.with_shard(&lease, "loans", |shard, _| {
+    node.with_shard(&lease, "delegations", |shard, _| {
         shard.set_cut_off(zones);
-        for label in shard.keepers() {
+        for label in shard.delegates() {
             if !unreached.contains(&label) {
-                shard.recall(&label);
+                shard.revoke(&label);
             }
         }
     });
@@ -121,17 +123,17 @@
     let Some(heard) = heard_elsewhere(node).await else {
         return;
     };
-    node.with_shard(&lease, "loans", |shard, now| {
-        for label in shard.keepers() {
+    node.with_shard(&lease, "delegations", |shard, now| {
+        for label in shard.delegates() {
             if !heard.contains_key(&label) {
-                shard.recall(&label);
+                shard.revoke(&label);
             }
         }
         for label in unreached.iter().filter(|label| heard.contains_key(*label)) {
-            shard.lend(label, now);
+            shard.delegate(label, now);
         }
     });
-    let wanted = node.with_shard(&lease, "loans", |shard, _| shard.wants_inventories());
+    let wanted = node.with_shard(&lease, "delegations", |shard, _| shard.wants_inventories());
     if wanted == Some(true) {
         read_inventories(node, &lease).await;
     }
@@ -154,7 +156,7 @@
     Some((lease.clone(), labels.collect()))
 }
 
-/// Takes in what keepers wrote of the workers that this owner can't hear.
+/// Takes in what delegates wrote of the workers that this owner can't hear.
 async fn read_inventories(node: &Arc<Node>, lease: &Arc<ShardLease>) {
     let prefix = keys::inventory_prefix();
     let Ok((pages, _)) = node.state.list(&prefix, STATE_DEADLINE).await else {
@@ -166,14 +168,14 @@
             .ok()
     };
     let reports = whole_reports(pages.into_iter().filter_map(parse), lease.term);
-    node.with_shard(lease, "loans", |shard, now| {
+    node.with_shard(lease, "delegations", |shard, now| {
         for report in &reports {
             shard.relayed(report, now);
         }
     });
 }
 
-/// Writes what kept workers hold, those that were not written before; returns
+/// Writes what delegated workers hold, those that were not written before; returns
 /// the number of the next page.
 async fn write_inventory(node: &Node, term: u64, mut page: u32) -> u32 {
     while let Some(batch) = next_batch(node, term) {
@@ -198,14 +200,14 @@
     let group = random_id();
     let mut inner = node.lock();
     let most = inner.inventory_bytes.unwrap_or(node.value_bytes());
-    inner.kept.next_batch(term, most, group)
+    inner.unwritten_reports.next_batch(term, most, group)
 }
 
 /// Reports that could not be written are laid out again, in smaller pages if these
 /// were too large.
 fn inventory_refused(node: &Node, reports: Vec<Report>, error: &StateError) {
     let mut inner = node.lock();
-    inner.kept.put_back(reports);
+    inner.unwritten_reports.put_back(reports);
     if let StateError::TooLarge(why) = error {
         let most = inner.inventory_bytes.unwrap_or(node.value_bytes());
         inner.inventory_bytes = Some((most / 2).max(LEAST_INVENTORY));
@@ -229,57 +231,59 @@
     zones
 }
 
-/// Notes what may be kept from now on; true if it is kept for a new owner.
-fn note_keeping(node: &Node, keeping: Option<Keeping>) -> bool {
-    let term = |keeping: Option<Keeping>| keeping.map(|keeping| keeping.term);
+/// Notes which delegation holds from now on; true if it is that of another owner.
+fn note_delegation(node: &Node, delegation: Option<Delegation>) -> bool {
+    let term = |delegation: Option<Delegation>| delegation.map(|delegation| delegation.term);
     let mut inner = node.lock();
-    let changed = term(inner.keeping) != term(keeping);
+    let changed = term(inner.delegation) != term(delegation);
     if changed {
-        inner.kept.clear();
+        inner.unwritten_reports.clear();
     }
-    inner.keeping = keeping;
-    changed && keeping.is_some()
+    inner.delegation = delegation;
+    changed && delegation.is_some()
 }
 
-/// Keeps workers for an owner that can't hear them, while it lends that.
-pub async fn keep_workers(node: Arc<Node>) {
+/// Answers workers for an owner that can't hear them, while it delegates that.
+pub async fn serve_delegated_workers(node: Arc<Node>) {
     let mut page = 0;
     loop {
-        tokio::time::sleep(KEEPING_LOOK).await;
+        tokio::time::sleep(DELEGATION_CHECK).await;
         if heard_without_owner(&node) == 0 {
-            note_keeping(&node, None);
+            note_delegation(&node, None);
             continue;
         }
         let sent = node.now();
         let prefix = keys::owner_prefix();
-        // A keeper has to know which jobs are over: what it keeps alive of
+        // A delegate has to know which jobs are over: what it lets live on of
         // them is its to stop.
-        let read = tokio::join!(node.state.list(&prefix, KEEPING), node.look());
+        let read = tokio::join!(node.state.list(&prefix, DELEGATION_TIME), node.look());
         let (Ok((items, _)), Ok(())) = read else {
             continue;
         };
         let find = |key: String| items.iter().find(|item| item.key == key);
-        let lent = find(keys::keeper(node.label()))
-            .and_then(|item| serde_json::from_value::<KeeperRecord>(item.value.clone()).ok());
-        // A loan ends with the term of the owner that gave it.
-        let term = find(keys::owner())
-            .map(|item| item.version)
-            .filter(|term| lent.as_ref().is_some_and(|loan| loan.term == *term));
-        let until = sent + drift::shortest(KEEPING) - KEEPING_MARGIN;
-        let inventory = lent.is_some_and(|loan| loan.inventory);
-        let keeping = term.map(|term| Keeping {
+        let delegated = find(keys::delegate(node.label()))
+            .and_then(|item| serde_json::from_value::<DelegateRecord>(item.value.clone()).ok());
+        // A delegation ends with the term of the owner that gave it.
+        let term = find(keys::owner()).map(|item| item.version).filter(|term| {
+            delegated
+                .as_ref()
+                .is_some_and(|delegation| delegation.term == *term)
+        });
+        let until = sent + drift::shortest(DELEGATION_TIME) - DELEGATION_MARGIN;
+        let inventory = delegated.is_some_and(|delegation| delegation.inventory);
+        let delegation = term.map(|term| Delegation {
             term,
             until,
             inventory,
         });
-        let began = note_keeping(&node, keeping);
+        let began = note_delegation(&node, delegation);
         if let Some(term) = term
             && inventory
         {
             page = write_inventory(&node, term, page).await;
         }
         if began {
-            tracing::info!(term, "keeping workers that the owner can't hear");
+            tracing::info!(term, "answering workers that the owner can't hear");
         }
     }
 }
--- a/src/coordination/peering/heartbeat.rs
+++ b/src/coordination/peering/heartbeat.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use super::{ROUND_DEADLINE, ask, extension};
+use crate::coordination::advance_delegation::AdvanceDelegation;
 use crate::coordination::node::{Node, PeerView};
-use crate::coordination::standing::StandingLoan;
 use crate::protocol::peers::{Heartbeat, PeerAnswer, PeerRequest, Progress};
 
 /// How long a worker that came by counts as heard.
@@ -34,9 +34,9 @@
         main_zone: inner.main_zone.clone(),
         progress: Vec::new(),
         deaf: inner.deaf_until.is_some_and(|until| until > now),
-        // An earlier run may have kept workers until this one started.
-        kept_ago_ms: now
-            .saturating_duration_since(inner.kept_alone.unwrap_or(node.started))
+        // An earlier run may have answered workers until this one started.
+        answered_alone_ago_ms: now
+            .saturating_duration_since(inner.answered_alone.unwrap_or(node.started))
             .as_millis() as u64,
     }
 }
@@ -74,7 +74,7 @@
     }
 }
 
-/// Answers a heartbeat, which lends its sender the keeping of workers in advance.
+/// Answers a heartbeat, which allows its sender in advance to answer workers.
 pub fn answer_heartbeat(node: &Node, heartbeat: Heartbeat) -> Heartbeat {
     let label = heartbeat.label.clone();
     note_heartbeat(node, heartbeat);
@@ -83,7 +83,7 @@
         && let Some(own) = &mut node.lock().ownership
         && own.lease.term == term
     {
-        own.lender.grant(&label, node.now());
+        own.advance_grants.grant(&label, node.now());
     }
     answer
 }
@@ -96,18 +96,22 @@
     told: Option<u64>,
 ) {
     let now = node.now();
-    let kept = now.checked_sub(Duration::from_millis(heartbeat.kept_ago_ms));
+    let kept = now.checked_sub(Duration::from_millis(heartbeat.answered_alone_ago_ms));
     {
         let mut inner = node.lock();
         if let Some(term) = heartbeat.term {
-            inner.standing = Some(StandingLoan::renewed(inner.standing, term, sent));
+            inner.advance_delegation = Some(AdvanceDelegation::renewed(
+                inner.advance_delegation,
+                term,
+                sent,
+            ));
         }
         // Who was told our term keeps nothing for a while.
         if let Some(own) = &mut inner.ownership
             && told == Some(own.lease.term)
         {
             let kept = kept.unwrap_or(own.lease.since);
-            own.lender.answered(&heartbeat.label, sent, kept);
+            own.advance_grants.answered(&heartbeat.label, sent, kept);
         }
     }
     note_heartbeat(node, heartbeat);
--- a/src/coordination/peering/mod.rs
+++ b/src/coordination/peering/mod.rs
@@ -60,7 +60,7 @@
         tokio::time::sleep(ROUND).await;
         delegation::note_quiet(&node);
         delegation::tell_hearing(&node).await;
-        delegation::lend_and_recall(&node).await;
+        delegation::delegate_and_revoke(&node).await;
         handover::step_down_if_unfit(&node, &mut deaf_rounds).await;
     }
 }
--- a/src/coordination/requests.rs
+++ b/src/coordination/requests.rs
@@ -326,7 +326,7 @@
     }
     let at_once = match spec.kind {
         JobKind::Batch => 1.0,
-        JobKind::Standing | JobKind::Gang => f64::from(spec.tasks),
+        JobKind::Service | JobKind::Gang => f64::from(spec.tasks),
     };
     let over = |need: f64, most: f64| most > 0.0 && need * at_once > most + 1e-9;
     if over(spec.cores, team.cores_max) {
--- a/src/coordination/shard/book.rs
+++ b/src/coordination/shard/book.rs
@@ -68,7 +68,7 @@
     pub fn services(&self) -> impl Iterator<Item = &(Arc<JobSpec>, u32)> {
         self.tasks
             .iter()
-            .filter(|(spec, _)| spec.kind == JobKind::Standing)
+            .filter(|(spec, _)| spec.kind == JobKind::Service)
     }
 
     /// Whether some task there has a lower priority.
--- a/src/coordination/shard/cluster.rs
+++ b/src/coordination/shard/cluster.rs
@@ -7,7 +7,7 @@
 
 use super::fleet::Fleet;
 use super::{Job, Machine, Machines, Policy, Shard, writes};
-use crate::coordination::lease::KEEPING;
+use crate::coordination::lease::DELEGATION_TIME;
 use crate::protocol::MachineId;
 use crate::storage::records::{BookingRecord, JobRecord, RosterRecord};
 use crate::storage::snapshot;
@@ -55,10 +55,10 @@
             unresolved: BTreeSet::new(),
             fleet: Fleet::default(),
             writes: writes::Writer::default(),
-            loans: Default::default(),
-            kept: None,
+            delegations: Default::default(),
+            answers_by_others: None,
             presumed: HashMap::new(),
-            lending_since: None,
+            delegating_since: None,
             cut_off: BTreeSet::new(),
             // A task's attempt number never repeats, whatever was lost: the
             // term is in it.
@@ -92,9 +92,9 @@
             }
         }
         shard.writes.written = loaded.chunks;
-        // A keeper of the last owner may have answered workers until just now.
-        // Or one that was cut off goes on answering them by its standing loan.
-        let kept = KEEPING.max(shard.policy.alone);
+        // A delegate of the last owner may have answered workers until just now.
+        // Or one that was cut off goes on answering them by its advance delegation.
+        let kept = DELEGATION_TIME.max(shard.policy.alone);
         let lease_over = now + shard.policy.lease_surely_over() + kept;
         for LoadedMachine { id, page, record } in loaded.roster {
             let id: MachineId = id.as_str().into();
--- a/src/coordination/shard/commands.rs
+++ b/src/coordination/shard/commands.rs
@@ -277,21 +277,25 @@
 
     /// Ends the sessions whose leases are surely over.
     pub(super) fn expire_leases(&mut self, now: Instant) {
-        if self.others_keep() {
+        if self.others_may_answer() {
             return;
         }
         // What was surely over when others' answers were last reckoned with is
         // so for ever: a later answer revives nothing.
-        let Some((now, kept)) = self.kept_up_to(now) else {
+        let Some(answers) = self.answers_by_others(now) else {
             return;
         };
-        if kept.is_some_and(|kept| now <= kept + self.policy.lease_surely_over()) {
+        let known_at = answers.known_at;
+        let lease = self.policy.lease_surely_over();
+        if answers.last.is_some_and(|last| known_at <= last + lease) {
             return;
         }
         let over: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|m| now > m.lease_over && (!m.tally.idle() || self.unresolved.contains(&m.id)))
+            .filter(|m| {
+                known_at > m.lease_over && (!m.tally.idle() || self.unresolved.contains(&m.id))
+            })
             .map(|m| m.id.clone())
             .collect();
         for id in over {
@@ -301,7 +305,7 @@
                 }
                 tracing::info!(machine = %id, "worker lease over");
             }
-            self.empty_machine(&id, now);
+            self.empty_machine(&id, known_at);
         }
     }
 
@@ -310,7 +314,7 @@
         let Some(spec) = &attempt.spec else {
             return false;
         };
-        if spec.kind == JobKind::Standing {
+        if spec.kind == JobKind::Service {
             return true;
         }
         let ran = attempt
--- a/src/coordination/shard/drain.rs
+++ b/src/coordination/shard/drain.rs
@@ -149,7 +149,7 @@
         at_once: usize,
         capacities: &[Capacity],
     ) -> Vec<(MachineId, (TaskId, u64))> {
-        let waits = |job: &Job| job.spec.kind == JobKind::Standing && job.waiting() > 0;
+        let waits = |job: &Job| job.spec.kind == JobKind::Service && job.waiting() > 0;
         let moving = self
             .machines
             .values()
@@ -259,7 +259,7 @@
         let boot = self.quickest().as_secs_f64() * 2.0;
         let classes = self.fleet.classes.values();
         classes
-            .filter(|class| class.spec.kind == JobKind::Standing)
+            .filter(|class| class.spec.kind == JobKind::Service)
             .map(|class| {
                 let tasks = class.rate(now) * boot;
                 (tasks + tasks.sqrt()) * class.spec.cores
@@ -373,7 +373,7 @@
         .iter()
         .filter(|(_, attempt)| !attempt.ended())
         .filter_map(|(key, attempt)| Some((key, attempt, attempt.spec.as_ref()?)))
-        .filter(|(_, _, spec)| spec.kind == JobKind::Standing)
+        .filter(|(_, _, spec)| spec.kind == JobKind::Service)
 }
 
 pub(super) fn hosts_services(machine: &Machine) -> bool {
--- a/src/coordination/shard/fleet.rs
+++ b/src/coordination/shard/fleet.rs
@@ -259,23 +259,23 @@
                 } else if few
                     && self.unresolved.contains(&m.id)
                     && m.unanswered >= PROBES_TO_ABANDON
-                    && !self.left_to_keepers(m, now)
+                    && !self.left_to_delegates(m, now)
                 {
                     Some((m.id.clone(), "it alone is not accounted for"))
                 } else if silence >= self.policy.abandon
                     && m.unanswered >= PROBES_TO_ABANDON
                     && !many
-                    && !self.left_to_keepers(m, now)
+                    && !self.left_to_delegates(m, now)
                 {
                     Some((m.id.clone(), "its worker is silent"))
                 } else if now > m.lease_over
-                    && !self.others_keep()
+                    && !self.others_may_answer()
                     && silence >= self.patience(m, many)
                 {
                     Some((m.id.clone(), "its worker's lease is over"))
                 } else if mute(m)
                     && now > m.lease_over
-                    && !self.others_keep()
+                    && !self.others_may_answer()
                     && m.mute_for(now) >= self.patience(m, many_mute)
                 {
                     Some((m.id.clone(), "its worker's reports don't come"))
@@ -294,7 +294,7 @@
         let lease = self.policy.worker_lease;
         if many {
             lease * 4
-        } else if self.kept_in_cut(machine) {
+        } else if self.answered_in_cut(machine) {
             lease + self.policy.alone
         } else {
             lease
--- a/src/coordination/shard/jobs.rs
+++ b/src/coordination/shard/jobs.rs
@@ -159,7 +159,7 @@
     }
 
     pub fn all_done(&self) -> bool {
-        self.spec.kind != JobKind::Standing && self.done.len() >= self.spec.tasks
+        self.spec.kind != JobKind::Service && self.done.len() >= self.spec.tasks
     }
 
     /// When it should be complete, in time of day.
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -6,11 +6,11 @@
 mod book;
 mod cluster;
 mod commands;
+mod delegations;
 mod drain;
 mod fleet;
 mod gang;
 mod jobs;
-mod keeping;
 mod machines;
 mod placement;
 mod plan;
@@ -21,10 +21,10 @@
 
 pub use book::{Machines, Tally};
 pub use cluster::{Loaded, LoadedMachine};
+pub use delegations::delegate_commands;
 pub use fleet::RentalOutcome;
 pub use gang::GangAttempt;
 pub use jobs::Job;
-pub use keeping::keeper_commands;
 pub use machines::{Attempt, Machine, Phase};
 pub use reports::ReportOutcome;
 pub use writes::{Fact, ShardWrite};
@@ -33,7 +33,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use crate::coordination::{drift, standing};
+use crate::coordination::{advance_delegation, drift};
 use crate::protocol::cloud::{MachineType, Rental};
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::{Command, Report};
@@ -155,7 +155,7 @@
             report: given.workers.report(),
             worker_lease: given.workers.lease(),
             gang_wait: given.workers.gang_wait(),
-            alone: standing::longest(settings),
+            alone: advance_delegation::longest(settings),
             txn_ops: state.txn_ops,
             value_bytes: state.value_bytes(),
             snapshot: operator.snapshot(),
@@ -240,14 +240,13 @@
     unresolved: BTreeSet<MachineId>,
     fleet: fleet::Fleet,
     writes: writes::Writer,
-    loans: keeping::Loans,
-    /// When others' answers to workers were last reckoned with, and the latest
-    /// moment up to then at which they may have given one on their own.
-    kept: Option<(Instant, Option<Instant>)>,
+    delegations: delegations::Delegations,
+    /// What is known of others' answers to workers, once something is.
+    answers_by_others: Option<delegations::AnswersByOthers>,
     /// By machine, the tasks that the last owner's snapshot had there.
     presumed: HashMap<MachineId, u32>,
-    /// Since when something has been lent without a break.
-    lending_since: Option<Instant>,
+    /// Since when something has been delegated without a break.
+    delegating_since: Option<Instant>,
     /// Zones all of whose controllers can't be reached: likely cut off.
     cut_off: BTreeSet<String>,
     next_take: u64,
@@ -272,7 +271,7 @@
     /// Periodic work: leases, snapshots, fleet. Every fraction of a second.
     pub fn tick(&mut self, now: Instant) {
         self.machines.refresh();
-        self.end_loans(now);
+        self.end_delegations(now);
         self.expire_leases(now);
         let due = |at: Instant| now.saturating_duration_since(at) >= COUNT_EVERY;
         if self.counted.is_none_or(due) {
@@ -398,7 +397,7 @@
             for (spec, count) in &machine.tally.tasks {
                 let cores = spec.cores * f64::from(*count);
                 match spec.kind {
-                    JobKind::Standing => services += cores,
+                    JobKind::Service => services += cores,
                     JobKind::Batch | JobKind::Gang => batch += cores,
                 }
             }
--- a/src/coordination/shard/placement.rs
+++ b/src/coordination/shard/placement.rs
@@ -50,7 +50,7 @@
     /// Whether one more task of a job fits.
     fn fits(&self, spec: &JobSpec) -> bool {
         let mut free = self.free;
-        if spec.kind != JobKind::Standing {
+        if spec.kind != JobKind::Service {
             if self.held {
                 return false;
             }
@@ -533,7 +533,7 @@
         };
         // Services stay where a controller hears them through a cut.
         let near = match spec.kind {
-            JobKind::Standing => self.main_zone.as_deref(),
+            JobKind::Service => self.main_zone.as_deref(),
             JobKind::Batch | JobKind::Gang => None,
         };
         let within = self.policy.wait_within.get(&spec.class).copied();
@@ -595,7 +595,7 @@
             };
             slot.free.holds(spec) || self.machines.get(&slot.id).is_some_and(lesser)
         };
-        spec.kind == JobKind::Standing
+        spec.kind == JobKind::Service
             && !self.policy.holds_capacity()
             && pass.slots.iter().any(|slot| {
                 !slot.barren
@@ -620,7 +620,7 @@
         };
         // Jobs whose tasks depend on one another's zones take what there is.
         let free_of_zones = !spec.one_zone && (!spec.scatter || spec.tasks == 1);
-        spec.kind == JobKind::Standing
+        spec.kind == JobKind::Service
             && free_of_zones
             && self.slot_is_late(spec, pass, at)
             && pass.slots.iter().enumerate().any(|(other, slot)| {
@@ -651,7 +651,7 @@
 
     /// Work that may run on spot machines waits for them while it has time.
     pub(super) fn worth_it(&self, job: &Job, slot: &Slot) -> bool {
-        !slot.costly || !job.spec.spot || job.spec.kind == JobKind::Standing || job.pressed
+        !slot.costly || !job.spec.spot || job.spec.kind == JobKind::Service || job.pressed
     }
 
     /// How many tasks of a job may exist in each zone.
--- a/src/coordination/shard/preemption.rs
+++ b/src/coordination/shard/preemption.rs
@@ -141,7 +141,7 @@
                 allowed(spec, &slot.machine_type, &slot.zone, slot.spot)
                     && self.worth_it(job, slot)
                     && !(stays && slot.barren)
-                    && !(spec.kind == JobKind::Standing && self.slot_is_late(spec, pass, *at))
+                    && !(spec.kind == JobKind::Service && self.slot_is_late(spec, pass, *at))
             })
             .collect();
         // Work of equal priority is stopped one task at a time: each stop loses
@@ -357,7 +357,7 @@
     let Some(spec) = &attempt.spec else {
         return Duration::ZERO;
     };
-    if spec.kind == JobKind::Standing {
+    if spec.kind == JobKind::Service {
         return SERVICE_HARM;
     }
     // A start that is soon undone helped nobody.
--- a/src/coordination/shard/reports.rs
+++ b/src/coordination/shard/reports.rs
@@ -156,7 +156,7 @@
             let Some(spec) = attempt.spec.clone() else {
                 continue;
             };
-            if spec.kind == JobKind::Standing {
+            if spec.kind == JobKind::Service {
                 attempt.want_stop(Duration::ZERO);
             } else if spec.is_gang() {
                 // The others of the gang have to be told in time as well.
--- a/src/coordination/shard/slowness.rs
+++ b/src/coordination/shard/slowness.rs
@@ -94,7 +94,7 @@
             };
             attempt.want_stop(match spec.kind {
                 JobKind::Batch | JobKind::Gang => spec.save_time(),
-                JobKind::Standing => Duration::ZERO,
+                JobKind::Service => Duration::ZERO,
             });
         }
         self.restless = true;
--- a/src/coordination/shard/tests/limits.rs
+++ b/src/coordination/shard/tests/limits.rs
@@ -177,7 +177,7 @@
             script.shard.report(&report, script.now);
         }
         if step % 10 == 0 {
-            script.shard.lend(&format!("peer-{step}"), script.now);
+            script.shard.delegate(&format!("peer-{step}"), script.now);
         }
         script.shard.tick(script.now);
         write_all(&mut script, &mut store);
--- a/src/coordination/shard/tests/random.rs
+++ b/src/coordination/shard/tests/random.rs
@@ -30,7 +30,7 @@
             job.scatter = !job.one_zone && world.rng.random_bool(0.3);
             job.spot = world.rng.random_bool(0.5);
             if world.rng.random_bool(0.25) {
-                job.kind = JobKind::Standing;
+                job.kind = JobKind::Service;
                 job.duration_s = 0.0;
                 job.tasks = 1 + job.tasks % 2;
             } else if world.rng.random_bool(0.3) {
--- a/src/coordination/shard/tests/scripted.rs
+++ b/src/coordination/shard/tests/scripted.rs
@@ -6,7 +6,7 @@
 use super::world::{ALONE, machine_types, policy, record, spec};
 use crate::coordination::shard::{
     Action, CommandOutcome, Fact, Loaded, RentalOutcome, ReportOutcome, Shard, ShardWrite,
-    keeper_commands,
+    delegate_commands,
 };
 use crate::protocol::users::{JobKind, JobSpec, Priority};
 use crate::protocol::workers::{Command, Ending, TaskState};
@@ -190,7 +190,7 @@
     let mut script = Script::new(Loaded::default());
     script.report("vm-1", Vec::new());
     let mut job = spec("blue", 1.0, 1);
-    job.kind = JobKind::Standing;
+    job.kind = JobKind::Service;
     script.submit("run-1", job);
     let batch = script.launches().remove(0);
     let line = listed("run-1/0", take_of(&batch.2), TaskState::Running, None);
@@ -482,7 +482,7 @@
     let report = script.report_of("vm-1", TERM, runs.clone());
     script.answered(&batch, CommandOutcome::Executed(report));
     script.report("vm-1", runs);
-    script.shard.lend("beta", script.now);
+    script.shard.delegate("beta", script.now);
     script.settle();
     for _ in 0..120 {
         script.pass(Duration::from_secs(1));
@@ -490,9 +490,9 @@
     }
     assert!(script.launches().is_empty(), "it may still run there");
     assert!(!script.machine("vm-1").deleting);
-    // The loan's end is written at once here. The keeper may answer a little
+    // The delegation's end is written at once here. The delegate may answer a little
     // longer, and the worker's lease runs from its last answer.
-    script.shard.recall("beta");
+    script.shard.revoke("beta");
     script.settle();
     for _ in 0..26 {
         script.pass(Duration::from_secs(1));
@@ -509,17 +509,17 @@
     assert_eq!(script.launches().len(), 1, "it starts again elsewhere");
 }
 
-/// A new owner that a cut hides machines from: what their keeper wrote accounts
+/// A new owner that a cut hides machines from: what their delegate wrote accounts
 /// for them, so that lost work elsewhere starts again, and what runs there runs on.
 #[test]
-fn a_keepers_inventory_accounts_for_machines_without_opening_them() {
+fn a_delegates_inventory_accounts_for_machines_without_opening_them() {
     let mut script = Script::new(Loaded {
         jobs: vec![("run-1".into(), TERM - 1, record(spec("blue", 1.0, 2)))],
         roster: vec![roster("vm-1")],
         ..Loaded::default()
     });
     script.report("vm-2", Vec::new());
-    script.shard.lend("beta", script.now);
+    script.shard.delegate("beta", script.now);
     script.settle();
     assert!(script.shard.wants_inventories());
     assert!(script.launches().is_empty(), "both tasks may run on vm-1");
@@ -641,9 +641,9 @@
 }
 
 /// Found in a replay of `inc-92c0`: a service whose user cancelled it ran on for
-/// as long as its worker was kept through a cut.
+/// as long as its worker was answered through a cut.
 #[test]
-fn a_keeper_stops_what_belongs_to_jobs_that_are_over() {
+fn a_delegate_stops_what_belongs_to_jobs_that_are_over() {
     let mut script = Script::new(Loaded::default());
     let report = script.report_of(
         "vm-1",
@@ -654,7 +654,7 @@
             listed("run-2/1", 3, TaskState::Ended, Some(Ending::Done)),
         ],
     );
-    let commands = keeper_commands(&report, |job| job == "run-1");
+    let commands = delegate_commands(&report, |job| job == "run-1");
     let stop = Command::Stop {
         task: TaskId::parse("run-2/0").expect("task id"),
         attempt: 2,
@@ -700,8 +700,8 @@
         roster: ["vm-0", "vm-1", "vm-2", "vm-3"].map(roster).into(),
         ..Loaded::default()
     });
-    // Their keeper keeps vm-0 and vm-3 alive, but says nothing of them.
-    script.shard.lend("beta", script.now);
+    // Their delegate keeps vm-0 and vm-3 alive, but says nothing of them.
+    script.shard.delegate("beta", script.now);
     for _ in 0..80 {
         script.report("vm-1", Vec::new());
         script.report("vm-2", Vec::new());
@@ -763,7 +763,7 @@
 /// A zone was cut off from everything and the owner crashed: machines there may
 /// be answered by a controller on their side for longer than their leases.
 #[test]
-fn what_may_be_kept_by_a_standing_loan_is_not_over_with_its_lease() {
+fn what_may_be_kept_by_an_advance_delegation_is_not_over_with_its_lease() {
     let mut script = Script::among(ALONE, one_old_job(1, &["vm-1"]));
     let lease = script.shard.policy.lease_surely_over();
     let start = script.now;
@@ -771,7 +771,7 @@
     let unaccounted = |script: &mut Script, time: Duration, kept: Option<Duration>| {
         script.now = start + time;
         let kept = kept.map(|time| start + time);
-        script.shard.note_kept(kept, script.now);
+        script.shard.note_answers_by_others(kept, script.now);
         script.pass(Duration::ZERO);
         script.shard.summary().contains("unresolved 1")
     };
@@ -859,7 +859,7 @@
 fn services_take_the_place_of_lesser_work_among_services() {
     let mut script = Script::without_guarantees();
     let service = |tasks| JobSpec {
-        kind: JobKind::Standing,
+        kind: JobKind::Service,
         priority: Priority::Prod,
         duration_s: 0.0,
         ..spec("red", 1.0, tasks)
@@ -908,7 +908,7 @@
     for n in 1..=12 {
         let service = JobSpec {
             class: "web".into(),
-            kind: JobKind::Standing,
+            kind: JobKind::Service,
             ..spec("red", 1.0, 2)
         };
         script.submit(&format!("run-{n}"), service);
--- a/src/coordination/shard/tests/world.rs
+++ b/src/coordination/shard/tests/world.rs
@@ -24,7 +24,7 @@
 
 pub const LEASE: Duration = Duration::from_secs(27);
 pub const CANCEL: Duration = Duration::from_secs(52);
-/// How long a standing loan lasts: leases and this stay within [`CANCEL`].
+/// How long an advance delegation lasts: leases and this stay within [`CANCEL`].
 pub const ALONE: Duration = Duration::from_secs(24);
 /// How long a gang's task waits for the others, and how soon it notices that one
 /// is gone.
@@ -140,7 +140,7 @@
     tasks: BTreeMap<(TaskId, u64), WorkerTask>,
     /// Everything to and from it is held until then.
     cut_until: Option<Instant>,
-    /// Meanwhile a controller answers it by a standing loan of this term, until
+    /// Meanwhile a controller answers it by an advance delegation of this term, until
     /// then.
     kept: Option<(u64, Instant)>,
     /// It does nothing until then.
@@ -294,7 +294,7 @@
     /// Tasks that have truly been completed.
     done: BTreeSet<TaskId>,
     limits: HashMap<String, f64>,
-    /// When a worker was last answered by a standing loan, by its term.
+    /// When a worker was last answered by an advance delegation, by its term.
     kept: BTreeMap<u64, Instant>,
     /// The state service takes no write until then.
     outage_until: Option<Instant>,
@@ -908,11 +908,11 @@
     pub fn cut(&mut self, id: &str, time: Duration) {
         let until = self.now + time;
         let kept = self.rng.random_bool(0.5);
-        let loan = (self.term, self.now + ALONE);
+        let delegation = (self.term, self.now + ALONE);
         if let Some(worker) = self.workers.get_mut(id) {
-            // Who is cut off already can't be lent anything anew.
+            // Who is cut off already can't be delegated anything anew.
             if worker.cut_until.is_none() {
-                worker.kept = kept.then_some(loan);
+                worker.kept = kept.then_some(delegation);
             }
             worker.cut_until = Some(until);
         }
@@ -1112,7 +1112,7 @@
             {
                 worker.term = term;
                 worker.answered_sent = now;
-                // Its keeper stops what was cancelled before the cut.
+                // Its delegate stops what was cancelled before the cut.
                 for ((task, _), state) in &mut worker.tasks {
                     let told = self.cancelled.get(&*task.job);
                     if told.is_some_and(|at| *at + ALONE <= until) && state.ending.is_none() {
@@ -1294,7 +1294,7 @@
                     true => Some(now),
                     false => self.kept.get(&term).copied(),
                 };
-                self.tell(|shard| shard.note_kept(kept, now));
+                self.tell(|shard| shard.note_answers_by_others(kept, now));
                 self.tell(|shard| shard.tick(now));
             }
             if ticks.is_multiple_of(30) {
@@ -1326,7 +1326,7 @@
         let services: Vec<String> = self
             .jobs
             .iter()
-            .filter(|(_, (_, record))| record.spec.kind == JobKind::Standing)
+            .filter(|(_, (_, record))| record.spec.kind == JobKind::Service)
             .map(|(id, _)| id.clone())
             .collect();
         for id in &services {
--- a/src/coordination/shard/writes.rs
+++ b/src/coordination/shard/writes.rs
@@ -29,9 +29,9 @@
     /// The rental is answered.
     Unbook(String),
     /// A controller may keep silent workers.
-    Lent,
+    Delegated,
     /// It may no longer.
-    Recalled(String),
+    Revoked(String),
     /// A chunk of the snapshot.
     Chunk(String, Option<Value>),
 }
@@ -409,8 +409,8 @@
                 Fact::Chunk(key, None) => {
                     self.writes.written.remove(key);
                 }
-                Fact::Recalled(label) => self.recalled(label, now),
-                Fact::Unbook(_) | Fact::Lent => {}
+                Fact::Revoked(label) => self.revoked(label, now),
+                Fact::Unbook(_) | Fact::Delegated => {}
             }
         }
         self.delete(&returned);
--- a/src/coordination/tests/awareness.rs
+++ b/src/coordination/tests/awareness.rs
@@ -7,13 +7,13 @@
 
 use super::{node, peer, report};
 use crate::clock::FakeClock;
+use crate::coordination::advance_delegation::AdvanceGrants;
 use crate::coordination::answering::{Verdict, answer_report};
 use crate::coordination::awareness::{Awareness, bound};
 use crate::coordination::lease::ShardLease;
 use crate::coordination::node::{Node, Ownership, STATE_DEADLINE};
 use crate::coordination::peering::cancellations::{cancellations_told, note_told};
 use crate::coordination::shard::{Loaded, Shard};
-use crate::coordination::standing::Lender;
 use crate::protocol::TaskId;
 use crate::protocol::peer_messages::{CancellationsAsked, CancellationsTold};
 use crate::protocol::state::News;
@@ -81,7 +81,7 @@
         owner.lock().ownership = Some(Ownership {
             lease: lease.clone(),
             shard,
-            lender: Lender::default(),
+            advance_grants: AdvanceGrants::default(),
             endings: None,
             activities: Default::default(),
         });
--- a/src/coordination/tests/peering.rs
+++ b/src/coordination/tests/peering.rs
@@ -1,4 +1,4 @@
-//! Promises and the keeping of workers, among controllers that don't all hear one
+//! Promises and delegations, among controllers that don't all hear one
 //! another.
 
 use std::sync::Arc;
@@ -6,12 +6,12 @@
 
 use super::{node, report};
 use crate::clock::FakeClock;
+use crate::coordination::advance_delegation::{self, AdvanceGrants};
 use crate::coordination::lease::ShardLease;
 use crate::coordination::node::{Node, Ownership, STATE_DEADLINE};
 use crate::coordination::peering::extension::{left_alone, promise, stand_aside};
 use crate::coordination::peering::heartbeat::{heartbeat_answered, note_heartbeat, own_heartbeat};
 use crate::coordination::shard::{Loaded, Shard};
-use crate::coordination::standing::{self, Lender};
 use crate::protocol::peer_messages::{StandAside, StoodAside};
 use crate::protocol::peers::Heartbeat;
 
@@ -29,7 +29,7 @@
     node.lock().ownership = Some(Ownership {
         lease: lease.clone(),
         shard,
-        lender: Lender::default(),
+        advance_grants: AdvanceGrants::default(),
         endings: None,
         activities: Default::default(),
     });
@@ -93,13 +93,21 @@
         ..Heartbeat::default()
     };
     heartbeat_answered(&node, owner, node.now(), None);
-    clock.advance(standing::OWNER_SILENT);
-    assert_eq!(node.keeps(&report), None, "the state service may answer");
+    clock.advance(advance_delegation::OWNER_SILENT);
+    assert_eq!(
+        node.delegated_term(&report),
+        None,
+        "the state service may answer"
+    );
     let _ = node.state.get("o/0/owner", STATE_DEADLINE).await;
-    assert_eq!(node.keeps(&report), Some(7));
-    assert_eq!(own_heartbeat(&node).kept_ago_ms, 0);
+    assert_eq!(node.delegated_term(&report), Some(7));
+    assert_eq!(own_heartbeat(&node).answered_alone_ago_ms, 0);
     report.term = 8;
-    assert_eq!(node.keeps(&report), None, "the worker obeys another");
+    assert_eq!(
+        node.delegated_term(&report),
+        None,
+        "the worker obeys another"
+    );
     report.term = 7;
     // The owner heard again, even by an old message: it answers, not we.
     let heartbeat = Heartbeat {
@@ -114,12 +122,16 @@
         ..Heartbeat::default()
     };
     note_heartbeat(&node, before);
-    assert_eq!(node.keeps(&report), None);
-    clock.advance(standing::OWNER_SILENT);
-    assert_eq!(node.keeps(&report), Some(7));
+    assert_eq!(node.delegated_term(&report), None);
+    clock.advance(advance_delegation::OWNER_SILENT);
+    assert_eq!(node.delegated_term(&report), Some(7));
     let workers = &node.settings.platform.settings.workers;
-    clock.advance(workers.cancel() - workers.lease() - standing::OWNER_SILENT * 2);
-    assert_eq!(node.keeps(&report), None, "a job may have been cancelled");
+    clock.advance(workers.cancel() - workers.lease() - advance_delegation::OWNER_SILENT * 2);
+    assert_eq!(
+        node.delegated_term(&report),
+        None,
+        "a job may have been cancelled"
+    );
 }
 
 /// Refused by the state service alone, an owner is replaced, and the service then
@@ -201,10 +213,10 @@
     clock.advance(Duration::from_secs(4));
     let report = report(9);
     assert!(node.live_lease().is_none());
-    assert_eq!(node.keeps(&report), Some(9));
+    assert_eq!(node.delegated_term(&report), Some(9));
     lease.finish();
     assert_eq!(
-        node.keeps(&report),
+        node.delegated_term(&report),
         None,
         "its lease is known to have ended"
     );
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -37,8 +37,8 @@
     pub progress: Vec<Progress>,
     /// Whether it gave the shard up lately because it heard too few workers.
     pub deaf: bool,
-    /// How long ago it may last have answered workers by a standing loan.
-    pub kept_ago_ms: u64,
+    /// How long ago it may last have answered workers by an advance delegation.
+    pub answered_alone_ago_ms: u64,
 }
 
 /// How far a job is, for display.
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -16,7 +16,9 @@
 #[serde(rename_all = "snake_case")]
 pub enum JobKind {
     Batch,
-    Standing,
+    /// Replicas that run until the job is cancelled.
+    #[serde(rename = "standing")]
+    Service,
     /// All tasks run at the same time or none does.
     Gang,
 }
@@ -117,7 +119,7 @@
     }
     let kind = match fields.text("Form")?.as_str() {
         "batch" => JobKind::Batch,
-        "standing" => JobKind::Standing,
+        "standing" => JobKind::Service,
         "group" => JobKind::Gang,
         _ => return Err(Malformed::Invalid("Form", "batch, standing or group")),
     };
--- a/src/storage/inventory.rs
+++ b/src/storage/inventory.rs
@@ -1,4 +1,4 @@
-//! What kept workers hold, laid out as values of the state service.
+//! What delegated workers hold, laid out as values of the state service.
 //!
 //! A page holds whole reports. A report that is larger than a value may be, since the
 //! limits were lowered, is divided into parts, each on a page of its own. An older
@@ -23,7 +23,7 @@
     pub reports: Vec<Report>,
 }
 
-/// The reports of kept workers, by machine, that no page holds yet.
+/// The reports of delegated workers, by machine, that no page holds yet.
 #[derive(Debug, Default)]
 pub struct PendingReports {
     reports: BTreeMap<String, Report>,
--- a/src/storage/keys.rs
+++ b/src/storage/keys.rs
@@ -33,16 +33,16 @@
 
 /// That a controller may keep workers which the owner can't hear. It stands
 /// beside the ownership record, so that one read tells of both.
-pub fn keeper(label: &str) -> String {
+pub fn delegate(label: &str) -> String {
     format!("o/{SHARD}/keep/{label}")
 }
 
-/// Prefix of what keepers say that their workers hold.
+/// Prefix of what delegates say that their workers hold.
 pub fn inventory_prefix() -> String {
     format!("k/{SHARD}/")
 }
 
-/// One page of what a keeper says that its workers hold.
+/// One page of what a delegate says that its workers hold.
 pub fn inventory(label: &str, page: u32) -> String {
     format!("k/{SHARD}/{label}/{page:04}")
 }
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -81,7 +81,7 @@
 
 /// That a controller may answer workers which the owner of this term can't hear.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct KeeperRecord {
+pub struct DelegateRecord {
     pub v: u32,
     pub term: u64,
     /// The owner asks what those workers hold.
@@ -89,7 +89,7 @@
     pub inventory: bool,
 }
 
-/// What some workers hold, as they reported under a term to their keeper.
+/// What some workers hold, as they reported under a term to their delegate.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct InventoryRecord {
     pub v: u32,
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -9,7 +9,8 @@
 };
 use valegap::protocol::users::{JobKind, Stage};
 use valegap::storage::records::{
-    FinalRecord, HearingRecord, JobRecord, KeeperRecord, OwnerRecord, RosterRecord, SequenceRecord,
+    DelegateRecord, FinalRecord, HearingRecord, JobRecord, OwnerRecord, RosterRecord,
+    SequenceRecord,
 };
 
 const HEARTBEAT: &[&str] = &[
@@ -78,7 +79,7 @@
             running: 57,
         }],
         deaf: false,
-        kept_ago_ms: 4100,
+        answered_alone_ago_ms: 4100,
     }
 }
 
@@ -131,7 +132,7 @@
     let last: FinalRecord = kept(FINAL_RECORD);
     assert_eq!(last.stage, Stage::Cancelled);
     assert_eq!(kept::<OwnerRecord>(OWNER_RECORD).lease, 4);
-    assert!(kept::<KeeperRecord>(KEEPER_RECORD).inventory);
+    assert!(kept::<DelegateRecord>(KEEPER_RECORD).inventory);
     assert_eq!(kept::<HearingRecord>(HEARING_RECORD).workers, 7);
     assert_eq!(kept::<SequenceRecord>(SEQ_RECORD).n, 41);
     assert!(kept::<RosterRecord>(ROSTER_RECORD).spot);
