--- a/src/coordination/answering.rs
+++ b/src/coordination/answering.rs
@@ -9,7 +9,7 @@
 
 /// The answer to a report.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Verdict {
+pub enum ReportReply {
     /// 200: the worker's lease goes on, and it executes these commands.
     Renewed(ReportAnswer),
     /// 503: its machine is known to be gone, or a higher term is about.
@@ -19,7 +19,7 @@
 }
 
 /// Answers a report as the owner, or in its stead, or sends its worker on.
-pub fn answer_report(node: &Arc<Node>, report: &Report) -> Verdict {
+pub fn answer_report(node: &Arc<Node>, report: &Report) -> ReportReply {
     let now = node.now();
     node.lock().workers.insert(report.machine.clone(), now);
     if let Some(lease) = node.live_lease() {
@@ -27,13 +27,13 @@
         // The shard took a moment: only a lease that still holds may answer.
         let now = node.now();
         match outcome {
-            Some(ReportOutcome::Refuse) if lease.live(now) => return Verdict::Refused,
+            Some(ReportOutcome::Refuse) if lease.live(now) => return ReportReply::Refused,
             Some(ReportOutcome::Answer(commands)) if lease.live(now) => {
                 if !node.may_renew_leases(now) {
-                    return Verdict::Elsewhere(Redirect { owner: None });
+                    return ReportReply::Elsewhere(Redirect { owner: None });
                 }
                 let term = lease.term;
-                return Verdict::Renewed(ReportAnswer { term, commands });
+                return ReportReply::Renewed(ReportAnswer { term, commands });
             }
             _ => {}
         }
@@ -46,8 +46,8 @@
             node.with_shard(&lease, "reports", |shard, now| shard.report(report, now));
         }
         let commands = delegate_commands(report, |job| node.ledger.is_open(job));
-        return Verdict::Renewed(ReportAnswer { term, commands });
+        return ReportReply::Renewed(ReportAnswer { term, commands });
     }
     let owner = node.owner_label().filter(|label| label != node.label());
-    Verdict::Elsewhere(Redirect { owner })
+    ReportReply::Elsewhere(Redirect { owner })
 }
--- a/src/coordination/awareness.rs
+++ b/src/coordination/cancellation_knowledge.rs
@@ -26,21 +26,21 @@
 
 /// What one controller knows of the cancellations told by all.
 #[derive(Debug, Default)]
-pub struct Awareness {
+pub struct CancellationKnowledge {
     /// When the last look at the jobs was sent.
     looked: Option<Instant>,
     /// By controller: the moment up to which all that it told is known by its word.
     words: HashMap<String, Instant>,
 }
 
-impl Awareness {
+impl CancellationKnowledge {
     /// A look at the jobs that was sent then was answered, and taken in.
-    pub fn looked(&mut self, sent: Instant) {
+    pub fn caught_up(&mut self, sent: Instant) {
         self.looked = self.looked.max(Some(sent));
     }
 
     /// When the last look was sent.
-    pub fn last_look(&self) -> Option<Instant> {
+    pub fn last_catch_up(&self) -> Option<Instant> {
         self.looked
     }
 
@@ -52,7 +52,7 @@
     /// A controller that began no later than `began` was asked at `sent` for
     /// all cancellations that it told since the last look, and they were taken
     /// in. False if its word doesn't count.
-    pub fn word(&mut self, label: &str, sent: Instant, began: Instant) -> bool {
+    pub fn peer_answered(&mut self, label: &str, sent: Instant, began: Instant) -> bool {
         let unbroken = self.of(label).is_some_and(|known| began < known);
         if unbroken {
             let known = self.words.entry(label.to_owned()).or_insert(sent);
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -2,7 +2,7 @@
 
 pub mod advance_delegation;
 pub mod answering;
-pub mod awareness;
+pub mod cancellation_knowledge;
 pub mod drift;
 pub mod io;
 pub mod lease;
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -11,7 +11,7 @@
 use tracing::{info, warn};
 
 use super::advance_delegation::{self, AdvanceDelegation, AdvanceGrants};
-use super::awareness::{self, Awareness};
+use super::cancellation_knowledge::{self, CancellationKnowledge};
 use super::lease::ShardLease;
 use super::peering::extension;
 use super::shard::{Job, Policy, Shard};
@@ -62,9 +62,9 @@
 const INTERNAL_SHARE: usize = 5;
 
 /// Share of the state service's requests for looks by all controllers.
-const LOOK_SHARE: f64 = 0.2;
+const CATCH_UP_SHARE: f64 = 0.2;
 /// Least pause between two looks.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+const CATCH_UP_PAUSE: Duration = Duration::from_millis(50);
 
 /// A share of the sockets, in percent, as places for connections.
 fn places(settings: &Settings, share: usize) -> Places {
@@ -74,10 +74,10 @@
 
 /// The pause between two looks that keeps all controllers' together within
 /// their share of the state service's requests.
-fn look_pace(settings: &Settings) -> Duration {
+fn catch_up_pace(settings: &Settings) -> Duration {
     let controllers = settings.platform.others.len() as f64 + 1.0;
-    let rate = settings.platform.settings.state.planned().rps * LOOK_SHARE / controllers;
-    Duration::from_secs_f64((1.0 / rate).min(1.0)).max(LOOK_PAUSE)
+    let rate = settings.platform.settings.state.planned().rps * CATCH_UP_SHARE / controllers;
+    Duration::from_secs_f64((1.0 / rate).min(1.0)).max(CATCH_UP_PAUSE)
 }
 
 /// Why the process ends.
@@ -103,7 +103,7 @@
     /// The advance delegations that this lease's heartbeats gave.
     pub advance_grants: AdvanceGrants,
     /// How much of what is over the shard was told, by the ledger's count.
-    pub endings: Option<u64>,
+    pub finished_told: Option<u64>,
     /// What the shard's events cost.
     pub activities: Activities,
 }
@@ -140,7 +140,7 @@
     /// The last owner was an earlier run of this process, which is dead.
     pub previous_run_ended: bool,
     /// Until when this node has promised to leave the shard to its owner.
-    pub promised_until: Option<Instant>,
+    pub extension_granted_until: Option<Instant>,
     /// The owner's term under which this node may answer workers that the
     /// owner can't hear, and until when.
     pub delegation: Option<Delegation>,
@@ -160,9 +160,9 @@
     /// Until when this node should rather not own the shard.
     pub deaf_until: Option<Instant>,
     /// Up to when cancellations are known here.
-    pub awareness: Awareness,
+    pub cancellations: CancellationKnowledge,
     /// Workers are not answered, since too little is known.
-    pub uninformed: bool,
+    pub withholds_answers: bool,
     /// Controllers of an older version, which know no other frames than their
     /// own, and when they last showed it.
     pub older: HashMap<String, Instant>,
@@ -199,13 +199,13 @@
     pub fn new(settings: Settings, clock: Arc<dyn Clock>) -> Arc<Self> {
         let state = StateClient::new(settings.platform.services.state, clock.clone());
         let started = clock.now();
-        let ledger = Ledger::new(look_pace(&settings));
+        let ledger = Ledger::new(catch_up_pace(&settings));
         let rate = settings.platform.settings.state.planned().write_rps * USER_WRITE_SHARE;
         let user_writes = Turns::new(rate, LONGEST_TURN);
         Arc::new(Self {
             policy: Policy::new(&settings),
             front_places: places(&settings, FRONT_SHARE),
-            renewal_bound: awareness::bound(&settings),
+            renewal_bound: cancellation_knowledge::bound(&settings),
             settings,
             clock,
             state,
@@ -233,23 +233,23 @@
 
     /// Brings the ledger of jobs up to date; what it says afterwards was true
     /// at some moment after this call.
-    pub async fn look(self: &Arc<Self>) -> Result<(), StateError> {
-        let sent = self.ledger.look(&self.state, &*self.clock).await?;
-        self.tell_endings();
-        self.lock().awareness.looked(sent);
+    pub async fn catch_up(self: &Arc<Self>) -> Result<(), StateError> {
+        let sent = self.ledger.catch_up(&self.state, &*self.clock).await?;
+        self.tell_finished_jobs();
+        self.lock().cancellations.caught_up(sent);
         Ok(())
     }
 
     /// Tells the shard, if this node runs it, of jobs that the ledger knows to
     /// be over: whatever the ledger knows, the owner has to act on.
-    pub fn tell_endings(self: &Arc<Self>) {
-        let endings = self.ledger.endings();
+    pub fn tell_finished_jobs(self: &Arc<Self>) {
+        let endings = self.ledger.finished_count();
         let lease = {
             let mut inner = self.lock();
             let Some(own) = inner.ownership.as_mut() else {
                 return;
             };
-            if own.endings.replace(endings) == Some(endings) {
+            if own.finished_told.replace(endings) == Some(endings) {
                 return;
             }
             own.lease.clone()
@@ -287,7 +287,7 @@
     fn known_up_to(&self, inner: &Inner, now: Instant) -> Option<Instant> {
         let others = &self.settings.platform.others;
         let labels = others.iter().map(|peer| peer.label.as_str());
-        inner.awareness.known_up_to(labels, now)
+        inner.cancellations.known_up_to(labels, now)
     }
 
     /// Whether this node knows enough of the jobs that are over to answer
@@ -297,8 +297,8 @@
         let known = self.known_up_to(&inner, now);
         let may = known.is_some_and(|known| now < known + self.renewal_bound);
         // Before its first look a controller has nothing to tell.
-        if inner.uninformed == may && known.is_some() {
-            inner.uninformed = !may;
+        if inner.withholds_answers == may && known.is_some() {
+            inner.withholds_answers = !may;
             if may {
                 info!("workers are answered again: cancellations are known");
             } else {
@@ -346,7 +346,7 @@
             let result = event(&mut ownership.shard, now);
             let took = self.clock.now().saturating_duration_since(now);
             ownership.activities.note(activity, took);
-            if ownership.shard.restless() {
+            if ownership.shard.needs_pass() {
                 lease.work.notify_one();
             }
             (result, ownership.shard.take_actions())
@@ -484,9 +484,9 @@
         let now = self.now();
         let inner = self.lock();
         let earlier =
-            (!inner.previous_run_ended).then_some(self.started + extension::LONGEST_PROMISE);
+            (!inner.previous_run_ended).then_some(self.started + extension::LONGEST_EXTENSION);
         inner
-            .promised_until
+            .extension_granted_until
             .max(earlier)
             .filter(|until| *until > now)
     }
--- a/src/coordination/ownership.rs
+++ b/src/coordination/ownership.rs
@@ -245,7 +245,7 @@
             info!(term = lease.term, "lease renewed again");
         }
         if trouble {
-            extend_by_promises(&node, &lease).await;
+            extend_by_votes(&node, &lease).await;
         }
         if refused {
             tokio::time::sleep(RENEW_RETRY).await;
@@ -271,13 +271,13 @@
 /// Without the state service, an owner goes on as long as every other
 /// controller promises not to seek the shard. Past its deadline, it may begin to
 /// again if nobody can have taken the shard since its last good renewal.
-async fn extend_by_promises(node: &Arc<Node>, lease: &ShardLease) {
-    let time = extension::LONGEST_PROMISE;
+async fn extend_by_votes(node: &Arc<Node>, lease: &ShardLease) {
+    let time = extension::LONGEST_EXTENSION;
     let sent = node.now();
     let promised = if lease.live(sent) {
-        extension::all_promise(node, time).await
+        extension::all_grant_extension(node, time).await
     } else {
-        extension::all_stand_aside(node, lease, time).await
+        extension::all_vote_for_revival(node, lease, time).await
     };
     if promised {
         let margin = Duration::from_secs_f64(node.settings.operator.lease_margin_s).min(time / 4);
@@ -317,12 +317,12 @@
             lease: lease.clone(),
             shard,
             advance_grants: AdvanceGrants::default(),
-            endings: None,
+            finished_told: None,
             activities: Activities::default(),
         });
     }
     // The ledger may know of endings since what was loaded was read.
-    node.tell_endings();
+    node.tell_finished_jobs();
     let types = node.lock().types.clone();
     node.with_shard(&lease, "types", |shard, _| {
         if let Some(types) = types {
--- a/src/coordination/peering/cancellations.rs
+++ b/src/coordination/peering/cancellations.rs
@@ -10,19 +10,22 @@
 use crate::coordination::drift;
 use crate::coordination::node::Node;
 use crate::protocol::peer_messages::{
-    CANCELLATIONS, CancellationsAsked, CancellationsTold, CancelledJob,
+    CANCELLATIONS, CancellationsRequest, CancelledJob, ConfirmedCancellations,
 };
 use crate::settings::platform::Peer;
 
 /// Age of the last look at the jobs past which others are asked what they told.
-const LOOK_LATE: Duration = Duration::from_secs(2);
+const CATCH_UP_LATE: Duration = Duration::from_secs(2);
 /// Pause before a controller of an older version is asked again.
 const ASK_OLDER_AGAIN: Duration = Duration::from_secs(10);
 
 /// What this node has told users of cancellations since a revision.
-pub fn cancellations_told(node: &Node, asked: &CancellationsAsked) -> CancellationsTold {
+pub fn confirmed_cancellations(
+    node: &Node,
+    asked: &CancellationsRequest,
+) -> ConfirmedCancellations {
     let jobs = node.ledger.cancelled_after(asked.after);
-    CancellationsTold {
+    ConfirmedCancellations {
         up_ms: node.up_time().as_millis() as u64,
         jobs: jobs.map(|jobs| {
             let job = |(job, revision)| CancelledJob { job, revision };
@@ -32,15 +35,20 @@
 }
 
 /// Takes in what a controller that was asked at `sent` has told users.
-pub fn note_told(node: &Arc<Node>, label: &str, sent: Instant, told: CancellationsTold) {
+pub fn note_peer_cancellations(
+    node: &Arc<Node>,
+    label: &str,
+    sent: Instant,
+    told: ConfirmedCancellations,
+) {
     let Some(jobs) = told.jobs else {
         return;
     };
     let cancelled = jobs.into_iter().map(|told| (told.job, told.revision));
     node.ledger.note_cancelled(cancelled.collect());
-    node.tell_endings();
+    node.tell_finished_jobs();
     let began = drift::latest_start(Duration::from_millis(told.up_ms), node.now());
-    let counts = node.lock().awareness.word(label, sent, began);
+    let counts = node.lock().cancellations.peer_answered(label, sent, began);
     if !counts {
         tracing::debug!(
             peer = label,
@@ -58,9 +66,9 @@
     };
     let asked: Vec<Peer> = {
         let inner = node.lock();
-        let looked = inner.awareness.last_look();
+        let looked = inner.cancellations.last_catch_up();
         if (inner.ownership.is_none() && inner.loading.is_none())
-            || looked.is_some_and(|at| now.saturating_duration_since(at) < LOOK_LATE)
+            || looked.is_some_and(|at| now.saturating_duration_since(at) < CATCH_UP_LATE)
         {
             return;
         }
@@ -72,21 +80,21 @@
         others.filter(older).cloned().collect()
     };
     for peer in asked {
-        tokio::spawn(ask_for_word(node.clone(), peer, after));
+        tokio::spawn(ask_for_cancellations(node.clone(), peer, after));
     }
 }
 
 /// Asks one controller what it told users since a revision.
-pub async fn ask_for_word(node: Arc<Node>, peer: Peer, after: u64) {
+pub async fn ask_for_cancellations(node: Arc<Node>, peer: Peer, after: u64) {
     let sent = node.now();
-    let frame = CancellationsAsked { after }.encode();
+    let frame = CancellationsRequest { after }.encode();
     let Ok(answer) = post(&node, &peer, CANCELLATIONS, frame, ROUND_DEADLINE).await else {
         return;
     };
-    let told = CancellationsTold::decode(&answer.body);
+    let told = ConfirmedCancellations::decode(&answer.body);
     if let Some(told) = told.filter(|_| answer.status == StatusCode::OK) {
         node.lock().older.remove(&peer.label);
-        note_told(&node, &peer.label, sent, told);
+        note_peer_cancellations(&node, &peer.label, sent, told);
     } else if node.lock().older.insert(peer.label.clone(), sent).is_none() {
         tracing::info!(
             peer = peer.label,
--- a/src/coordination/peering/delegation.rs
+++ b/src/coordination/peering/delegation.rs
@@ -256,7 +256,7 @@
         let prefix = keys::owner_prefix();
         // A delegate has to know which jobs are over: what it lets live on of
         // them is its to stop.
-        let read = tokio::join!(node.state.list(&prefix, DELEGATION_TIME), node.look());
+        let read = tokio::join!(node.state.list(&prefix, DELEGATION_TIME), node.catch_up());
         let (Ok((items, _)), Ok(())) = read else {
             continue;
         };
--- a/src/coordination/peering/extension.rs
+++ b/src/coordination/peering/extension.rs
@@ -11,40 +11,40 @@
 use crate::coordination::drift;
 use crate::coordination::lease::ShardLease;
 use crate::coordination::node::{Inner, Node};
-use crate::protocol::peer_messages::{STAND_ASIDE, StandAside, StoodAside};
+use crate::protocol::peer_messages::{REVIVE_LEASE, RevivalVote, ReviveLease};
 use crate::protocol::peers::{PeerAnswer, PeerRequest};
 use crate::settings::platform::Peer;
 
 /// Longest promise that is given. A process that has just started waits this
 /// long before it seeks the shard: its earlier run may have promised.
-pub const LONGEST_PROMISE: Duration = Duration::from_secs(1);
+pub const LONGEST_EXTENSION: Duration = Duration::from_secs(1);
 
 /// Promises not to seek the shard for a while, so that its owner can go on
 /// through an outage of the state service. Not given when the service serves
 /// this node: then the owner alone is cut off, and should be replaced.
-pub fn promise(node: &Node, time: Duration) -> bool {
+pub fn grant_extension(node: &Node, time: Duration) -> bool {
     let now = node.now();
     let lost = node.state_failing();
     let mut inner = node.lock();
-    if !lost || inner.acquiring || inner.ownership.is_some() || time > LONGEST_PROMISE {
+    if !lost || inner.acquiring || inner.ownership.is_some() || time > LONGEST_EXTENSION {
         return false;
     }
     // Our own clock may run fast against the owner's.
     let until = now + drift::longest(time);
-    inner.promised_until = inner.promised_until.max(Some(until));
+    inner.extension_granted_until = inner.extension_granted_until.max(Some(until));
     true
 }
 
 /// Asks all other controllers for a promise; true if every one gives it.
-pub async fn all_promise(node: &Arc<Node>, time: Duration) -> bool {
-    let request = PeerRequest::Promise {
+pub async fn all_grant_extension(node: &Arc<Node>, time: Duration) -> bool {
+    let request = PeerRequest::ExtendLease {
         millis: time.as_millis() as u64,
     };
     all_others(node, move |node, peer| {
         let request = request.clone();
         async move {
             let answer = ask(&node, &peer, &request, ROUND_DEADLINE).await;
-            matches!(answer, Some(PeerAnswer::Promise { given: true }))
+            matches!(answer, Some(PeerAnswer::LeaseExtension { granted: true }))
         }
     })
     .await
@@ -69,32 +69,32 @@
 
 /// Answers an owner past its deadline: the same promise, given only by a run that
 /// has taken no later term.
-pub fn stand_aside(node: &Node, asked: &StandAside) -> StoodAside {
+pub fn vote_on_revival(node: &Node, asked: &ReviveLease) -> RevivalVote {
     let later = {
         let inner = node.lock();
         end_earlier(&inner, asked.term);
         inner.latest_term > asked.term
     };
-    StoodAside {
-        given: !later && promise(node, Duration::from_millis(asked.millis)),
+    RevivalVote {
+        granted: !later && grant_extension(node, Duration::from_millis(asked.millis)),
         up_ms: node.up_time().as_millis() as u64,
     }
 }
 
 /// Whether an answer that has just come proves that its giver left the shard alone
 /// since an owner's last good renewal was sent: an earlier run may have taken it.
-pub fn left_alone(answer: &StoodAside, now: Instant, renewed: Instant) -> bool {
-    answer.given && drift::latest_start(Duration::from_millis(answer.up_ms), now) < renewed
+pub fn proves_unowned(answer: &RevivalVote, now: Instant, renewed: Instant) -> bool {
+    answer.granted && drift::latest_start(Duration::from_millis(answer.up_ms), now) < renewed
 }
 
 /// Asks all other controllers to stand aside; true if every one does, and none can
 /// have taken the shard since.
-pub async fn all_stand_aside(node: &Arc<Node>, lease: &ShardLease, time: Duration) -> bool {
+pub async fn all_vote_for_revival(node: &Arc<Node>, lease: &ShardLease, time: Duration) -> bool {
     if !node.state_failing() || lease.ended() {
         return false;
     }
     let renewed = lease.last_renewed();
-    let frame = StandAside {
+    let frame = ReviveLease {
         term: lease.term,
         millis: time.as_millis() as u64,
     };
@@ -102,9 +102,9 @@
     all_others(node, move |node, peer| {
         let frame = frame.clone();
         async move {
-            let answer = post(&node, &peer, STAND_ASIDE, frame, ROUND_DEADLINE).await;
-            let answer = answer.ok().and_then(|a| StoodAside::decode(&a.body));
-            answer.is_some_and(|answer| left_alone(&answer, node.now(), renewed))
+            let answer = post(&node, &peer, REVIVE_LEASE, frame, ROUND_DEADLINE).await;
+            let answer = answer.ok().and_then(|a| RevivalVote::decode(&a.body));
+            answer.is_some_and(|answer| proves_unowned(&answer, node.now(), renewed))
         }
     })
     .await
--- a/src/coordination/peering/mod.rs
+++ b/src/coordination/peering/mod.rs
@@ -81,6 +81,6 @@
 fn keep_ledger_fresh(node: &Arc<Node>) {
     let node = node.clone();
     tokio::spawn(async move {
-        let _ = node.look().await;
+        let _ = node.catch_up().await;
     });
 }
--- a/src/coordination/requests.rs
+++ b/src/coordination/requests.rs
@@ -353,14 +353,14 @@
     let last: FinalRecord =
         serde_json::from_value(item.value).map_err(|e| StateError::Unexpected(e.to_string()))?;
     node.ledger.note_final(id, &last, item.version);
-    node.tell_endings();
+    node.tell_finished_jobs();
     Ok(Some(last))
 }
 
 /// Looks for the job among the unfinished ones first: a job moves from there to
 /// its final record and never back, so that finding neither means it never was.
 async fn poll(node: &Arc<Node>, id: &str) -> Result<Reply, StateError> {
-    patient(|| node.look()).await?;
+    patient(|| node.catch_up()).await?;
     match node.ledger.find(id) {
         Known::Open => {
             let (done, running) = progress(node, id);
@@ -413,7 +413,7 @@
         match user_write(node, &txn).await? {
             TxnOutcome::Committed { revision } => {
                 node.ledger.note_final(id, &last, revision);
-                node.tell_endings();
+                node.tell_finished_jobs();
                 return Ok(Reply::stage(200, id, Stage::Cancelled));
             }
             TxnOutcome::Conflict => {
--- a/src/coordination/shard/cluster.rs
+++ b/src/coordination/shard/cluster.rs
@@ -65,7 +65,7 @@
             next_take: term << TAKE_BITS,
             next_command: 0,
             main_zone: None,
-            restless: true,
+            needs_pass: true,
             running: HashMap::new(),
             counted: None,
             out: Vec::new(),
--- a/src/coordination/shard/commands.rs
+++ b/src/coordination/shard/commands.rs
@@ -20,7 +20,7 @@
         let withdrawn: Vec<(MachineId, (TaskId, u64))> = self
             .machines
             .values()
-            .filter(|machine| machine.tally.to_withdraw)
+            .filter(|machine| machine.load.to_withdraw)
             .flat_map(|machine| {
                 machine
                     .attempts
@@ -38,7 +38,7 @@
     pub(super) fn flush_commands(&mut self, now: Instant) {
         self.machines.refresh();
         let ids = self.machines.ids(|m| {
-            m.tally.to_tell
+            m.load.to_tell
                 && m.synced
                 && m.command.is_none()
                 && !m.deleting
@@ -120,7 +120,7 @@
             .values()
             .filter(|m| {
                 let quiet = m.silence(now) > self.policy.report.mul_f64(1.25) + PROBE_LATE;
-                (!m.synced || quiet || m.deaf)
+                (!m.synced || quiet || m.commands_fail)
                     && m.should_report()
                     && m.command.is_none()
                     && m.command_retry.is_none_or(|at| at <= now)
@@ -172,7 +172,7 @@
         let asked_at = machine.asked_at;
         match outcome {
             CommandOutcome::Executed(report) | CommandOutcome::Refused(report) => {
-                machine.deaf = false;
+                machine.commands_fail = false;
                 if (report.session, report.seq) <= asked_at && last {
                     // An answer is no copy, and numbers only rise: the machine
                     // came back with a worker that began anew. What it held is
@@ -189,10 +189,10 @@
             CommandOutcome::NotSent | CommandOutcome::NoAnswer => {
                 machine.command_retry = Some(now + RETRY);
                 machine.unanswered += 1;
-                machine.deaf = true;
+                machine.commands_fail = true;
             }
         }
-        self.restless = true;
+        self.needs_pass = true;
     }
 
     /// After an executed batch, a launch that its report does not show (and
@@ -233,7 +233,7 @@
         if !attempt.ended() {
             self.release(id, &key.0);
         }
-        self.restless = true;
+        self.needs_pass = true;
     }
 
     /// A task may start elsewhere: its attempt here has ended or is gone.
@@ -243,14 +243,14 @@
             let job_id = job.id.clone();
             self.drop_job_if_empty(&job_id);
         }
-        self.restless = true;
+        self.needs_pass = true;
     }
 
     /// The machine holds nothing any more: its lease has ended, or it is gone.
     pub(super) fn empty_machine(&mut self, id: &MachineId, now: Instant) {
         self.remove_attempts(id, now);
         self.account_for(id);
-        self.restless = true;
+        self.needs_pass = true;
     }
 
     /// What an earlier owner may have started on a machine is known now.
@@ -294,7 +294,7 @@
             .machines
             .values()
             .filter(|m| {
-                known_at > m.lease_over && (!m.tally.idle() || self.unresolved.contains(&m.id))
+                known_at > m.lease_over && (!m.load.idle() || self.unresolved.contains(&m.id))
             })
             .map(|m| m.id.clone())
             .collect();
--- a/src/coordination/shard/delegations.rs
+++ b/src/coordination/shard/delegations.rs
@@ -100,7 +100,7 @@
             .insert(label.to_owned(), DelegationState::Granted);
         self.writes
             .fact(Fact::Delegated, Change::put(keys::delegate(label), value));
-        self.restless = true;
+        self.needs_pass = true;
     }
 
     /// Whether a delegate may write what this owner has to know.
@@ -185,7 +185,7 @@
             Fact::Revoked(label.to_owned()),
             Change::delete(keys::delegate(label)),
         );
-        self.restless = true;
+        self.needs_pass = true;
     }
 
     /// The end of a delegation is written; it may have been delegated again since.
--- a/src/coordination/shard/drain.rs
+++ b/src/coordination/shard/drain.rs
@@ -67,10 +67,10 @@
         let Some(main) = &self.main_zone else {
             return;
         };
-        let restless = self.machines.values().any(|machine| {
+        let needs_pass = self.machines.values().any(|machine| {
             live_services(machine).any(|(_, a, _)| a.stop.is_some() || a.phase != Phase::Running)
         });
-        if restless {
+        if needs_pass {
             return;
         }
         let far = self
@@ -108,7 +108,7 @@
             .and_then(|machine| machine.attempts.get_mut(key))
         {
             attempt.want_stop(Duration::ZERO);
-            self.restless = true;
+            self.needs_pass = true;
         }
     }
 
@@ -135,7 +135,7 @@
                 && let Some(machine) = self.machines.get_mut(id)
             {
                 machine.draining = false;
-                self.restless = true;
+                self.needs_pass = true;
             }
         }
     }
@@ -153,7 +153,7 @@
         let moving = self
             .machines
             .values()
-            .filter(|machine| machine.tally.stopping)
+            .filter(|machine| machine.load.stopping)
             .filter(|machine| live_services(machine).any(|(_, a, _)| a.stop.is_some()))
             .count();
         if leaving.is_empty() || moving >= at_once || self.jobs.values().any(waits) {
@@ -191,11 +191,11 @@
 
     /// What a machine has beside its services: batch work on it ends.
     fn beside_services(&self, machine: &Machine) -> Option<Amounts> {
-        if machine.tally.unknown > 0 {
+        if machine.load.unknown > 0 {
             return None;
         }
         let mut room = Amounts::of_type(self.types.get(&*machine.machine_type)?);
-        for (spec, count) in machine.tally.services() {
+        for (spec, count) in machine.load.services() {
             for _ in 0..*count {
                 room.take(spec);
             }
@@ -227,7 +227,7 @@
             let fill = 1.0 - room.cores / kind.cores.max(1e-9);
             let settled = machine.open(now, &self.policy)
                 && now.saturating_duration_since(machine.rented) >= LEAST_AGE;
-            if settled && !machine.spot && !machine.tally.idle() && fill <= MOST_FILL {
+            if settled && !machine.spot && !machine.load.idle() && fill <= MOST_FILL {
                 worth.push((kind.price * (1.0 - fill), machine));
             }
         }
@@ -377,5 +377,5 @@
 }
 
 pub(super) fn hosts_services(machine: &Machine) -> bool {
-    machine.tally.services().next().is_some()
+    machine.load.services().next().is_some()
 }
--- a/src/coordination/shard/fleet.rs
+++ b/src/coordination/shard/fleet.rs
@@ -242,7 +242,9 @@
         // When much is silent at once, the trouble is more likely ours.
         let many = silent > 1 && silent * 3 > expected.len();
         // The same for those that answer, but whose own reports don't come.
-        let mute = |m: &Machine| m.heard.is_some() && m.mute_for(now) >= self.policy.mute_after();
+        let mute = |m: &Machine| {
+            m.heard.is_some() && m.unreported_for(now) >= self.policy.report_overdue()
+        };
         let much_mute = expected.iter().filter(|m| mute(m)).count();
         let many_mute = much_mute > 1 && much_mute * 3 > expected.len();
         let soon = self.policy.report.mul_f64(1.4);
@@ -276,7 +278,7 @@
                 } else if mute(m)
                     && now > m.lease_over
                     && !self.others_may_answer()
-                    && m.mute_for(now) >= self.patience(m, many_mute)
+                    && m.unreported_for(now) >= self.patience(m, many_mute)
                 {
                     Some((m.id.clone(), "its worker's reports don't come"))
                 } else {
@@ -347,7 +349,7 @@
                 machine.deletion_retry = Some(now + RETRY);
             }
         }
-        self.restless = true;
+        self.needs_pass = true;
     }
 
     /// The cloud answered (or didn't) a rental.
@@ -393,7 +395,7 @@
         }
         self.fleet.bookings.remove(request);
         self.record_answer(request);
-        self.restless = true;
+        self.needs_pass = true;
     }
 
     fn expect_machine(
@@ -467,7 +469,7 @@
         for id in failed {
             self.begin_deletion(&id, now, "the cloud lists it as failed");
         }
-        self.restless = true;
+        self.needs_pass = true;
     }
 
     /// Records a rental of so many machines, which is asked for once it is written.
@@ -532,7 +534,7 @@
                 continue;
             }
             let unrecorded = |m: &Machine| m.attempts.values().any(|a| !a.clearable);
-            if !machine.tally.idle() || unrecorded(machine) {
+            if !machine.load.idle() || unrecorded(machine) {
                 continue;
             }
             let idle = machine
--- a/src/coordination/shard/gang.rs
+++ b/src/coordination/shard/gang.rs
@@ -334,7 +334,7 @@
         let reached = |id: &MachineId| {
             self.machines
                 .get(id)
-                .is_some_and(|m| !m.deaf && m.silence(now) < self.policy.suspect)
+                .is_some_and(|m| !m.commands_fail && m.silence(now) < self.policy.suspect)
         };
         job.live().values().all(reached)
     }
--- a/src/coordination/shard/jobs.rs
+++ b/src/coordination/shard/jobs.rs
@@ -201,7 +201,7 @@
         );
         let id: JobId = id.into();
         self.jobs.insert(id.clone(), Job::new(id, mark, record));
-        self.restless = true;
+        self.needs_pass = true;
     }
 
     /// All unfinished jobs, read again at a revision.
@@ -248,7 +248,7 @@
         }
         let id = job.id.clone();
         self.close_attempts_of(&id);
-        self.restless = true;
+        self.needs_pass = true;
         self.drop_job_if_empty(&id);
     }
 
@@ -291,7 +291,7 @@
                 attempt.spec.get_or_insert_with(|| spec.clone());
             }
         }
-        self.restless = true;
+        self.needs_pass = true;
     }
 
     /// Forgets a job that is over once no attempt of it may exist.
--- a/src/coordination/shard/book.rs
+++ b/src/coordination/shard/machine_set.rs
@@ -1,4 +1,4 @@
-//! The shard's machines, each with a tally of what may run on it.
+//! The shard's machines, each with a load of what may run on it.
 //!
 //! Decisions look at machines far more often than machines change. So every
 //! mutable access marks the machine, and [`Machines::refresh`] counts the
@@ -14,7 +14,7 @@
 
 /// What may run on one machine, counted from its attempts.
 #[derive(Debug, Default, Clone, PartialEq)]
-pub struct Tally {
+pub struct MachineLoad {
     /// How many tasks of which jobs may be there.
     pub tasks: Vec<(Arc<JobSpec>, u32)>,
     /// What they take together.
@@ -29,34 +29,34 @@
     pub to_withdraw: bool,
 }
 
-impl Tally {
+impl MachineLoad {
     /// Counts a machine's attempts.
     pub fn of(machine: &Machine) -> Self {
-        let mut tally = Self::default();
+        let mut load = Self::default();
         for attempt in machine.attempts.values() {
-            tally.to_tell |= needs_telling(attempt);
-            tally.to_withdraw |= withdrawable(attempt);
+            load.to_tell |= needs_telling(attempt);
+            load.to_withdraw |= withdrawable(attempt);
             if attempt.ended() {
                 continue;
             }
-            tally.stopping |= attempt.stop.is_some();
+            load.stopping |= attempt.stop.is_some();
             let Some(spec) = &attempt.spec else {
-                tally.unknown += 1;
+                load.unknown += 1;
                 continue;
             };
-            tally.used.give(spec);
+            load.used.give(spec);
             // Tasks of one job mostly stand together.
-            match tally
+            match load
                 .tasks
                 .iter_mut()
                 .rev()
                 .find(|(known, _)| Arc::ptr_eq(known, spec))
             {
                 Some((_, count)) => *count += 1,
-                None => tally.tasks.push((spec.clone(), 1)),
+                None => load.tasks.push((spec.clone(), 1)),
             }
         }
-        tally
+        load
     }
 
     /// Whether nothing may run there.
@@ -89,7 +89,7 @@
         self.all.get(id)
     }
 
-    /// A machine to change; its tally is counted again before the next look.
+    /// A machine to change; its load is counted again before the next look.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut Machine> {
         let machine = self.all.get_mut(id)?;
         if !self.changed.contains(id) {
@@ -132,20 +132,20 @@
             .collect()
     }
 
-    /// Whether every tally that is taken to hold does.
+    /// Whether every load that is taken to hold does.
     #[cfg(test)]
-    pub fn tallies_hold(&self) -> bool {
+    pub fn loads_hold(&self) -> bool {
         self.all
             .values()
             .filter(|machine| !self.changed.contains(&machine.id))
-            .all(|machine| machine.tally == Tally::of(machine))
+            .all(|machine| machine.load == MachineLoad::of(machine))
     }
 
     /// Counts the machines again that may have changed.
     pub fn refresh(&mut self) {
         for id in std::mem::take(&mut self.changed) {
             if let Some(machine) = self.all.get_mut(&id) {
-                machine.tally = Tally::of(machine);
+                machine.load = MachineLoad::of(machine);
             }
         }
     }
--- a/src/coordination/shard/machines.rs
+++ b/src/coordination/shard/machines.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::{Policy, Tally};
+use super::{MachineLoad, Policy};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::JobSpec;
 use crate::protocol::workers::Ending;
@@ -204,7 +204,7 @@
     pub notice: Option<Instant>,
     pub attempts: BTreeMap<(TaskId, u64), Attempt>,
     /// What they amount to, as last counted.
-    pub tally: Tally,
+    pub load: MachineLoad,
     /// Images it holds or fetches, most recently used last.
     pub images: Vec<String>,
     /// When its rental was asked for, as far as is known.
@@ -233,7 +233,7 @@
     pub asked_at: (u64, u64),
     /// Commands don't reach it, as far as is known: it gets no new work until
     /// it answers some.
-    pub deaf: bool,
+    pub commands_fail: bool,
     pub command_retry: Option<Instant>,
     /// Batches of commands without an answer since it was last heard.
     pub unanswered: u32,
@@ -260,7 +260,7 @@
             lease_over,
             notice: None,
             attempts: BTreeMap::new(),
-            tally: Tally::default(),
+            load: MachineLoad::default(),
             images: Vec::new(),
             rented: now,
             idle_since: None,
@@ -274,7 +274,7 @@
             vanished: false,
             command: None,
             asked_at: (0, 0),
-            deaf: false,
+            commands_fail: false,
             command_retry: None,
             unanswered: 0,
         }
@@ -313,7 +313,7 @@
 
     /// For how long its worker has not reported by itself. It may still answer
     /// what it is asked, but only its reports renew its lease.
-    pub fn mute_for(&self, now: Instant) -> Duration {
+    pub fn unreported_for(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.renewed.unwrap_or(self.known))
     }
 
@@ -324,15 +324,15 @@
             && self
                 .session
                 .is_some_and(|session| session > self.dead_sessions)
-            && !self.deaf
+            && !self.commands_fail
             && !self.deleting
             && !self.condemned
             && !self.draining
             && self.notice.is_none()
             && !self.vanished
             && self.silence(now) < policy.suspect
-            && self.mute_for(now) < policy.mute_after()
-            && self.tally.unknown == 0
+            && self.unreported_for(now) < policy.report_overdue()
+            && self.load.unknown == 0
     }
 
     /// All attempts of one job.
@@ -349,10 +349,10 @@
 
     /// What is left beside all that may be in use on it.
     pub fn free(&self, kind: &MachineType) -> Amounts {
-        if self.tally.unknown > 0 {
+        if self.load.unknown > 0 {
             return Amounts::default();
         }
-        Amounts::of_type(kind).less(&self.tally.used)
+        Amounts::of_type(kind).less(&self.load.used)
     }
 
     pub fn busy(&self) -> bool {
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -3,7 +3,6 @@
 //! Events come in through the methods of [`Shard`]; what has to be done
 //! outside comes out as [`Action`]s. Nothing here waits or talks.
 
-mod book;
 mod cluster;
 mod commands;
 mod delegations;
@@ -11,6 +10,7 @@
 mod fleet;
 mod gang;
 mod jobs;
+mod machine_set;
 mod machines;
 mod placement;
 mod plan;
@@ -19,12 +19,12 @@
 mod slowness;
 mod writes;
 
-pub use book::{Machines, Tally};
 pub use cluster::{Loaded, LoadedMachine};
 pub use delegations::delegate_commands;
 pub use fleet::RentalOutcome;
 pub use gang::GangAttempt;
 pub use jobs::Job;
+pub use machine_set::{MachineLoad, Machines};
 pub use machines::{Attempt, Machine, Phase};
 pub use reports::ReportOutcome;
 pub use writes::{Fact, ShardWrite};
@@ -178,7 +178,7 @@
 
     /// How long a worker that answers may go without a report of its own. One whose
     /// owner has just ended takes its time to find the next.
-    pub fn mute_after(&self) -> Duration {
+    pub fn report_overdue(&self) -> Duration {
         self.suspect.max(self.worker_lease / 2)
     }
 
@@ -255,7 +255,7 @@
     /// there, since its controller hears them whatever zones are cut apart.
     pub main_zone: Option<String>,
     /// Something changed that may allow or need new decisions.
-    restless: bool,
+    needs_pass: bool,
     /// Running tasks by job, as last counted, and when that was.
     running: HashMap<JobId, u32>,
     counted: Option<Instant>,
@@ -281,13 +281,13 @@
         }
         self.probe_unsynced(now);
         self.manage_fleet(now);
-        self.restless = true;
+        self.needs_pass = true;
         self.settle(now);
     }
 
     /// Works out the difference between what is wanted and what is.
     pub fn settle(&mut self, now: Instant) {
-        if std::mem::take(&mut self.restless) {
+        if std::mem::take(&mut self.needs_pass) {
             self.mind_gangs(now);
             self.withdraw_launches(now);
             self.place(now);
@@ -310,7 +310,7 @@
             .iter()
             .map(|t| (t.name.clone(), Arc::new(t.clone())))
             .collect();
-        self.restless = true;
+        self.needs_pass = true;
     }
 
     /// Counts the running tasks of each job, for display.
@@ -394,7 +394,7 @@
             if drain::hosts_services(machine) {
                 hosts += cores;
             }
-            for (spec, count) in &machine.tally.tasks {
+            for (spec, count) in &machine.load.tasks {
                 let cores = spec.cores * f64::from(*count);
                 match spec.kind {
                     JobKind::Service => services += cores,
@@ -451,8 +451,8 @@
     }
 
     /// Whether something changed since decisions were last made.
-    pub fn restless(&self) -> bool {
-        self.restless
+    pub fn needs_pass(&self) -> bool {
+        self.needs_pass
     }
 
     /// The machines, for tests and the status page.
--- a/src/coordination/shard/placement.rs
+++ b/src/coordination/shard/placement.rs
@@ -150,7 +150,7 @@
         let mut usage = Usage::default();
         for machine in self.machines.values() {
             let unresolved = self.unresolved.contains(&machine.id);
-            let unknown = if unresolved { 1 } else { machine.tally.unknown };
+            let unknown = if unresolved { 1 } else { machine.load.unknown };
             if unknown > 0
                 && let Some(kind) = self.types.get(&*machine.machine_type)
             {
@@ -158,7 +158,7 @@
                 usage.unknown.accelerators += kind.accelerators * f64::from(unknown);
             }
             if !unresolved {
-                for (spec, count) in &machine.tally.tasks {
+                for (spec, count) in &machine.load.tasks {
                     usage.add(spec, *count);
                 }
             }
@@ -209,7 +209,7 @@
     }
 
     /// Whether a job's waiting tasks are surely nowhere.
-    pub(super) fn whereabouts_known(&self, job: &Job) -> bool {
+    pub(super) fn placement_known(&self, job: &Job) -> bool {
         // Jobs accepted after our term began were never an earlier owner's.
         self.unresolved.is_empty() || job.mark > self.term
     }
@@ -218,7 +218,7 @@
     /// unaccounted for, those that were on machines we knew of: no earlier owner
     /// can have started them elsewhere.
     pub(super) fn placeable(&self, job: &Job) -> u32 {
-        if self.whereabouts_known(job) {
+        if self.placement_known(job) {
             job.waiting()
         } else if job.spec.one_zone && job.unaccounted() > 0 {
             // Nobody knows which zone the others are in.
@@ -309,7 +309,7 @@
                 placed_in_all += placed;
                 if placed_in_all >= MOST_PLACED {
                     // Reports and renewals come first; the next pass goes on.
-                    self.restless = true;
+                    self.needs_pass = true;
                     return;
                 }
                 let left = self.jobs.get(&id).map_or(0, |job| self.placeable(job));
@@ -338,7 +338,7 @@
                     && job.live().is_empty()
                     && job.done().is_empty()
                     && job.not_before.is_none_or(|at| at <= now)
-                    && self.whereabouts_known(job)
+                    && self.placement_known(job)
             })
             .map(|job| job.id.clone())
             .collect();
@@ -448,7 +448,7 @@
             if self.placeable(job) == 0 || !self.within_limit(&pass.usage, &spec) {
                 break;
             }
-            let all = self.whereabouts_known(job);
+            let all = self.placement_known(job);
             self.look_for_image(&spec.image, pass);
             let seed = self.seed(job, pass);
             let Some(at) = seed.or_else(|| self.choose(job, pass)) else {
@@ -587,7 +587,7 @@
         let per_zone = spec.tasks.div_ceil(2);
         let could_hold = |slot: &Slot| {
             let lesser = |machine: &Machine| {
-                machine.tally.tasks.iter().any(|(other, _)| {
+                machine.load.tasks.iter().any(|(other, _)| {
                     other.priority < spec.priority
                         && other.cores >= spec.cores
                         && other.mem_gb >= spec.mem_gb
@@ -612,7 +612,7 @@
     fn better_to_make_room(&self, job: &Job, at: usize, pass: &Pass) -> bool {
         let spec = &job.spec;
         let lesser = |machine: &Machine| {
-            machine.tally.tasks.iter().any(|(lesser, _)| {
+            machine.load.tasks.iter().any(|(lesser, _)| {
                 lesser.priority < spec.priority
                     && lesser.cores >= spec.cores
                     && lesser.mem_gb >= spec.mem_gb
@@ -663,7 +663,7 @@
             }
         }
         let unaccounted = job.unaccounted();
-        if job.spec.scatter && unaccounted > 0 && !self.whereabouts_known(job) {
+        if job.spec.scatter && unaccounted > 0 && !self.placement_known(job) {
             // They may all be in any zone with machines that are unaccounted for.
             let machines = self
                 .unresolved
@@ -742,7 +742,7 @@
 /// Whether a machine fetches an image, or is about to.
 fn fetches_image(machine: &Machine, image: &str) -> bool {
     machine
-        .tally
+        .load
         .tasks
         .iter()
         .any(|(spec, _)| spec.image == image)
--- a/src/coordination/shard/plan/capacity.rs
+++ b/src/coordination/shard/plan/capacity.rs
@@ -161,7 +161,7 @@
         } else if machine.heard.is_some() && machine.silence(now) > self.policy.suspect {
             return None;
         }
-        let readiness = match (coming, machine.tally.idle()) {
+        let readiness = match (coming, machine.load.idle()) {
             _ if machine.draining => Readiness::Draining,
             (true, _) => Readiness::Coming,
             (false, true) => Readiness::Idle,
@@ -219,7 +219,7 @@
 /// The batch tasks on a machine, lowest priority first.
 fn preemptible(machine: &Machine) -> Vec<Preemptible> {
     let batch = |(spec, _): &&(Arc<JobSpec>, u32)| spec.kind == JobKind::Batch;
-    let tasks = machine.tally.tasks.iter().filter(batch);
+    let tasks = machine.load.tasks.iter().filter(batch);
     let mut tasks: Vec<Preemptible> = tasks
         .map(|(spec, count)| Preemptible {
             spec: spec.clone(),
--- a/src/coordination/shard/preemption.rs
+++ b/src/coordination/shard/preemption.rs
@@ -80,7 +80,7 @@
     fn room_being_made(&self, pass: &Pass) -> Vec<Amounts> {
         let of = |slot: &Slot| {
             let mut room = slot.free;
-            if let Some(machine) = self.machines.get(&slot.id).filter(|m| m.tally.stopping) {
+            if let Some(machine) = self.machines.get(&slot.id).filter(|m| m.load.stopping) {
                 let stopping = machine.attempts.values().filter(|a| !a.ended());
                 for spec in stopping
                     .filter(|a| a.stop.is_some())
@@ -148,7 +148,7 @@
         // as much as it helps, and most that is short ends soon by itself.
         let stopping = |slot: &Slot| {
             let machine = self.machines.get(&slot.id);
-            machine.is_some_and(|machine| machine.tally.stopping)
+            machine.is_some_and(|machine| machine.load.stopping)
         };
         let guaranteed = self.within_guarantee(&making.usage, spec)
             && making.chosen.is_empty()
@@ -247,7 +247,7 @@
         now: Instant,
     ) -> Option<((Duration, usize), Victims)> {
         let machine = self.machines.get(&pass.slots[at].id)?;
-        if !(guaranteed || machine.tally.has_lesser(spec.priority)) {
+        if !(guaranteed || machine.load.has_lesser(spec.priority)) {
             return None;
         }
         let mut candidates: Vec<_> = machine
@@ -279,7 +279,7 @@
     /// being stopped already.
     fn lesser_of_team(&self, spec: &JobSpec, now: Instant) -> Option<(MachineId, (TaskId, u64))> {
         let mut best: Option<(Priority, Duration, &MachineId, &(TaskId, u64))> = None;
-        let lesser = |machine: &&Machine| machine.tally.has_lesser(spec.priority);
+        let lesser = |machine: &&Machine| machine.load.has_lesser(spec.priority);
         for machine in self.machines.values().filter(lesser) {
             for (key, attempt) in machine.attempts.iter().filter(|(_, a)| !a.ended()) {
                 let Some(other) = &attempt.spec else {
--- a/src/coordination/shard/reports.rs
+++ b/src/coordination/shard/reports.rs
@@ -96,7 +96,7 @@
             // The worker killed and forgot all that its last session held.
             machine.dead_sessions = machine.dead_sessions.max(report.session - 1);
             // We heard it, and still its lease ended: it may not hear us.
-            machine.deaf = true;
+            machine.commands_fail = true;
             tracing::info!(machine = %id, session = report.session, "worker began a new session");
             // What an earlier owner started in this session is not accounted for.
             self.remove_attempts(&id, now);
@@ -117,7 +117,7 @@
         self.take_tasks(&id, &report.tasks, now);
         self.account_for(&id);
         self.admit(&id);
-        self.restless = true;
+        self.needs_pass = true;
     }
 
     fn adopt(&mut self, report: &Report, now: Instant) -> Option<&mut Machine> {
--- a/src/coordination/shard/slowness.rs
+++ b/src/coordination/shard/slowness.rs
@@ -97,6 +97,6 @@
                 JobKind::Service => Duration::ZERO,
             });
         }
-        self.restless = true;
+        self.needs_pass = true;
     }
 }
--- a/src/coordination/shard/tests/meetings.rs
+++ b/src/coordination/shard/tests/meetings.rs
@@ -65,7 +65,7 @@
     for id in ["vm-1", "vm-2", "vm-3", "vm-4"] {
         script.report(id, Vec::new());
     }
-    let silence = script.shard.policy.mute_after();
+    let silence = script.shard.policy.report_overdue();
     let lease = script.shard.policy.lease_surely_over();
     let answers = |script: &mut Script| {
         for id in ["vm-2", "vm-3", "vm-4"] {
--- a/src/coordination/shard/tests/scripted.rs
+++ b/src/coordination/shard/tests/scripted.rs
@@ -869,13 +869,13 @@
     obey(&mut script, "vm-1");
     script.submit("run-2", spec("blue", 1.0, 7));
     obey(&mut script, "vm-1");
-    assert!(script.machine("vm-1").tally.tasks.len() == 2, "full");
+    assert!(script.machine("vm-1").load.tasks.len() == 2, "full");
     // Another machine has room, but no services.
     script.report("vm-2", Vec::new());
     script.pass(Duration::from_secs(1));
     script.submit("run-3", service(1));
     assert_eq!(stops(&obey(&mut script, "vm-1")), 1);
-    assert!(script.machine("vm-2").tally.idle());
+    assert!(script.machine("vm-2").load.idle());
 }
 
 /// Found on a burst: jobs that had missed their deadline waited behind all
--- a/src/coordination/shard/tests/world.rs
+++ b/src/coordination/shard/tests/world.rs
@@ -1310,12 +1310,12 @@
         let Some(owner) = &self.owner else {
             return;
         };
-        let tallies = owner.shard.machines().tallies_hold();
+        let loads = owner.shard.machines().loads_hold();
         let wrong = |job: &&Job| job.waiting() != job.recount_waiting();
         let wrong = owner.shard.jobs().values().find(wrong);
         let wrong = wrong.map(|job| job.id.to_string());
-        if !tallies || wrong.is_some() {
-            self.broke("counts", format!("tallies hold: {tallies}, job: {wrong:?}"));
+        if !loads || wrong.is_some() {
+            self.broke("counts", format!("loads hold: {loads}, job: {wrong:?}"));
         }
     }
 }
--- a/src/coordination/shard/tests/zones.rs
+++ b/src/coordination/shard/tests/zones.rs
@@ -70,7 +70,7 @@
     assert!(!rentals.is_empty(), "the third task has no room");
     let elsewhere = rentals.iter().find(|rental| rental.zone != "north");
     assert_eq!(elsewhere, None);
-    assert!(script.machine("vm-2").tally.idle());
+    assert!(script.machine("vm-2").load.idle());
 }
 
 /// Before it has begun, all of its room is planned in one zone: the one that has most
--- a/src/coordination/shard/writes.rs
+++ b/src/coordination/shard/writes.rs
@@ -414,7 +414,7 @@
             }
         }
         self.delete(&returned);
-        self.restless = true;
+        self.needs_pass = true;
         self.pump_writes(now);
     }
 }
--- a/src/coordination/tests/awareness.rs
+++ b/src/coordination/tests/cancellation_knowledge.rs
@@ -8,14 +8,16 @@
 use super::{node, peer, report};
 use crate::clock::FakeClock;
 use crate::coordination::advance_delegation::AdvanceGrants;
-use crate::coordination::answering::{Verdict, answer_report};
-use crate::coordination::awareness::{Awareness, bound};
+use crate::coordination::answering::{ReportReply, answer_report};
+use crate::coordination::cancellation_knowledge::{CancellationKnowledge, bound};
 use crate::coordination::lease::ShardLease;
 use crate::coordination::node::{Node, Ownership, STATE_DEADLINE};
-use crate::coordination::peering::cancellations::{cancellations_told, note_told};
+use crate::coordination::peering::cancellations::{
+    confirmed_cancellations, note_peer_cancellations,
+};
 use crate::coordination::shard::{Loaded, Shard};
 use crate::protocol::TaskId;
-use crate::protocol::peer_messages::{CancellationsAsked, CancellationsTold};
+use crate::protocol::peer_messages::{CancellationsRequest, ConfirmedCancellations};
 use crate::protocol::state::News;
 use crate::protocol::users::{JobSpec, Stage, parse_submission};
 use crate::protocol::workers::{Command, TaskReport, TaskState};
@@ -76,13 +78,13 @@
         };
         for node in [&owner, &peer] {
             node.ledger.take(vec![opened.clone()], LOOKED);
-            node.lock().awareness.looked(now);
+            node.lock().cancellations.caught_up(now);
         }
         owner.lock().ownership = Some(Ownership {
             lease: lease.clone(),
             shard,
             advance_grants: AdvanceGrants::default(),
-            endings: None,
+            finished_told: None,
             activities: Default::default(),
         });
         let _ = owner.state.get("o/0/owner", STATE_DEADLINE).await;
@@ -108,17 +110,17 @@
         self.lease.extended(self.owner.now() + second(1));
     }
 
-    fn told_by(&self, peer: &Node) -> CancellationsTold {
+    fn told_by(&self, peer: &Node) -> ConfirmedCancellations {
         let after = self.owner.ledger.revision().expect("a look");
-        let asked = CancellationsAsked { after }.encode();
-        let asked = CancellationsAsked::decode(&asked).expect("a frame");
-        let told = cancellations_told(peer, &asked).encode();
-        CancellationsTold::decode(&told).expect("a frame")
+        let asked = CancellationsRequest { after }.encode();
+        let asked = CancellationsRequest::decode(&asked).expect("a frame");
+        let told = confirmed_cancellations(peer, &asked).encode();
+        ConfirmedCancellations::decode(&told).expect("a frame")
     }
 
     /// The owner asks a controller what it told.
     fn ask(&self, peer: &Node) {
-        note_told(&self.owner, "n1", self.owner.now(), self.told_by(peer));
+        note_peer_cancellations(&self.owner, "n1", self.owner.now(), self.told_by(peer));
     }
 
     /// The worker that runs the job's task reports to the owner: the commands
@@ -134,7 +136,7 @@
             ending: None,
         }];
         match answer_report(&self.owner, &report) {
-            Verdict::Renewed(answer) => Some(answer.commands),
+            ReportReply::Renewed(answer) => Some(answer.commands),
             _ => None,
         }
     }
@@ -181,7 +183,7 @@
     assert!(gap.lease.live(gap.owner.now()), "the promises still come");
     assert_eq!(gap.report(), None);
     // The state service answers again: a look, and all is as before.
-    gap.owner.lock().awareness.looked(gap.owner.now());
+    gap.owner.lock().cancellations.caught_up(gap.owner.now());
     assert!(gap.report().is_some());
 }
 
@@ -228,7 +230,7 @@
         version: CANCELLED,
     };
     gap.owner.ledger.take(vec![gone], CANCELLED);
-    gap.owner.tell_endings();
+    gap.owner.tell_finished_jobs();
     assert!(stops(gap.report()));
     // The watch, far behind, still tells of its acceptance.
     let lease = gap.lease.clone();
@@ -251,19 +253,22 @@
     let start = Instant::now();
     let at = |s: u64| start + second(s);
     let others = || ["b", "c"].into_iter();
-    let mut awareness = Awareness::default();
-    assert!(!awareness.word("b", at(1), start), "no look to add to");
+    let mut awareness = CancellationKnowledge::default();
+    assert!(
+        !awareness.peer_answered("b", at(1), start),
+        "no look to add to"
+    );
     assert_eq!(awareness.known_up_to(others(), at(1)), None);
-    awareness.looked(at(2));
-    assert!(awareness.word("b", at(9), start));
+    awareness.caught_up(at(2));
+    assert!(awareness.peer_answered("b", at(9), start));
     assert_eq!(awareness.known_up_to(others(), at(9)), Some(at(2)), "c");
-    assert!(awareness.word("c", at(8), at(1)));
+    assert!(awareness.peer_answered("c", at(8), at(1)));
     assert_eq!(awareness.known_up_to(others(), at(9)), Some(at(8)));
     // It began after what was last known of it: it may have told more before.
-    assert!(!awareness.word("c", at(12), at(8)));
-    assert!(awareness.word("b", at(12), start));
+    assert!(!awareness.peer_answered("c", at(12), at(8)));
+    assert!(awareness.peer_answered("b", at(12), start));
     assert_eq!(awareness.known_up_to(others(), at(12)), Some(at(8)));
-    awareness.looked(at(13));
+    awareness.caught_up(at(13));
     assert_eq!(awareness.known_up_to(others(), at(14)), Some(at(13)));
     let none = std::iter::empty();
     assert_eq!(awareness.known_up_to(none, at(20)), Some(at(20)));
--- a/src/coordination/tests/mod.rs
+++ b/src/coordination/tests/mod.rs
@@ -1,6 +1,6 @@
 //! Whole controllers on a fake clock, without anything around them.
 
-mod awareness;
+mod cancellation_knowledge;
 mod peering;
 
 use std::sync::Arc;
--- a/src/coordination/tests/peering.rs
+++ b/src/coordination/tests/peering.rs
@@ -9,10 +9,10 @@
 use crate::coordination::advance_delegation::{self, AdvanceGrants};
 use crate::coordination::lease::ShardLease;
 use crate::coordination::node::{Node, Ownership, STATE_DEADLINE};
-use crate::coordination::peering::extension::{left_alone, promise, stand_aside};
+use crate::coordination::peering::extension::{grant_extension, proves_unowned, vote_on_revival};
 use crate::coordination::peering::heartbeat::{heartbeat_answered, note_heartbeat, own_heartbeat};
 use crate::coordination::shard::{Loaded, Shard};
-use crate::protocol::peer_messages::{StandAside, StoodAside};
+use crate::protocol::peer_messages::{RevivalVote, ReviveLease};
 use crate::protocol::peers::Heartbeat;
 
 /// Has a controller own an empty shard.
@@ -30,7 +30,7 @@
         lease: lease.clone(),
         shard,
         advance_grants: AdvanceGrants::default(),
-        endings: None,
+        finished_told: None,
         activities: Default::default(),
     });
     lease
@@ -41,10 +41,13 @@
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
     let time = Duration::from_secs(1);
-    assert!(!promise(&node, time), "nothing shows an outage yet");
+    assert!(!grant_extension(&node, time), "nothing shows an outage yet");
     let _ = node.state.get("o/0/owner", STATE_DEADLINE).await;
-    assert!(promise(&node, time));
-    assert!(!promise(&node, time * 10), "longer than any owner may ask");
+    assert!(grant_extension(&node, time));
+    assert!(
+        !grant_extension(&node, time * 10),
+        "longer than any owner may ask"
+    );
     assert!(node.may_not_seek().is_some());
     clock.advance(Duration::from_millis(999));
     assert!(node.may_not_seek().is_some(), "kept to its end");
@@ -52,7 +55,10 @@
     // A process that has just started also waits out its earlier run's.
     assert!(node.may_not_seek().is_none());
     node.lock().acquiring = true;
-    assert!(!promise(&node, time), "an attempt of its own is under way");
+    assert!(
+        !grant_extension(&node, time),
+        "an attempt of its own is under way"
+    );
 }
 
 /// A controller that loses the state service and all others, but not its
@@ -86,7 +92,7 @@
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
     let mut report = report(5);
-    node.lock().awareness.looked(node.now());
+    node.lock().cancellations.caught_up(node.now());
     let owner = Heartbeat {
         label: "beta".into(),
         term: Some(7),
@@ -155,13 +161,16 @@
         !lease.ended(),
         "an older owner's late heartbeat proves nothing"
     );
-    assert!(!promise(&node, Duration::from_secs(1)), "it may go on yet");
+    assert!(
+        !grant_extension(&node, Duration::from_secs(1)),
+        "it may go on yet"
+    );
     note_heartbeat(&node, heartbeat(10));
     assert!(lease.ended());
     lease.renewed(now, now + Duration::from_secs(60));
     assert!(!lease.live(node.now()));
     node.lock().ownership = None;
-    assert!(promise(&node, Duration::from_secs(1)));
+    assert!(grant_extension(&node, Duration::from_secs(1)));
 }
 
 /// Refused by the state service alone, an owner passes its deadline just before the
@@ -175,29 +184,32 @@
     let renewed = node.now();
     clock.advance(Duration::from_secs(4));
     let asked = |term| {
-        let frame = StandAside { term, millis: 1000 }.encode();
-        let asked = StandAside::decode(&frame).expect("a frame");
-        let answer = stand_aside(&node, &asked).encode();
-        StoodAside::decode(&answer).expect("a frame")
+        let frame = ReviveLease { term, millis: 1000 }.encode();
+        let asked = ReviveLease::decode(&frame).expect("a frame");
+        let answer = vote_on_revival(&node, &asked).encode();
+        RevivalVote::decode(&answer).expect("a frame")
     };
-    assert!(!asked(9).given, "it is served, and seeks the shard itself");
+    assert!(
+        !asked(9).granted,
+        "it is served, and seeks the shard itself"
+    );
     let _ = node.state.get("o/0/owner", STATE_DEADLINE).await;
     let answer = asked(9);
-    assert!(left_alone(&answer, node.now(), renewed));
+    assert!(proves_unowned(&answer, node.now(), renewed));
     assert!(node.may_not_seek().is_some());
     // Its run began after that renewal: an earlier one may have been the owner.
     let before = renewed - Duration::from_secs(3);
-    assert!(!left_alone(&answer, node.now(), before));
+    assert!(!proves_unowned(&answer, node.now(), before));
     node.lock().latest_term = 10;
-    assert!(!asked(9).given, "it has owned the shard since");
-    assert!(asked(10).given);
+    assert!(!asked(9).granted, "it has owned the shard since");
+    assert!(asked(10).granted);
     node.lock().acquiring = true;
-    assert!(!asked(10).given);
+    assert!(!asked(10).granted);
     // Two owners in turn, both past their deadlines: the later one's question tells
     // the earlier that its record is gone.
     node.lock().acquiring = false;
     let earlier = own(&node, 10);
-    assert!(!asked(9).given && !asked(10).given && !earlier.ended());
+    assert!(!asked(9).granted && !asked(10).granted && !earlier.ended());
     asked(11);
     assert!(earlier.ended());
 }
@@ -207,7 +219,7 @@
 async fn an_owner_past_its_deadline_keeps_its_workers_and_gives_no_commands() {
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
-    node.lock().awareness.looked(node.now());
+    node.lock().cancellations.caught_up(node.now());
     let lease = own(&node, 9);
     let _ = node.state.get("o/0/owner", STATE_DEADLINE).await;
     clock.advance(Duration::from_secs(4));
--- a/src/protocol/peer_messages.rs
+++ b/src/protocol/peer_messages.rs
@@ -12,13 +12,13 @@
 
 /// Which cancellations have you told users since this revision?
 #[derive(Debug, Clone, Archive, Serialize, Deserialize)]
-pub struct CancellationsAsked {
+pub struct CancellationsRequest {
     pub after: u64,
 }
 
 /// What a controller told users, in this run of its process.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
-pub struct CancellationsTold {
+pub struct ConfirmedCancellations {
     /// How long this run has lasted.
     pub up_ms: u64,
     /// All of them; none if it doesn't know them all any more.
@@ -34,22 +34,22 @@
 }
 
 /// The path at which controllers stand aside for an owner past its deadline.
-pub const STAND_ASIDE: &str = "/peer/stand-aside/1";
+pub const REVIVE_LEASE: &str = "/peer/stand-aside/1";
 
 /// The sender's lease of this term may have run out before the state service fell
 /// out for all: will you leave the shard alone for this long, and has nobody
 /// taken it since?
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
-pub struct StandAside {
+pub struct ReviveLease {
     pub term: u64,
     pub millis: u64,
 }
 
-/// The answer to [`StandAside`].
+/// The answer to [`ReviveLease`].
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
-pub struct StoodAside {
+pub struct RevivalVote {
     /// This run has acquired no later term, and seeks none for so long.
-    pub given: bool,
+    pub granted: bool,
     /// How long this run has lasted.
     pub up_ms: u64,
 }
@@ -78,8 +78,8 @@
 }
 
 frame!(
-    CancellationsAsked,
-    CancellationsTold,
-    StandAside,
-    StoodAside
+    CancellationsRequest,
+    ConfirmedCancellations,
+    ReviveLease,
+    RevivalVote
 );
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -9,7 +9,7 @@
     Heartbeat(Heartbeat),
     /// The owner can't reach the state service: will you leave the shard alone
     /// for this long?
-    Promise { millis: u64 },
+    ExtendLease { millis: u64 },
     /// A user's request that the sender can't serve itself.
     Forward {
         method: String,
@@ -54,8 +54,8 @@
 pub enum PeerAnswer {
     Heartbeat(Heartbeat),
     /// Whether the promise is given.
-    Promise {
-        given: bool,
+    LeaseExtension {
+        granted: bool,
     },
     /// The final answer to a forwarded request.
     Answer {
--- a/src/storage/client.rs
+++ b/src/storage/client.rs
@@ -276,7 +276,7 @@
     }
 
     /// All changes of keys with a prefix up to now, without waiting.
-    pub async fn look(
+    pub async fn catch_up(
         &self,
         prefix: &str,
         after: u64,
@@ -354,7 +354,7 @@
             let _ = stream.write_all(&vec![b' '; MAX_ANSWER + 1]).await;
         });
         let client = StateClient::new(addr, Arc::new(SteadyClock));
-        let looked = client.look("j/", 0, Duration::from_secs(5)).await;
+        let looked = client.catch_up("j/", 0, Duration::from_secs(5)).await;
         assert!(matches!(looked, Err(StateError::TooOld)), "{looked:?}");
         let (served, failed) = client.health();
         assert!(
--- a/src/storage/ledger.rs
+++ b/src/storage/ledger.rs
@@ -169,7 +169,7 @@
     }
 
     /// Rises whenever something is found to be open no more.
-    pub fn endings(&self) -> u64 {
+    pub fn finished_count(&self) -> u64 {
         self.book().endings
     }
 
@@ -197,7 +197,7 @@
 
     /// Returns once a look that was sent after this call has been answered, with
     /// the moment at which it was. All who wait then share it, and its failure.
-    pub async fn look(
+    pub async fn catch_up(
         &self,
         state: &StateClient,
         clock: &dyn Clock,
@@ -225,7 +225,7 @@
     async fn refresh(&self, state: &StateClient) -> Result<(), StateError> {
         let revision = self.book().revision;
         if let Some(revision) = revision {
-            match state.look(keys::ALL_JOBS, revision, LOOK).await {
+            match state.catch_up(keys::ALL_JOBS, revision, LOOK).await {
                 Ok(page) => {
                     self.take(page.events, page.revision);
                     return Ok(());
--- a/src/transport/front.rs
+++ b/src/transport/front.rs
@@ -10,7 +10,7 @@
 use axum::routing::{get, post};
 use bytes::Bytes;
 
-use crate::coordination::answering::{self, Verdict};
+use crate::coordination::answering::{self, ReportReply};
 use crate::coordination::node::Node;
 use crate::coordination::requests::{self, Ask, Reply};
 use crate::protocol::workers::Report;
@@ -104,9 +104,9 @@
         return respond(Reply::malformed("not a report", None));
     };
     match answering::answer_report(node, &report) {
-        Verdict::Renewed(answer) => json(StatusCode::OK, &answer),
-        Verdict::Refused => respond(Reply::unavailable("this machine is gone")),
-        Verdict::Elsewhere(redirect) => json(StatusCode::MISDIRECTED_REQUEST, &redirect),
+        ReportReply::Renewed(answer) => json(StatusCode::OK, &answer),
+        ReportReply::Refused => respond(Reply::unavailable("this machine is gone")),
+        ReportReply::Elsewhere(redirect) => json(StatusCode::MISDIRECTED_REQUEST, &redirect),
     }
 }
 
--- a/src/transport/internal.rs
+++ b/src/transport/internal.rs
@@ -13,7 +13,9 @@
 use crate::coordination::node::Node;
 use crate::coordination::peering::{cancellations, extension, heartbeat};
 use crate::coordination::requests::{self, Ask};
-use crate::protocol::peer_messages::{CANCELLATIONS, CancellationsAsked, STAND_ASIDE, StandAside};
+use crate::protocol::peer_messages::{
+    CANCELLATIONS, CancellationsRequest, REVIVE_LEASE, ReviveLease,
+};
 use crate::protocol::peers::{PeerAnswer, PeerRequest, decode_request, encode_answer};
 
 /// Routes of the internal address.
@@ -21,7 +23,7 @@
     Router::new()
         .route("/peer", post(peer))
         .route(CANCELLATIONS, post(cancellations))
-        .route(STAND_ASIDE, post(stand_aside))
+        .route(REVIVE_LEASE, post(vote_on_revival))
         .route("/status", get(status))
         .with_state(node)
 }
@@ -32,17 +34,17 @@
 }
 
 async fn cancellations(State(node): State<Arc<Node>>, body: Bytes) -> Response {
-    match CancellationsAsked::decode(&body) {
-        Some(asked) => cancellations::cancellations_told(&node, &asked)
+    match CancellationsRequest::decode(&body) {
+        Some(asked) => cancellations::confirmed_cancellations(&node, &asked)
             .encode()
             .into_response(),
         None => StatusCode::BAD_REQUEST.into_response(),
     }
 }
 
-async fn stand_aside(State(node): State<Arc<Node>>, body: Bytes) -> Response {
-    match StandAside::decode(&body) {
-        Some(asked) => extension::stand_aside(&node, &asked)
+async fn vote_on_revival(State(node): State<Arc<Node>>, body: Bytes) -> Response {
+    match ReviveLease::decode(&body) {
+        Some(asked) => extension::vote_on_revival(&node, &asked)
             .encode()
             .into_response(),
         None => StatusCode::BAD_REQUEST.into_response(),
@@ -54,8 +56,8 @@
         Some(PeerRequest::Heartbeat(heartbeat)) => {
             PeerAnswer::Heartbeat(heartbeat::answer_heartbeat(&node, heartbeat))
         }
-        Some(PeerRequest::Promise { millis }) => PeerAnswer::Promise {
-            given: extension::promise(&node, Duration::from_millis(millis)),
+        Some(PeerRequest::ExtendLease { millis }) => PeerAnswer::LeaseExtension {
+            granted: extension::grant_extension(&node, Duration::from_millis(millis)),
         },
         Some(PeerRequest::Forward { method, path, body }) => {
             match Ask::from_forward(&method, &path, body) {
--- a/tests/trial/meetings.rs
+++ b/tests/trial/meetings.rs
@@ -9,12 +9,12 @@
 use serde_json::{Value, json};
 use tokio::net::TcpListener;
 use valegap::clock::SteadyClock;
-use valegap::coordination::awareness;
+use valegap::coordination::cancellation_knowledge;
 use valegap::coordination::io::carry_out;
 use valegap::coordination::lease::ShardLease;
 use valegap::coordination::node::Node;
-use valegap::coordination::peering::cancellations::ask_for_word;
-use valegap::coordination::peering::extension::{all_promise, all_stand_aside};
+use valegap::coordination::peering::cancellations::ask_for_cancellations;
+use valegap::coordination::peering::extension::{all_grant_extension, all_vote_for_revival};
 use valegap::coordination::requests::{Ask, Reply, answer};
 use valegap::coordination::shard::{Action, ShardWrite};
 use valegap::protocol::cloud::MachineType;
@@ -325,7 +325,7 @@
 async fn older_controller() -> SocketAddr {
     let answer = |body: axum::body::Bytes| async move {
         encode_answer(&match decode_request(&body) {
-            Some(PeerRequest::Promise { .. }) => PeerAnswer::Promise { given: true },
+            Some(PeerRequest::ExtendLease { .. }) => PeerAnswer::LeaseExtension { granted: true },
             _ => PeerAnswer::Unreadable,
         })
     };
@@ -344,12 +344,12 @@
     let now = Instant::now();
     let time = Duration::from_secs(1);
     let lease = ShardLease::new(1, 9, now, now + time, now);
-    assert!(all_promise(&node, time).await);
-    assert!(!all_stand_aside(&node, &lease, time).await);
+    assert!(all_grant_extension(&node, time).await);
+    assert!(!all_vote_for_revival(&node, &lease, time).await);
     // Its answers end with the bound after its own last look.
-    let bound = awareness::bound(&node.settings);
-    node.lock().awareness.looked(now);
-    ask_for_word(node.clone(), node.settings.platform.others[0].clone(), 0).await;
+    let bound = cancellation_knowledge::bound(&node.settings);
+    node.lock().cancellations.caught_up(now);
+    ask_for_cancellations(node.clone(), node.settings.platform.others[0].clone(), 0).await;
     assert!(
         node.lock().older.contains_key("n1"),
         "logged, and left alone for a while"
--- a/tests/upgrade/frames.rs
+++ b/tests/upgrade/frames.rs
@@ -3,8 +3,8 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use valegap::protocol::peer_messages::{
-    CANCELLATIONS, CancellationsAsked, CancellationsTold, CancelledJob, STAND_ASIDE, StandAside,
-    StoodAside,
+    CANCELLATIONS, CancellationsRequest, CancelledJob, ConfirmedCancellations, REVIVE_LEASE,
+    RevivalVote, ReviveLease,
 };
 use valegap::protocol::state::Change;
 use valegap::protocol::users::JobKind;
@@ -30,43 +30,46 @@
 #[test]
 fn numbered_frames_are_those_of_the_version_in_production() {
     assert_eq!(CANCELLATIONS, "/peer/cancellations/1");
-    assert_eq!(STAND_ASIDE, "/peer/stand-aside/1");
+    assert_eq!(REVIVE_LEASE, "/peer/stand-aside/1");
 
-    let asked = CancellationsAsked { after: 4711 };
+    let asked = CancellationsRequest { after: 4711 };
     assert_eq!(asked.encode(), bytes(ASKED));
-    let read = CancellationsAsked::decode(&bytes(ASKED)).expect("a frame");
+    let read = CancellationsRequest::decode(&bytes(ASKED)).expect("a frame");
     assert_eq!(read.after, 4711);
 
     let job = |job: &str, revision| CancelledJob {
         job: job.into(),
         revision,
     };
-    let told = CancellationsTold {
+    let told = ConfirmedCancellations {
         up_ms: 93_250,
         jobs: Some(vec![job("run-167419", 4720), job("run-000003", 4731)]),
     };
-    let forgotten = CancellationsTold {
+    let forgotten = ConfirmedCancellations {
         up_ms: 93_250,
         jobs: None,
     };
     for (frame, recorded) in [(told, TOLD), (forgotten, FORGOTTEN)] {
         assert_eq!(frame.encode(), bytes(recorded));
-        assert_eq!(CancellationsTold::decode(&bytes(recorded)), Some(frame));
+        assert_eq!(
+            ConfirmedCancellations::decode(&bytes(recorded)),
+            Some(frame)
+        );
     }
 
-    let aside = StandAside {
+    let aside = ReviveLease {
         term: 862,
         millis: 1000,
     };
     assert_eq!(aside.encode(), bytes(ASIDE));
-    assert_eq!(StandAside::decode(&bytes(ASIDE)), Some(aside));
+    assert_eq!(ReviveLease::decode(&bytes(ASIDE)), Some(aside));
 
-    let stood = StoodAside {
-        given: true,
+    let stood = RevivalVote {
+        granted: true,
         up_ms: 93_250,
     };
     assert_eq!(stood.encode(), bytes(STOOD));
-    assert_eq!(StoodAside::decode(&bytes(STOOD)), Some(stood));
+    assert_eq!(RevivalVote::decode(&bytes(STOOD)), Some(stood));
 }
 
 /// Reads a record and checks that it is written as it was.
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -90,7 +90,7 @@
         path: "/v1/jobs/run-167419/cancel".into(),
         body: vec![1, 2, 3],
     };
-    let promise = PeerRequest::Promise { millis: 1000 };
+    let promise = PeerRequest::ExtendLease { millis: 1000 };
     for (request, recorded) in [
         (PeerRequest::Heartbeat(heartbeat()), HEARTBEAT),
         (promise, PROMISE),
@@ -107,7 +107,10 @@
     };
     for (answer, recorded) in [
         (PeerAnswer::Heartbeat(heartbeat()), ANSWERED_HEARTBEAT),
-        (PeerAnswer::Promise { given: true }, ANSWERED_PROMISE),
+        (
+            PeerAnswer::LeaseExtension { granted: true },
+            ANSWERED_PROMISE,
+        ),
         (answer, ANSWER),
         (PeerAnswer::Unreadable, UNREADABLE),
     ] {
