--- /dev/null
+++ b/src/coordination/entitlement.rs
@@ -0,0 +1,104 @@
+//! What entitles a controller to answer workers' reports.
+//!
+//! An answer renews a worker's lease, so that its tasks live on: it needs the owner's
+//! term, and knowledge of the cancellations that users were told.
+
+use std::time::Instant;
+
+use tracing::{info, warn};
+
+use super::advance_delegation::{self, AdvanceDelegation};
+use super::node::Node;
+use super::node_state::NodeState;
+use crate::protocol::workers::Report;
+
+impl Node {
+    /// The moment up to which all cancellations that users were told are known.
+    fn known_up_to(&self, inner: &NodeState, now: Instant) -> Option<Instant> {
+        let others = &self.settings.platform.others;
+        let labels = others.iter().map(|peer| peer.label.as_str());
+        inner.cancellations.known_up_to(labels, now)
+    }
+
+    /// Whether this node knows enough of the jobs that are over to answer
+    /// workers, as whatever: their tasks may live on for a lease.
+    pub fn may_renew_leases(&self, now: Instant) -> bool {
+        let mut inner = self.lock();
+        let known = self.known_up_to(&inner, now);
+        let may = known.is_some_and(|known| now < known + self.renewal_bound);
+        // Before its first catch-up read a controller has nothing to tell.
+        if inner.withholds_answers == may && known.is_some() {
+            inner.withholds_answers = !may;
+            if may {
+                info!("workers are answered again: cancellations are known");
+            } else {
+                warn!("workers are not answered: cancellations may have been missed");
+            }
+        }
+        may
+    }
+
+    /// The term under which this node may answer a worker for the owner, if the
+    /// worker would take it.
+    pub fn delegated_term(&self, report: &Report) -> Option<u64> {
+        self.term_while_loading(report)
+            .or_else(|| self.term_by_delegation(report))
+            .or_else(|| self.term_by_advance_delegation(report))
+    }
+
+    /// An owner that can't load the shard yet, since the state service fell out
+    /// for all just then, and that has it by extension votes: workers know no other.
+    /// Their leases are counted from when it will have been loaded.
+    fn term_while_loading(&self, report: &Report) -> Option<u64> {
+        let inner = self.lock();
+        let lease = inner.loading.as_ref()?;
+        (lease.live(self.now()) && report.term <= lease.term).then_some(lease.term)
+    }
+
+    /// The same without the state service and the owner, by the advance delegation
+    /// that the owner's last answer gave, or by this node's own last renewal.
+    fn term_by_advance_delegation(&self, report: &Report) -> Option<u64> {
+        if !self.state_failing() {
+            return None;
+        }
+        let now = self.now();
+        let mut inner = self.lock();
+        let known = self.known_up_to(&inner, now);
+        let own = inner.ownership.as_ref().filter(|own| !own.lease.ended());
+        let own = own.map(|own| AdvanceDelegation {
+            term: own.lease.term,
+            seen: own.lease.last_renewed(),
+        });
+        let delegation = inner.delegate.advance.into_iter().chain(own);
+        let delegation = delegation.max_by_key(|delegation| delegation.term)?;
+        let until = delegation.until(known, advance_delegation::longest(&self.settings))?;
+        let owner_heard = inner.peers.owner_heard.is_some_and(|heard| {
+            heard.term >= delegation.term
+                && now.saturating_duration_since(heard.at) < advance_delegation::OWNER_SILENT
+        });
+        if now >= until || owner_heard || report.term > delegation.term {
+            return None;
+        }
+        if inner.delegate.answered_alone.is_none() {
+            info!(
+                term = delegation.term,
+                "answering workers without the owner"
+            );
+        }
+        inner.delegate.answered_alone = Some(now);
+        Some(delegation.term)
+    }
+
+    fn term_by_delegation(&self, report: &Report) -> Option<u64> {
+        let now = self.now();
+        let mut inner = self.lock();
+        let delegation = inner.delegate.delegation?;
+        if now >= delegation.until || report.term > delegation.term {
+            return None;
+        }
+        if delegation.inventory && report.term == delegation.term {
+            inner.delegate.unwritten_reports.insert(report.clone());
+        }
+        Some(delegation.term)
+    }
+}
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -4,14 +4,18 @@
 pub mod answering;
 pub mod cancellation_knowledge;
 pub mod drift;
+pub mod entitlement;
 pub mod io;
 pub mod lease;
 pub mod loading;
 pub mod node;
+pub mod node_state;
 pub mod ownership;
 pub mod peering;
+pub mod reachability;
 pub mod requests;
 pub mod shard;
+pub mod status;
 
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/src/coordination/node_state.rs
@@ -0,0 +1,126 @@
+//! What a controller knows, behind the one lock of its [`Node`](super::node::Node).
+
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::time::Instant;
+
+use super::advance_delegation::{AdvanceDelegation, AdvanceGrants};
+use super::cancellation_knowledge::CancellationKnowledge;
+use super::lease::ShardLease;
+use super::shard::{Shard, TaskCounts};
+use crate::protocol::cloud::MachineType;
+use crate::protocol::peers::Heartbeat;
+use crate::storage::inventory::PendingReports;
+use crate::storage::records::OwnerRecord;
+use crate::telemetry::Activities;
+
+/// Another controller as last heard.
+#[derive(Debug, Clone)]
+pub struct PeerView {
+    pub heartbeat: Heartbeat,
+    pub at: Instant,
+}
+
+/// A shard that this controller runs.
+pub struct Ownership {
+    pub lease: Arc<ShardLease>,
+    pub shard: Shard,
+    /// The advance delegations that this lease's heartbeats gave.
+    pub advance_grants: AdvanceGrants,
+    /// How much of what is over the shard was told, by the ledger's count.
+    pub finished_told: Option<u64>,
+    /// What the shard's events cost.
+    pub activities: Activities,
+}
+
+/// The right to answer workers that the owner can't hear.
+#[derive(Debug, Clone, Copy)]
+pub struct Delegation {
+    /// The owner's term.
+    pub term: u64,
+    pub until: Instant,
+    /// The owner asks what they hold.
+    pub inventory: bool,
+}
+
+/// What a controller knows.
+#[derive(Default)]
+pub struct NodeState {
+    /// The shard, if this controller runs it.
+    pub ownership: Option<Ownership>,
+    /// A lease whose shard is not loaded yet.
+    pub loading: Option<Arc<ShardLease>>,
+    /// The ownership record as last read.
+    pub seen_owner: Option<OwnerRecord>,
+    /// The cloud's machine types, once they are known.
+    pub types: Option<Vec<MachineType>>,
+    /// Workers that tried to report here, and when.
+    pub workers: HashMap<String, Instant>,
+    /// What the other controllers say.
+    pub peers: Peers,
+    /// What decides whether it may seek the shard.
+    pub candidacy: Candidacy,
+    /// Its part as a delegate of the owner.
+    pub delegate: DelegateRole,
+    /// Up to when cancellations are known here.
+    pub cancellations: CancellationKnowledge,
+    /// Workers are not answered, since too little is known of cancellations.
+    pub withholds_answers: bool,
+}
+
+/// What the other controllers say.
+#[derive(Default)]
+pub struct Peers {
+    /// Their last heartbeats, by label.
+    pub views: HashMap<String, PeerView>,
+    /// Unfinished jobs with their tasks, as the owner last said.
+    pub progress: HashMap<String, TaskCounts>,
+    /// The zone that holds most machines, as the owner last said.
+    pub main_zone: Option<String>,
+    /// The highest term that a heartbeat named, and when one last did. A heartbeat
+    /// without a term, late or of an owner past its deadline, changes nothing:
+    /// the owner counts on its having been heard.
+    pub owner_heard: Option<OwnerHeard>,
+    /// Controllers of an older version, which know no other frames than their
+    /// own, and when they last showed it.
+    pub older: HashMap<String, Instant>,
+}
+
+/// That an owner was heard.
+#[derive(Debug, Clone, Copy)]
+pub struct OwnerHeard {
+    pub term: u64,
+    pub at: Instant,
+}
+
+/// What decides whether a controller may seek the shard, and grant extensions.
+#[derive(Default)]
+pub struct Candidacy {
+    /// An attempt to acquire the shard is under way, or its outcome unknown.
+    pub acquiring: bool,
+    /// The latest term that this run has acquired.
+    pub latest_term: u64,
+    /// The last owner was an earlier run of this process, which is dead.
+    pub previous_run_ended: bool,
+    /// Until when this node leaves the shard to its owner, as it granted.
+    pub extension_granted_until: Option<Instant>,
+    /// Until when this node should rather not own the shard.
+    pub unfit_until: Option<Instant>,
+}
+
+/// A controller's part as a delegate of the owner.
+#[derive(Default)]
+pub struct DelegateRole {
+    /// The owner's term under which this node may answer workers that the
+    /// owner can't hear, and until when.
+    pub delegation: Option<Delegation>,
+    /// What the owner's last answer to a heartbeat entitles to.
+    pub advance: Option<AdvanceDelegation>,
+    /// When a worker was last answered by an advance delegation.
+    pub answered_alone: Option<Instant>,
+    /// What delegated workers reported under the owner's term, to be written.
+    pub unwritten_reports: PendingReports,
+    /// The largest inventory page that the state service has not refused, if it is
+    /// less than its limits say.
+    pub inventory_bytes: Option<usize>,
+}
--- a/src/coordination/ownership.rs
+++ b/src/coordination/ownership.rs
@@ -8,7 +8,8 @@
 use super::advance_delegation::AdvanceGrants;
 use super::lease::{self, ShardLease};
 use super::loading::{StoredShard, parse_job};
-use super::node::{Node, Ownership, STATE_DEADLINE};
+use super::node::{Node, STATE_DEADLINE};
+use super::node_state::Ownership;
 use super::peering::extension;
 use super::shard::{Loaded, Shard};
 use super::{drift, io};
@@ -95,7 +96,7 @@
                     "ending the lease of this node's earlier run"
                 );
                 node.state.end_lease(owner.lease, STATE_DEADLINE).await?;
-                node.lock().previous_run_ended = true;
+                node.lock().candidacy.previous_run_ended = true;
             }
             Some(owner) if owner.label == node.label() => {
                 // A lease that this run gave up, or an acquisition whose
@@ -125,10 +126,11 @@
         return until.saturating_duration_since(now) + Duration::from_millis(10);
     }
     let inner = node.lock();
-    if inner.deaf_until.is_some_and(|until| until > now) {
+    if inner.candidacy.unfit_until.is_some_and(|until| until > now) {
         return DEAF_LAST;
     }
     let far = inner
+        .peers
         .main_zone
         .as_ref()
         .is_some_and(|zone| *zone != node.settings.platform.area);
@@ -150,11 +152,11 @@
         if node.may_not_seek().is_some() {
             return None;
         }
-        node.lock().acquiring = true;
+        node.lock().candidacy.acquiring = true;
     }
     let (lease, settled) = try_acquire(node).await;
     // Without a settled outcome no promise is given until the next try.
-    node.lock().acquiring = !settled;
+    node.lock().candidacy.acquiring = !settled;
     lease
 }
 
@@ -201,7 +203,7 @@
     let until = lease::deadline(operator, sent);
     let lease = Arc::new(ShardLease::new(lease_id, term, sent, until, node.now()));
     info!(term, lease_id, "shard acquired");
-    node.lock().latest_term = term;
+    node.lock().candidacy.latest_term = term;
     tokio::spawn(renew(node.clone(), lease.clone()));
     (Some(lease), true)
 }
--- a/src/coordination/peering/cancellations.rs
+++ b/src/coordination/peering/cancellations.rs
@@ -73,7 +73,7 @@
             return;
         }
         let older = |peer: &&Peer| {
-            let shown = inner.older.get(&peer.label);
+            let shown = inner.peers.older.get(&peer.label);
             shown.is_none_or(|at| now.saturating_duration_since(*at) > ASK_OLDER_AGAIN)
         };
         let others = node.settings.platform.others.iter();
@@ -93,9 +93,15 @@
     };
     let told = ConfirmedCancellations::decode(&answer.body);
     if let Some(told) = told.filter(|_| answer.status == StatusCode::OK) {
-        node.lock().older.remove(&peer.label);
+        node.lock().peers.older.remove(&peer.label);
         note_peer_cancellations(&node, &peer.label, sent, told);
-    } else if node.lock().older.insert(peer.label.clone(), sent).is_none() {
+    } else if node
+        .lock()
+        .peers
+        .older
+        .insert(peer.label.clone(), sent)
+        .is_none()
+    {
         tracing::info!(
             peer = peer.label,
             "an older version: it doesn't say which cancellations it told"
--- a/src/coordination/peering/delegation.rs
+++ b/src/coordination/peering/delegation.rs
@@ -8,7 +8,8 @@
 use crate::coordination::advance_delegation;
 use crate::coordination::drift;
 use crate::coordination::lease::{DELEGATION_TIME, ShardLease};
-use crate::coordination::node::{Delegation, Node, STATE_DEADLINE, random_id};
+use crate::coordination::node::{Node, STATE_DEADLINE, random_id};
+use crate::coordination::node_state::Delegation;
 use crate::protocol::state::{Change, Item, Txn};
 use crate::protocol::workers::Report;
 use crate::settings::platform::Peer;
@@ -79,6 +80,7 @@
     };
     let reachable = inner
         .peers
+        .views
         .get(owner)
         .is_some_and(|view| now.saturating_duration_since(view.at) < HEARTBEAT_FRESH);
     if reachable || inner.ownership.is_some() {
@@ -148,7 +150,7 @@
         return None;
     }
     let silent = |peer: &&Peer| {
-        let view = inner.peers.get(&peer.label);
+        let view = inner.peers.views.get(&peer.label);
         view.is_none_or(|view| now.saturating_duration_since(view.at) > HEARTBEAT_LATE)
     };
     let others = node.settings.platform.others.iter();
@@ -199,18 +201,21 @@
 fn next_batch(node: &Node, term: u64) -> Option<Batch> {
     let group = random_id();
     let mut inner = node.lock();
-    let most = inner.inventory_bytes.unwrap_or(node.value_bytes());
-    inner.unwritten_reports.next_batch(term, most, group)
+    let most = inner.delegate.inventory_bytes.unwrap_or(node.value_bytes());
+    inner
+        .delegate
+        .unwritten_reports
+        .next_batch(term, most, group)
 }
 
 /// Reports that could not be written are laid out again, in smaller pages if these
 /// were too large.
 fn inventory_refused(node: &Node, reports: Vec<Report>, error: &StateError) {
     let mut inner = node.lock();
-    inner.unwritten_reports.put_back(reports);
+    inner.delegate.unwritten_reports.put_back(reports);
     if let StateError::TooLarge(why) = error {
-        let most = inner.inventory_bytes.unwrap_or(node.value_bytes());
-        inner.inventory_bytes = Some((most / 2).max(LEAST_INVENTORY));
+        let most = inner.delegate.inventory_bytes.unwrap_or(node.value_bytes());
+        inner.delegate.inventory_bytes = Some((most / 2).max(LEAST_INVENTORY));
         tracing::error!(why, "an inventory is refused; smaller pages are planned");
     }
 }
@@ -235,11 +240,11 @@
 fn note_delegation(node: &Node, delegation: Option<Delegation>) -> bool {
     let term = |delegation: Option<Delegation>| delegation.map(|delegation| delegation.term);
     let mut inner = node.lock();
-    let changed = term(inner.delegation) != term(delegation);
+    let changed = term(inner.delegate.delegation) != term(delegation);
     if changed {
-        inner.unwritten_reports.clear();
+        inner.delegate.unwritten_reports.clear();
     }
-    inner.delegation = delegation;
+    inner.delegate.delegation = delegation;
     changed && delegation.is_some()
 }
 
--- a/src/coordination/peering/extension.rs
+++ b/src/coordination/peering/extension.rs
@@ -10,7 +10,8 @@
 use super::{ROUND_DEADLINE, ask, post};
 use crate::coordination::drift;
 use crate::coordination::lease::ShardLease;
-use crate::coordination::node::{Inner, Node};
+use crate::coordination::node::Node;
+use crate::coordination::node_state::NodeState;
 use crate::protocol::peer_messages::{REVIVE_LEASE, RevivalVote, ReviveLease};
 use crate::protocol::peers::{PeerAnswer, PeerRequest};
 use crate::settings::platform::Peer;
@@ -26,12 +27,13 @@
     let now = node.now();
     let lost = node.state_failing();
     let mut inner = node.lock();
-    if !lost || inner.acquiring || inner.ownership.is_some() || time > LONGEST_EXTENSION {
+    if !lost || inner.candidacy.acquiring || inner.ownership.is_some() || time > LONGEST_EXTENSION {
         return false;
     }
     // Our own clock may run fast against the owner's.
     let until = now + drift::longest(time);
-    inner.extension_granted_until = inner.extension_granted_until.max(Some(until));
+    inner.candidacy.extension_granted_until =
+        inner.candidacy.extension_granted_until.max(Some(until));
     true
 }
 
@@ -73,7 +75,7 @@
     let later = {
         let inner = node.lock();
         end_earlier(&inner, asked.term);
-        inner.latest_term > asked.term
+        inner.candidacy.latest_term > asked.term
     };
     RevivalVote {
         granted: !later && grant_extension(node, Duration::from_millis(asked.millis)),
@@ -112,7 +114,7 @@
 
 /// A later term than ours means that the record of ours is gone, though the service
 /// may not tell us: the later owner counts on our promise.
-pub(super) fn end_earlier(inner: &Inner, later: u64) {
+pub(super) fn end_earlier(inner: &NodeState, later: u64) {
     let own = inner.ownership.as_ref().map(|own| &own.lease);
     let superseded = |lease: &&Arc<ShardLease>| lease.term < later && !lease.ended();
     for lease in own.into_iter().chain(&inner.loading).filter(superseded) {
--- a/src/coordination/peering/handover.rs
+++ b/src/coordination/peering/handover.rs
@@ -7,6 +7,7 @@
 use super::delegation::{HEARTBEAT_FRESH, LISTENING, heard_elsewhere};
 use crate::coordination::node::Node;
 use crate::coordination::ownership::step_down;
+use crate::coordination::shard::MachinesHeard;
 
 /// Rounds for which an owner must hear too little before it gives up.
 const DEAF_ROUNDS: u32 = 2;
@@ -50,7 +51,7 @@
         if let Some(own) = &mut inner.ownership {
             own.shard.main_zone.clone_from(&main);
         }
-        inner.main_zone = main;
+        inner.peers.main_zone = main;
     }
 }
 
@@ -67,7 +68,7 @@
     };
     if *deaf_rounds >= DEAF_ROUNDS {
         *deaf_rounds = 0;
-        node.lock().deaf_until = Some(node.now() + DEAF_FOR);
+        node.lock().candidacy.unfit_until = Some(node.now() + DEAF_FOR);
         let why = "it hears too few workers, and another controller does";
         step_down(node, &lease, why).await;
     } else if nearer_peer(node) {
@@ -95,12 +96,13 @@
         if !own.lease.live(now) || now.saturating_duration_since(own.lease.since) < LISTENING {
             return Hearing::Enough;
         }
-        let (heard, expected) = own.shard.hearing(now);
+        let MachinesHeard { heard, expected } = own.shard.hearing(now);
         if expected < 2 || heard * 2 >= expected {
             return Hearing::Enough;
         }
         let by_heartbeat = inner
             .peers
+            .views
             .values()
             .filter(|view| {
                 now.saturating_duration_since(view.at) < HEARTBEAT_FRESH
@@ -135,7 +137,7 @@
         return false;
     }
     let inner = node.lock();
-    let (Some(own), Some(main)) = (&inner.ownership, &inner.main_zone) else {
+    let (Some(own), Some(main)) = (&inner.ownership, &inner.peers.main_zone) else {
         return false;
     };
     let least = if own.shard.is_busy() {
@@ -145,7 +147,7 @@
     };
     *main != node.settings.platform.area
         && now.saturating_duration_since(own.lease.since) > least
-        && inner.peers.values().any(|view| {
+        && inner.peers.views.values().any(|view| {
             now.saturating_duration_since(view.at) < NEARER_HEARD
                 && view.heartbeat.zone == *main
                 && view.heartbeat.state_served
--- a/src/coordination/peering/heartbeat.rs
+++ b/src/coordination/peering/heartbeat.rs
@@ -5,7 +5,9 @@
 
 use super::{ROUND_DEADLINE, ask, extension};
 use crate::coordination::advance_delegation::AdvanceDelegation;
-use crate::coordination::node::{Node, PeerView};
+use crate::coordination::node::Node;
+use crate::coordination::node_state::{OwnerHeard, PeerView};
+use crate::coordination::shard::TaskCounts;
 use crate::protocol::peers::{Heartbeat, PeerAnswer, PeerRequest, Progress};
 
 /// How long a worker that came by counts as heard.
@@ -31,12 +33,12 @@
         workers_heard: inner.workers.len() as u32,
         up_s: now.saturating_duration_since(node.started).as_secs(),
         term,
-        main_zone: inner.main_zone.clone(),
+        main_zone: inner.peers.main_zone.clone(),
         progress: Vec::new(),
-        deaf: inner.deaf_until.is_some_and(|until| until > now),
+        deaf: inner.candidacy.unfit_until.is_some_and(|until| until > now),
         // An earlier run may have answered workers until this one started.
         answered_alone_ago_ms: now
-            .saturating_duration_since(inner.answered_alone.unwrap_or(node.started))
+            .saturating_duration_since(inner.delegate.answered_alone.unwrap_or(node.started))
             .as_millis() as u64,
     }
 }
@@ -49,10 +51,10 @@
     };
     own.shard
         .progress()
-        .map(|(job, done, running)| Progress {
+        .map(|(job, counts)| Progress {
             job: job.to_string(),
-            done,
-            running,
+            done: counts.done,
+            running: counts.running,
         })
         .collect()
 }
@@ -100,8 +102,8 @@
     {
         let mut inner = node.lock();
         if let Some(term) = heartbeat.term {
-            inner.advance_delegation = Some(AdvanceDelegation::renewed(
-                inner.advance_delegation,
+            inner.delegate.advance = Some(AdvanceDelegation::renewed(
+                inner.delegate.advance,
                 term,
                 sent,
             ));
@@ -122,23 +124,33 @@
     let at = node.now();
     let mut inner = node.lock();
     if heartbeat.term.is_some() && !heartbeat.progress.is_empty() {
-        inner.progress = std::mem::take(&mut heartbeat.progress)
+        inner.peers.progress = std::mem::take(&mut heartbeat.progress)
             .into_iter()
-            .map(|row| (row.job, (row.done, row.running)))
+            .map(|row| {
+                let counts = TaskCounts {
+                    done: row.done,
+                    running: row.running,
+                };
+                (row.job, counts)
+            })
             .collect();
     }
     if let Some(term) = heartbeat.term {
         extension::end_earlier(&inner, term);
     }
     if let Some(term) = heartbeat.term
-        && inner.owner_heard.is_none_or(|(known, _)| term >= known)
+        && inner
+            .peers
+            .owner_heard
+            .is_none_or(|heard| term >= heard.term)
     {
-        inner.owner_heard = Some((term, at));
+        inner.peers.owner_heard = Some(OwnerHeard { term, at });
     }
     if heartbeat.term.is_some() && heartbeat.main_zone.is_some() {
-        inner.main_zone.clone_from(&heartbeat.main_zone);
+        inner.peers.main_zone.clone_from(&heartbeat.main_zone);
     }
     inner
         .peers
+        .views
         .insert(heartbeat.label.clone(), PeerView { heartbeat, at });
 }
--- /dev/null
+++ b/src/coordination/reachability.rs
@@ -0,0 +1,96 @@
+//! Whom a controller reaches: the state service, the owner and its peers.
+
+use std::time::{Duration, Instant};
+
+use super::node::Node;
+use super::node_state::PeerView;
+use super::peering::extension;
+
+/// How long another controller counts as heard.
+const PEER_HEARD: Duration = Duration::from_millis(2500);
+/// How long an owner's heartbeat tells who runs the shard.
+const OWNER_HEARD: Duration = Duration::from_secs(3);
+/// How long after its last good answer a failing state service counts as lost.
+const STATE_LOST_AFTER: Duration = Duration::from_millis(1500);
+
+impl Node {
+    /// Who runs the shard, as far as this node knows.
+    pub fn owner_label(&self) -> Option<String> {
+        if self.live_lease().is_some() {
+            return Some(self.label().to_owned());
+        }
+        let now = self.now();
+        let inner = self.lock();
+        let by_heartbeat = inner
+            .peers
+            .views
+            .values()
+            .filter(|view| now.saturating_duration_since(view.at) < OWNER_HEARD)
+            .filter_map(|view| Some((view.heartbeat.term?, view.heartbeat.label.clone())))
+            .max();
+        match by_heartbeat {
+            Some((_, label)) => Some(label),
+            None => inner
+                .seen_owner
+                .as_ref()
+                .map(|owner| owner.label.clone())
+                .filter(|label| label != self.label()),
+        }
+    }
+
+    /// Whether the state service has stopped serving this node.
+    pub fn state_lost(&self) -> bool {
+        let (served, failed) = self.state.health();
+        let Some(served) = served else {
+            return true;
+        };
+        let recent = self.now().saturating_duration_since(served);
+        failed.is_some_and(|failed| failed > served) && recent > STATE_LOST_AFTER
+    }
+
+    /// Until when this node must not seek the shard: an owner may be going on
+    /// by its promise, or by one that an earlier run of this process gave.
+    pub fn may_not_seek(&self) -> Option<Instant> {
+        let now = self.now();
+        let inner = self.lock();
+        let earlier = (!inner.candidacy.previous_run_ended)
+            .then_some(self.started + extension::LONGEST_EXTENSION);
+        inner
+            .candidacy
+            .extension_granted_until
+            .max(earlier)
+            .filter(|until| *until > now)
+    }
+
+    /// Whether the last answer of the state service was none, or a refusal.
+    pub fn state_failing(&self) -> bool {
+        let (served, failed) = self.state.health();
+        failed.is_some() && failed > served
+    }
+
+    /// Whether some other controller says that the state service serves it.
+    pub fn peer_served(&self) -> bool {
+        let now = self.now();
+        self.lock().peers.views.values().any(|view| {
+            view.heartbeat.state_served && now.saturating_duration_since(view.at) < PEER_HEARD
+        })
+    }
+
+    /// Whether no other controller has been heard lately, though there are some.
+    pub fn alone(&self) -> bool {
+        let now = self.now();
+        let inner = self.lock();
+        let heard = |view: &PeerView| now.saturating_duration_since(view.at) < PEER_HEARD;
+        !self.settings.platform.others.is_empty() && !inner.peers.views.values().any(heard)
+    }
+
+    /// Whether users should come here. When nobody is served, leaving the
+    /// balancer would only make the way back longer; but who hears neither the
+    /// state service nor any other controller is cut off itself.
+    pub fn ready(&self) -> bool {
+        if self.lock().types.is_none() {
+            return false;
+        }
+        !(self.state_lost() && (self.peer_served() || self.alone()))
+    }
+}
--- a/src/coordination/requests.rs
+++ b/src/coordination/requests.rs
@@ -11,7 +11,7 @@
 
 use super::node::Node;
 use super::peering;
-use super::shard::Policy;
+use super::shard::{Policy, TaskCounts};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::peers::{PeerAnswer, PeerRequest};
 use crate::protocol::state::{Change, Item, Txn};
@@ -200,7 +200,7 @@
             .others
             .iter()
             .filter(|peer| {
-                inner.peers.get(&peer.label).is_some_and(|view| {
+                inner.peers.views.get(&peer.label).is_some_and(|view| {
                     view.heartbeat.state_served
                         && now.saturating_duration_since(view.at) < Duration::from_secs(3)
                 })
@@ -223,12 +223,12 @@
     }
 }
 
-fn view(id: &str, stage: Stage, done: u32, running: u32) -> JobView {
+fn view(id: &str, stage: Stage, counts: TaskCounts) -> JobView {
     JobView {
         id: id.to_owned(),
         stage,
-        done: Some(done),
-        running: Some(running),
+        done: Some(counts.done),
+        running: Some(counts.running),
     }
 }
 
@@ -363,13 +363,13 @@
     patient(|| node.catch_up()).await?;
     match node.ledger.find(id) {
         Known::Open => {
-            let (done, running) = progress(node, id);
-            let stage = if running > 0 {
+            let counts = progress(node, id);
+            let stage = if counts.running > 0 {
                 Stage::Running
             } else {
                 Stage::Pending
             };
-            Ok(Reply::view(200, &view(id, stage, done, running)))
+            Ok(Reply::view(200, &view(id, stage, counts)))
         }
         Known::Over(stage, tasks) => Ok(Reply::view(200, &final_view(id, stage, tasks))),
         Known::Unclear => Ok(match read_final(node, id).await? {
@@ -379,20 +379,20 @@
     }
 }
 
-/// Tasks done and running, for display: from the shard, or as its owner last
+/// The counts of a job's tasks: from the shard, or as its owner last
 /// said.
-fn progress(node: &Arc<Node>, id: &str) -> (u32, u32) {
+fn progress(node: &Arc<Node>, id: &str) -> TaskCounts {
     let inner = node.lock();
     let seen = match &inner.ownership {
         Some(own) => own.shard.view(id),
-        None => inner.progress.get(id).copied(),
+        None => inner.peers.progress.get(id).copied(),
     };
     seen.unwrap_or_default()
 }
 
 fn final_view(id: &str, stage: Stage, tasks: u32) -> JobView {
     let done = if stage == Stage::Done { tasks } else { 0 };
-    view(id, stage, done, 0)
+    view(id, stage, TaskCounts { done, running: 0 })
 }
 
 async fn cancel(node: &Arc<Node>, id: &str) -> Result<Reply, StateError> {
--- a/src/coordination/shard/jobs.rs
+++ b/src/coordination/shard/jobs.rs
@@ -14,6 +14,13 @@
 /// Longest pause between the tries of a job that fails everywhere.
 const LONGEST_BACKOFF: Duration = Duration::from_secs(60);
 
+/// How many of a job's tasks are done and running, for display.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct TaskCounts {
+    pub done: u32,
+    pub running: u32,
+}
+
 /// A job and the progress of its tasks.
 #[derive(Debug)]
 pub struct Job {
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -23,7 +23,7 @@
 pub use delegations::delegate_commands;
 pub use fleet::RentalOutcome;
 pub use gang::GangAttempt;
-pub use jobs::Job;
+pub use jobs::{Job, TaskCounts};
 pub use machine_set::{MachineLoad, Machines};
 pub use machines::{Attempt, Machine, Phase};
 pub use reports::ReportOutcome;
@@ -79,6 +79,15 @@
     NoAnswer,
 }
 
+/// How many machines an owner hears.
+#[derive(Debug, Clone, Copy)]
+pub struct MachinesHeard {
+    /// Within the time of a report or two.
+    pub heard: usize,
+    /// All that should be heard.
+    pub expected: usize,
+}
+
 /// A team's amounts; 0 means none.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TeamPolicy {
@@ -331,19 +340,20 @@
         }
     }
 
-    /// All unfinished jobs with their tasks done and running.
-    pub fn progress(&self) -> impl Iterator<Item = (&JobId, u32, u32)> {
+    /// All unfinished jobs with the counts of their tasks.
+    pub fn progress(&self) -> impl Iterator<Item = (&JobId, TaskCounts)> {
         self.jobs
             .values()
             .filter(|job| job.over.is_none())
             .map(|job| {
                 let running = self.running.get(&job.id).copied().unwrap_or(0);
-                (&job.id, job.done().len(), running)
+                let done = job.done().len();
+                (&job.id, TaskCounts { done, running })
             })
     }
 
-    /// A job's tasks done and running, for its user.
-    pub fn view(&self, id: &str) -> Option<(u32, u32)> {
+    /// The counts of a job's tasks, for its user.
+    pub fn view(&self, id: &str) -> Option<TaskCounts> {
         let job = self.jobs.get(id).filter(|job| job.over.is_none())?;
         let runs = |(index, machine): &(&u32, &MachineId)| {
             self.machines.get(machine).is_some_and(|machine| {
@@ -353,16 +363,19 @@
             })
         };
         let running = job.live().iter().filter(runs).count() as u32;
-        Some((job.done().len(), running))
+        let done = job.done().len();
+        Some(TaskCounts { done, running })
     }
 
-    /// Machines heard within the time of a report or two, and all that should
-    /// be heard.
-    pub fn hearing(&self, now: Instant) -> (usize, usize) {
+    /// How many machines are heard.
+    pub fn hearing(&self, now: Instant) -> MachinesHeard {
         let expected = self.machines.values().filter(|m| m.should_report());
         let recent = self.policy.report.mul_f64(1.6);
         let heard = expected.clone().filter(|m| m.silence(now) < recent).count();
-        (heard, expected.count())
+        MachinesHeard {
+            heard,
+            expected: expected.count(),
+        }
     }
 
     /// A few numbers for the log.
--- a/src/coordination/shard/tests/meetings.rs
+++ b/src/coordination/shard/tests/meetings.rs
@@ -183,7 +183,7 @@
         script.shard.report(&held_back, script.now);
         script.settle();
         assert!(script.launches().is_empty(), "run-1/0 runs on vm-1");
-        assert_eq!(script.shard.view("run-1").map(|view| view.1), Some(1));
+        assert_eq!(script.shard.view("run-1").map(|view| view.running), Some(1));
     }
 }
 
--- a/src/coordination/shard/tests/scripted.rs
+++ b/src/coordination/shard/tests/scripted.rs
@@ -117,7 +117,7 @@
     let line = listed("run-1/0", 9, TaskState::Running, None);
     script.report("vm-2", vec![line]);
     assert!(script.launches().is_empty(), "the task runs on vm-2");
-    assert_eq!(script.shard.view("run-1").map(|v| v.1), Some(1));
+    assert_eq!(script.shard.view("run-1").map(|v| v.running), Some(1));
 }
 
 #[test]
@@ -160,7 +160,7 @@
     script.shard.report(&late, script.now);
     script.settle();
     assert!(script.launches().is_empty());
-    assert_eq!(script.shard.view("run-1").map(|v| v.1), Some(1));
+    assert_eq!(script.shard.view("run-1").map(|v| v.running), Some(1));
 }
 
 #[test]
@@ -268,7 +268,7 @@
     script.pass(Duration::from_secs(3));
     assert!(script.now > lease_over, "its former session's is");
     assert!(script.launches().is_empty(), "the task is still there");
-    assert_eq!(script.shard.view("run-1").map(|v| v.1), Some(1));
+    assert_eq!(script.shard.view("run-1").map(|v| v.running), Some(1));
 }
 
 /// A session whose lease is over gets nothing more: only a later one may.
--- /dev/null
+++ b/src/coordination/status.rs
@@ -0,0 +1,52 @@
+//! The status page of a controller, as text for operators.
+
+use super::node::Node;
+
+impl Node {
+    /// What operators may want to know, as text.
+    pub fn status(&self) -> String {
+        let now = self.now();
+        let owner = self.owner_label().unwrap_or_else(|| "unknown".into());
+        let latencies = self.state.latencies();
+        let inner = self.lock();
+        let mut page = format!(
+            "controller {} in {}, up {:?}\nowner of the shard: {owner}\n\
+             state service: {} answers, p50 {:?}, p99 {:?}, longest {:?}\n",
+            self.label(),
+            self.settings.platform.area,
+            now.saturating_duration_since(self.started),
+            latencies.answered,
+            latencies.p50,
+            latencies.p99,
+            latencies.longest,
+        );
+        for view in inner.peers.views.values() {
+            page.push_str(&format!(
+                "peer {}: heard {:?} ago, state service {}, workers {}, term {:?}\n",
+                view.heartbeat.label,
+                now.saturating_duration_since(view.at),
+                if view.heartbeat.state_served {
+                    "serves it"
+                } else {
+                    "doesn't"
+                },
+                view.heartbeat.workers_heard,
+                view.heartbeat.term,
+            ));
+        }
+        if let Some(own) = &inner.ownership {
+            page.push_str(&format!(
+                "term {}, {} its deadline\n",
+                own.lease.term,
+                if own.lease.live(now) {
+                    "before"
+                } else {
+                    "past"
+                }
+            ));
+            page.push_str(&format!("time: {}\n", own.activities));
+            page.push_str(&own.shard.describe(now));
+        }
+        page
+    }
+}
--- a/src/coordination/tests/cancellation_knowledge.rs
+++ b/src/coordination/tests/cancellation_knowledge.rs
@@ -11,7 +11,8 @@
 use crate::coordination::answering::{ReportReply, answer_report};
 use crate::coordination::cancellation_knowledge::{CancellationKnowledge, bound};
 use crate::coordination::lease::ShardLease;
-use crate::coordination::node::{Node, Ownership, STATE_DEADLINE};
+use crate::coordination::node::{Node, STATE_DEADLINE};
+use crate::coordination::node_state::Ownership;
 use crate::coordination::peering::cancellations::{
     confirmed_cancellations, note_peer_cancellations,
 };
--- a/src/coordination/tests/peering.rs
+++ b/src/coordination/tests/peering.rs
@@ -8,7 +8,8 @@
 use crate::clock::FakeClock;
 use crate::coordination::advance_delegation::{self, AdvanceGrants};
 use crate::coordination::lease::ShardLease;
-use crate::coordination::node::{Node, Ownership, STATE_DEADLINE};
+use crate::coordination::node::{Node, STATE_DEADLINE};
+use crate::coordination::node_state::Ownership;
 use crate::coordination::peering::extension::{grant_extension, proves_unowned, vote_on_revival};
 use crate::coordination::peering::heartbeat::{heartbeat_answered, note_heartbeat, own_heartbeat};
 use crate::coordination::shard::{Loaded, Shard};
@@ -54,7 +55,7 @@
     clock.advance(Duration::from_millis(10));
     // A process that has just started also waits out its earlier run's.
     assert!(node.may_not_seek().is_none());
-    node.lock().acquiring = true;
+    node.lock().candidacy.acquiring = true;
     assert!(
         !grant_extension(&node, time),
         "an attempt of its own is under way"
@@ -200,14 +201,14 @@
     // Its run began after that renewal: an earlier one may have been the owner.
     let before = renewed - Duration::from_secs(3);
     assert!(!proves_unowned(&answer, node.now(), before));
-    node.lock().latest_term = 10;
+    node.lock().candidacy.latest_term = 10;
     assert!(!asked(9).granted, "it has owned the shard since");
     assert!(asked(10).granted);
-    node.lock().acquiring = true;
+    node.lock().candidacy.acquiring = true;
     assert!(!asked(10).granted);
     // Two owners in turn, both past their deadlines: the later one's question tells
     // the earlier that its record is gone.
-    node.lock().acquiring = false;
+    node.lock().candidacy.acquiring = false;
     let earlier = own(&node, 10);
     assert!(!asked(9).granted && !asked(10).granted && !earlier.ended());
     asked(11);
--- a/tests/trial/meetings.rs
+++ b/tests/trial/meetings.rs
@@ -351,7 +351,7 @@
     node.lock().cancellations.caught_up(now);
     ask_for_cancellations(node.clone(), node.settings.platform.others[0].clone(), 0).await;
     assert!(
-        node.lock().older.contains_key("n1"),
+        node.lock().peers.older.contains_key("n1"),
         "logged, and left alone for a while"
     );
     assert!(node.may_renew_leases(now + bound - DEADLINE));
--- a/tests/upgrade/take_over.rs
+++ b/tests/upgrade/take_over.rs
@@ -298,10 +298,10 @@
         }
         world.serve(&mut shard);
         let reading = world.read_by(version);
-        for (id, done, _) in shard.progress() {
+        for (id, counts) in shard.progress() {
             let read = reading.done.get(&**id).map_or(0, |done| done.len());
             let gang = world.keys[&keys::job(id)]["spec"]["kind"] == "gang";
-            assert_eq!(read as u32, done, "{id}, gang {gang}");
+            assert_eq!(read as u32, counts.done, "{id}, gang {gang}");
         }
         let machines = shard.machines().values().map(|m| m.id.to_string());
         assert!(machines.into_iter().all(|id| reading.roster.contains(&id)));
