--- a/src/coordination/shard/plan/capacity.rs
+++ b/src/coordination/shard/plan/capacity.rs
@@ -4,6 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use super::boot_s;
 use super::startup;
 use crate::coordination::shard::fleet::PLAN_EVERY;
 use crate::coordination::shard::machines::Amounts;
@@ -50,6 +51,8 @@
     /// The plan needs it.
     pub used: bool,
     pub readiness: Readiness,
+    /// Seconds until its machine is up, if it takes as long as it often does.
+    pub ready_in_s: f64,
 }
 
 /// Tasks of one job that run on a machine and give way to higher priorities.
@@ -71,6 +74,7 @@
             costly: !spot,
             used: false,
             readiness: Readiness::Coming,
+            ready_in_s: boot_s(kind),
         }
     }
 
@@ -161,6 +165,12 @@
         } else if machine.heard.is_some() && machine.silence(now) > self.policy.suspect {
             return None;
         }
+        let ready_in_s = if coming {
+            let age = now.saturating_duration_since(machine.rented);
+            (boot_s(kind) - age.as_secs_f64()).max(0.0)
+        } else {
+            0.0
+        };
         let readiness = match (coming, machine.load.idle()) {
             _ if machine.draining => Readiness::Draining,
             (true, _) => Readiness::Coming,
@@ -177,6 +187,7 @@
             costly: self.costly(machine, now),
             used: false,
             readiness,
+            ready_in_s,
         })
     }
 
--- a/src/coordination/shard/plan/mod.rs
+++ b/src/coordination/shard/plan/mod.rs
@@ -30,8 +30,9 @@
 }
 
 impl Plan {
-    /// Takes room for a demand where there is some; returns how many tasks have none.
-    fn take_room(&mut self, demand: &Demand, zone: Option<&str>) -> u32 {
+    /// Takes room for a demand where there is some, on machines that are up within
+    /// `latest_s`; returns how many tasks have none.
+    fn take_room(&mut self, demand: &Demand, zone: Option<&str>, latest_s: f64) -> u32 {
         let spec = &demand.spec;
         let most_in_zone = spec.tasks.div_ceil(2);
         let mut in_zone: HashMap<Arc<str>, u32> = HashMap::new();
@@ -44,6 +45,7 @@
             if too_costly
                 || !allowed(spec, &capacity.machine_type, &capacity.zone, capacity.spot)
                 || !capacity.could_hold(spec)
+                || capacity.ready_in_s > latest_s
                 || zone.is_some_and(|zone| zone != &*capacity.zone)
             {
                 continue;
@@ -113,7 +115,8 @@
     fn plan_for(&self, demand: &Demand, companions: u32, plan: &mut Plan, now: Instant) {
         let zone = self.planned_zone(demand, plan, now);
         let zone = zone.as_deref();
-        let mut left = plan.take_room(demand, zone);
+        let latest_s = self.latest_s(demand, zone, plan, now);
+        let mut left = plan.take_room(demand, zone, latest_s);
         while left > 0 {
             let offer = self.best_offer(demand, left + companions, zone, &plan.crowds, now);
             let Some(offer) = offer else {
@@ -136,6 +139,17 @@
         }
     }
 
+    /// Within how many seconds a machine has to be up for a demand to count on it. A gang
+    /// starts with the last of its machines: one that comes too late is better left to
+    /// others if one that is rented now would come sooner.
+    fn latest_s(&self, demand: &Demand, zone: Option<&str>, plan: &Plan, now: Instant) -> f64 {
+        let Some(slack) = demand.slack_s.filter(|_| demand.spec.is_gang()) else {
+            return f64::INFINITY;
+        };
+        let offer = self.best_offer(demand, demand.count, zone, &plan.crowds, now);
+        offer.map_or(f64::INFINITY, |offer| slack.max(boot_s(&offer.kind)))
+    }
+
     /// Rents what is wanted and gives back what isn't.
     fn act_on(&mut self, plan: Plan, now: Instant) {
         let growing = plan.wanted.keys().any(|kind| !kind.spot)
@@ -215,5 +229,13 @@
     Duration::from_secs_f64(kind.startup_s.clamp(0.0, LONGEST_STARTUP_S))
 }
 
+/// Seconds until a new machine is up, if it takes as long as it often does.
+fn boot_s(kind: &MachineType) -> f64 {
+    startup(kind).as_secs_f64() * BOOT_MARGIN
+}
+
+/// Machines are often up later than usual by this much.
+const BOOT_MARGIN: f64 = 1.2;
+
 /// Longest start that is taken as meant.
 const LONGEST_STARTUP_S: f64 = 1e6;
--- a/src/coordination/shard/plan/offer.rs
+++ b/src/coordination/shard/plan/offer.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use super::demand::{Demand, OfferFilter};
-use super::startup;
+use super::{BOOT_MARGIN, startup};
 use crate::coordination::shard::Shard;
 use crate::coordination::shard::fleet::{LEAST_CHARGE, MachineKind};
 use crate::coordination::shard::machines::Amounts;
@@ -13,9 +13,6 @@
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::JobSpec;
 
-/// Machines are often up later than usual by this much.
-const BOOT_MARGIN: f64 = 1.2;
-
 /// One that comes too late for a gang is worth so much less: all its tasks wait.
 const LATE_GANG: f64 = 3.0;
 
--- a/src/coordination/shard/tests/gang_troubles.rs
+++ b/src/coordination/shard/tests/gang_troubles.rs
@@ -4,8 +4,9 @@
 
 use super::gangs::{all_are, as_it_is, gang, launched, lines, machines, north, stopped};
 use super::script::{Script, listed, roster};
-use super::world::record;
-use crate::coordination::shard::{Action, CommandOutcome, Loaded};
+use super::world::{machine_types, record};
+use crate::coordination::shard::{Action, CommandOutcome, Loaded, RentalOutcome};
+use crate::protocol::cloud::MachineType;
 use crate::protocol::users::{JobSpec, Stage};
 use crate::protocol::workers::{Command, Ending, TaskState};
 
@@ -288,3 +289,47 @@
     };
     assert_eq!(stays.iter().filter(held).count(), 1, "one gang let go");
 }
+
+/// Found on a day with a change of owner: room on machines that were 40 s from being up
+/// counted for gangs that had to start in 12 s, so that none was rented that boots in 15.
+#[test]
+fn a_gang_does_not_wait_for_a_machine_that_comes_too_late() {
+    let quick = MachineType {
+        startup_s: 10.0,
+        price: 4.0,
+        name: "quick".into(),
+        ..machine_types().remove(0)
+    };
+    let slow = MachineType {
+        startup_s: 60.0,
+        ..machine_types().remove(0)
+    };
+    let mut script = Script::without_guarantees();
+    let job = gang(1, 8.0);
+    script.shard.policy.wait_within = [(job.class.clone(), second(40))].into();
+    script.shard.set_types(std::slice::from_ref(&slow));
+    script.submit("run-1", job);
+    script.pass(second(1));
+    let rented = rentals(&mut script);
+    assert_eq!(rented, ["m8"], "there is nothing else");
+    script.shard.set_types(&[slow, quick]);
+    script.pass(second(1));
+    assert_eq!(rentals(&mut script), ["quick"]);
+}
+
+/// The types of machines asked for since the last call; all are granted.
+fn rentals(script: &mut Script) -> Vec<String> {
+    let mut types = Vec::new();
+    for action in std::mem::take(&mut script.actions) {
+        let Action::Rent(rental) = action else {
+            continue;
+        };
+        let name = format!("vm-{}", rental.request);
+        let granted = RentalOutcome::Rented(vec![name]);
+        script
+            .shard
+            .rental_answered(&rental.request, granted, script.now);
+        types.push(rental.machine_type);
+    }
+    types
+}
