--- a/src/coordination/lease.rs
+++ b/src/coordination/lease.rs
@@ -23,11 +23,13 @@
 pub struct ShardLease {
     /// Its id in the state service.
     pub id: u64,
+    /// The term that it gives: the revision at which the shard was acquired.
     pub term: u64,
     deadline: Mutex<Instant>,
     /// When the last renewal that succeeded was sent.
     renewed: Mutex<Instant>,
     ended: AtomicBool,
+    /// When it began.
     pub since: Instant,
     /// Woken when the shard has something to decide.
     pub work: Notify,
@@ -40,7 +42,9 @@
 /// The version of the sequence key and the number in it.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Sequence {
+    /// The version of the key that the next write has to find.
     pub version: u64,
+    /// The number in it.
     pub n: u64,
 }
 
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -73,32 +73,43 @@
 /// Why the process ends.
 #[derive(Debug, Error)]
 pub enum RunError {
+    /// An address can't be listened on.
     #[error("can't listen on {0}: {1}")]
     Listen(std::net::SocketAddr, std::io::Error),
+    /// A server ended by itself.
     #[error("a server ended: {0}")]
     Server(std::io::Error),
 }
 
 /// A controller.
 pub struct Node {
+    /// Both settings files.
     pub settings: Settings,
+    /// What the settings ask of the shard's decisions.
     pub policy: Policy,
+    /// The steady clock and the time of day.
     pub clock: Arc<dyn Clock>,
+    /// The state service.
     pub state: StateClient,
+    /// All jobs, as the state service last told of them.
     pub ledger: Ledger,
+    /// The client for the cloud's interface.
     pub cloud_http: HttpClient,
     workers_kept: HttpClient,
     workers_once: HttpClient,
     /// Batches of commands, and probes, that may be under way to workers.
     pub commands: Semaphore,
+    /// Probes that may be under way to workers.
     pub probes: Semaphore,
     /// This controller's share of the writes, for users.
     pub user_writes: Turns,
     /// Places for users, workers and the balancer.
     pub front_places: Places,
+    /// The client for the other controllers.
     pub peers_http: HttpClient,
     /// Tells this run of the process from earlier ones.
     pub run: u64,
+    /// When this run of the process began.
     pub started: Instant,
     /// For how long workers may be answered after the moment up to which all
     /// cancellations are known.
@@ -107,6 +118,7 @@
 }
 
 impl Node {
+    /// A controller with these settings, which does nothing by itself yet.
     pub fn new(settings: Settings, clock: Arc<dyn Clock>) -> Arc<Self> {
         let state = StateClient::new(settings.platform.services.state, clock.clone());
         let started = clock.now();
@@ -134,10 +146,12 @@
         })
     }
 
+    /// What the controller knows; never held across an await.
     pub fn lock(&self) -> MutexGuard<'_, NodeState> {
         self.inner.lock().unwrap_or_else(|e| e.into_inner())
     }
 
+    /// The steady clock's time.
     pub fn now(&self) -> Instant {
         self.clock.now()
     }
@@ -209,6 +223,7 @@
         self.now().saturating_duration_since(self.started)
     }
 
+    /// This controller's label.
     pub fn label(&self) -> &str {
         &self.settings.platform.label
     }
--- a/src/coordination/node_state.rs
+++ b/src/coordination/node_state.rs
@@ -17,13 +17,17 @@
 /// Another controller as last heard.
 #[derive(Debug, Clone)]
 pub struct PeerView {
+    /// What it said of itself.
     pub heartbeat: Heartbeat,
+    /// When that was heard.
     pub at: Instant,
 }
 
 /// A shard that this controller runs.
 pub struct Ownership {
+    /// The lease by which it is run.
     pub lease: Arc<ShardLease>,
+    /// The shard's state machine.
     pub shard: Shard,
     /// The advance delegations that this lease's heartbeats gave.
     pub advance_grants: AdvanceGrants,
@@ -38,6 +42,7 @@
 pub struct Delegation {
     /// The owner's term.
     pub term: u64,
+    /// When the right ends.
     pub until: Instant,
     /// The owner asks what they hold.
     pub inventory: bool,
@@ -89,7 +94,9 @@
 /// That an owner was heard.
 #[derive(Debug, Clone, Copy)]
 pub struct OwnerHeard {
+    /// The owner's term.
     pub term: u64,
+    /// When it was heard.
     pub at: Instant,
 }
 
--- a/src/coordination/requests.rs
+++ b/src/coordination/requests.rs
@@ -36,7 +36,9 @@
 /// An answer for a user.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reply {
+    /// The HTTP status.
     pub status: u16,
+    /// The body, in JSON.
     pub body: Vec<u8>,
 }
 
@@ -68,10 +70,12 @@
         Self::json(503, &json!({ "error": why }))
     }
 
+    /// The answer for a job that nobody submitted.
     pub fn not_found() -> Self {
         Self::json(404, &json!({ "error": "no such job" }))
     }
 
+    /// The answer to a malformed request, with the field at fault.
     pub fn malformed(why: &str, field: Option<&str>) -> Self {
         Self::json(400, &json!({ "error": why, "field": field }))
     }
@@ -84,8 +88,11 @@
 /// What is asked of a job.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Ask {
+    /// A submission, with its body.
     Submit(Vec<u8>),
+    /// A question for a job's state.
     Poll(String),
+    /// A cancellation.
     Cancel(String),
 }
 
--- a/src/coordination/shard/cluster.rs
+++ b/src/coordination/shard/cluster.rs
@@ -18,18 +18,24 @@
 /// A machine of the stored roster.
 #[derive(Debug, Clone)]
 pub struct LoadedMachine {
+    /// The machine's name.
     pub id: String,
     /// The page that holds it.
     pub page: u32,
+    /// Its entry there.
     pub record: RosterRecord,
 }
 
 /// What was read after the term was raised.
 #[derive(Debug, Default, Clone)]
 pub struct Loaded {
+    /// Unfinished jobs: id, version of the record, record.
     pub jobs: Vec<(String, u64, JobRecord)>,
+    /// The machines of all pages.
     pub roster: Vec<LoadedMachine>,
+    /// The snapshot's chunks by key.
     pub chunks: BTreeMap<String, Value>,
+    /// Rentals that are not yet answered.
     pub bookings: Vec<BookingRecord>,
 }
 
--- a/src/coordination/shard/fleet.rs
+++ b/src/coordination/shard/fleet.rs
@@ -43,7 +43,9 @@
 /// What became of a rental request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RentalOutcome {
+    /// These machines are rented.
     Rented(Vec<String>),
+    /// The cloud has none of that kind.
     NoCapacity,
     /// Malformed in the cloud's eyes: not to be repeated.
     Rejected,
--- a/src/coordination/shard/jobs.rs
+++ b/src/coordination/shard/jobs.rs
@@ -17,14 +17,18 @@
 /// How many of a job's tasks are done and running, for display.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TaskCounts {
+    /// Tasks that have completed.
     pub done: u32,
+    /// Tasks that run.
     pub running: u32,
 }
 
 /// A job and the progress of its tasks.
 #[derive(Debug)]
 pub struct Job {
+    /// The job's id.
     pub id: JobId,
+    /// Its description.
     pub spec: Arc<JobSpec>,
     /// The version of its record in the state service.
     pub mark: u64,
@@ -40,12 +44,15 @@
     both: u32,
     /// Where tasks failed, to be avoided.
     pub failed_on: BTreeSet<MachineId>,
+    /// How often in a row a task of it failed.
     pub failures: u32,
+    /// Until when none of its tasks is started.
     pub not_before: Option<Instant>,
     /// Run times of its completed tasks, for comparing machines.
     pub ran: RunTimes,
     /// Its final state, if it is over.
     pub over: Option<Stage>,
+    /// Its final record has been asked for.
     pub finish_sent: bool,
     /// Some of its tasks can't wait for cheap room alone.
     pub pressed: bool,
@@ -56,6 +63,7 @@
 }
 
 impl Job {
+    /// A job of which nothing is known but its record.
     pub fn new(id: JobId, mark: u64, record: JobRecord) -> Self {
         Self {
             id,
@@ -109,6 +117,7 @@
         }
     }
 
+    /// Its completed tasks.
     pub fn done(&self) -> &TaskSet {
         &self.done
     }
@@ -165,6 +174,7 @@
         next
     }
 
+    /// Whether every task has completed; a service never is.
     pub fn all_done(&self) -> bool {
         self.spec.kind != JobKind::Service && self.done.len() >= self.spec.tasks
     }
--- a/src/coordination/shard/machine_set.rs
+++ b/src/coordination/shard/machine_set.rs
@@ -85,6 +85,7 @@
 }
 
 impl Machines {
+    /// A machine by its name.
     pub fn get(&self, id: &str) -> Option<&Machine> {
         self.all.get(id)
     }
@@ -98,28 +99,34 @@
         Some(machine)
     }
 
+    /// Whether a machine is among them.
     pub fn contains(&self, id: &str) -> bool {
         self.all.contains_key(id)
     }
 
+    /// Adds a machine.
     pub fn insert(&mut self, machine: Machine) {
         self.changed.insert(machine.id.clone());
         self.all.insert(machine.id.clone(), machine);
     }
 
+    /// Takes a machine out.
     pub fn remove(&mut self, id: &str) -> Option<Machine> {
         self.changed.remove(id);
         self.all.remove(id)
     }
 
+    /// All machines, in the order of their names.
     pub fn values(&self) -> impl Iterator<Item = &Machine> + Clone {
         self.all.values()
     }
 
+    /// How many there are.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
+    /// Whether there are none.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
--- a/src/coordination/shard/machines.rs
+++ b/src/coordination/shard/machines.rs
@@ -15,11 +15,15 @@
 pub enum Phase {
     /// Decided; no report has shown it yet.
     Launching,
+    /// Waiting for its image.
     Fetching,
     /// A gang's task that waits for the others.
     Waiting,
+    /// Running.
     Running,
+    /// Saving its progress before it stops.
     Saving,
+    /// Over, for this reason.
     Ended(Ending),
 }
 
@@ -28,7 +32,9 @@
 pub struct Attempt {
     /// What it uses; unknown for an orphan whose job is being looked up.
     pub spec: Option<Arc<JobSpec>>,
+    /// How far it is.
     pub phase: Phase,
+    /// Since when it is in this phase.
     pub since: Instant,
     /// When it was first seen running.
     pub running_since: Option<Instant>,
@@ -50,6 +56,7 @@
 }
 
 impl Attempt {
+    /// An attempt that begins in this phase.
     pub fn new(spec: Option<Arc<JobSpec>>, phase: Phase, now: Instant) -> Self {
         Self {
             spec,
@@ -66,6 +73,7 @@
         }
     }
 
+    /// Whether it has ended.
     pub fn ended(&self) -> bool {
         matches!(self.phase, Phase::Ended(_))
     }
@@ -175,12 +183,19 @@
 /// A machine of the shard.
 #[derive(Debug)]
 pub struct Machine {
+    /// Its name.
     pub id: MachineId,
+    /// Its worker's address; empty while it isn't known.
     pub addr: String,
+    /// Its type.
     pub machine_type: Arc<str>,
+    /// Its zone.
     pub zone: Arc<str>,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// The session in which its worker was last heard.
     pub session: Option<u64>,
+    /// The newest number of that session.
     pub seq: u64,
     /// The newest that it reported by itself, as (session, number): what is not
     /// newer is a copy that nobody waits for.
@@ -191,6 +206,7 @@
     pub synced: bool,
     /// Its roster record is written: it may get tasks.
     pub admitted: bool,
+    /// The write of its roster record has been asked for.
     pub admission_asked: bool,
     /// Last message of its worker that reached us.
     pub heard: Option<Instant>,
@@ -202,6 +218,7 @@
     pub lease_over: Instant,
     /// When the cloud takes it away, as far as was said.
     pub notice: Option<Instant>,
+    /// All attempts that may exist on it, by task and attempt number.
     pub attempts: BTreeMap<(TaskId, u64), Attempt>,
     /// What they amount to, as last counted.
     pub load: MachineLoad,
@@ -209,6 +226,7 @@
     pub images: Vec<String>,
     /// When its rental was asked for, as far as is known.
     pub rented: Instant,
+    /// Since when nothing has run on it.
     pub idle_since: Option<Instant>,
     /// Jobs that failed on it by error.
     pub errors: Vec<JobId>,
@@ -234,12 +252,14 @@
     /// Commands don't reach it, as far as is known: it gets no new work until
     /// it answers some.
     pub commands_fail: bool,
+    /// When commands may be sent again after a failure.
     pub command_retry: Option<Instant>,
     /// Batches of commands without an answer since it was last heard.
     pub unanswered: u32,
 }
 
 impl Machine {
+    /// A machine of which nothing is known but its name.
     pub fn new(id: MachineId, now: Instant, lease_over: Instant) -> Self {
         Self {
             id,
@@ -304,6 +324,7 @@
         !self.deleting && (self.heard.is_some() || self.admitted)
     }
 
+    /// For how long its worker has not been heard in any way.
     pub fn silence(&self, now: Instant) -> Duration {
         match self.heard {
             Some(heard) => now.saturating_duration_since(heard),
@@ -355,6 +376,7 @@
         Amounts::of_type(kind).less(&self.load.used)
     }
 
+    /// Whether an attempt on it may not have ended.
     pub fn busy(&self) -> bool {
         self.attempts.values().any(|a| !a.ended())
     }
@@ -368,6 +390,7 @@
         }
     }
 
+    /// Whether it holds an image, as far as is known.
     pub fn has_image(&self, image: &str) -> bool {
         self.images.iter().any(|held| held == image)
     }
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -46,24 +46,40 @@
 pub enum Action {
     /// Send `/commands`; answered by [`Shard::command_answered`].
     Command {
+        /// The machine that they are for.
         machine: MachineId,
+        /// Its worker's address.
         addr: String,
+        /// The session in which they are to be executed.
         session: u64,
+        /// Tells this batch from others of the machine.
         number: u64,
+        /// What the worker is to do; none only asks for a report.
         commands: Vec<Command>,
     },
     /// Write to the shard's keys; answered by [`Shard::shard_written`].
     Write(ShardWrite),
     /// Record that a job is done; answered by [`Shard::job_gone`].
-    Finish { job: JobId, mark: u64 },
+    Finish {
+        /// The job.
+        job: JobId,
+        /// The version of its record.
+        mark: u64,
+    },
     /// Read what a job that is over was; answered by [`Shard::orphan_read`].
-    ReadFinal { job: JobId },
+    ReadFinal {
+        /// The job.
+        job: JobId,
+    },
     /// Rent machines; answered by [`Shard::rental_answered`].
     Rent(Rental),
     /// Give machines back; answered by [`Shard::deletion_answered`].
     Delete(Vec<MachineId>),
     /// A worker has seen a higher term: someone else may own the shard.
-    Fenced { seen: u64 },
+    Fenced {
+        /// That term.
+        seen: u64,
+    },
 }
 
 /// How a batch of commands went.
@@ -91,9 +107,13 @@
 /// A team's amounts; 0 means none.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TeamPolicy {
+    /// Cores that are guaranteed.
     pub cores: f64,
+    /// Cores that may be used at once.
     pub cores_max: f64,
+    /// Accelerators that are guaranteed.
     pub accelerators: f64,
+    /// Accelerators that may be used at once.
     pub accelerators_max: f64,
 }
 
@@ -107,7 +127,9 @@
 /// What the shard's decisions depend on besides its state.
 #[derive(Debug, Clone)]
 pub struct Policy {
+    /// This controller's label.
     pub label: String,
+    /// The teams by name.
     pub teams: BTreeMap<String, TeamPolicy>,
     /// Longest good wait for a start, by class.
     pub wait_within: HashMap<String, Duration>,
@@ -116,24 +138,37 @@
     /// The multiples of their deadlines by which jobs of a class had better be
     /// done, rising.
     pub deadline_times: HashMap<String, Vec<f64>>,
+    /// The usual pause between two reports of a worker.
     pub report: Duration,
+    /// How long a worker's lease lasts.
     pub worker_lease: Duration,
     /// How long a gang's task waits for the others.
     pub gang_wait: Duration,
     /// How long another controller may go on answering workers on its own.
     pub alone: Duration,
+    /// Changes that one transaction may have.
     pub txn_ops: usize,
+    /// Bytes that one value may have.
     pub value_bytes: usize,
+    /// How often a changed shard is snapshotted.
     pub snapshot: Duration,
+    /// Age of unsnapshotted changes past which nothing is started.
     pub staleness: Duration,
+    /// Changes a second for snapshots.
     pub snapshot_writes_per_s: f64,
+    /// Changes a second for the shard's own facts.
     pub fact_writes_per_s: f64,
+    /// Silence after which a machine gets no new tasks.
     pub suspect: Duration,
+    /// Silence after which a machine is given back.
     pub abandon: Duration,
+    /// Capacity held ready, as a multiple of what runs.
     pub headroom: f64,
+    /// How long a machine may stay idle before it is given back.
     pub idle: Duration,
     /// How long unused room for a guarantee is held after its team's last job.
     pub guarantee_hold: Duration,
+    /// How long a refused kind of machine is not asked for again.
     pub refused: Duration,
 }
 
@@ -233,6 +268,7 @@
 
 /// One shard as its owner sees it.
 pub struct Shard {
+    /// What its decisions depend on besides its state.
     pub policy: Policy,
     /// The number that fences our commands and writes.
     pub term: u64,
--- a/src/coordination/shard/writes.rs
+++ b/src/coordination/shard/writes.rs
@@ -39,7 +39,9 @@
 /// One transaction on the shard's keys.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ShardWrite {
+    /// What the changes are for.
     pub facts: Vec<Fact>,
+    /// The changes themselves.
     pub changes: Vec<Change>,
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,6 +5,8 @@
 //! gives them types, [`storage`] keeps hard facts in the state service and
 //! [`coordination`] decides.
 
+#![warn(missing_docs)]
+
 pub mod cli;
 pub mod clock;
 pub mod coordination;
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -4,6 +4,10 @@
 
 pub mod cloud;
 pub mod peer_messages;
+#[allow(
+    missing_docs,
+    reason = "the derive of rkyv adds fields without documentation"
+)]
 pub mod peers;
 pub mod state;
 pub mod users;
@@ -20,7 +24,9 @@
 /// One task of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId {
+    /// The job that it belongs to.
     pub job: JobId,
+    /// Its number in the job, from 0.
     pub index: u32,
 }
 
--- a/src/protocol/peer_messages.rs
+++ b/src/protocol/peer_messages.rs
@@ -13,6 +13,7 @@
 /// Which cancellations have you told users since this revision?
 #[derive(Debug, Clone, Archive, Serialize, Deserialize)]
 pub struct CancellationsRequest {
+    /// The revision.
     pub after: u64,
 }
 
@@ -28,6 +29,7 @@
 /// A job that its user was told is cancelled.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct CancelledJob {
+    /// The job's id.
     pub job: String,
     /// The revision at which it was.
     pub revision: u64,
@@ -41,7 +43,9 @@
 /// taken it since?
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct ReviveLease {
+    /// The term of the lease.
     pub term: u64,
+    /// For how long the shard is to be left alone.
     pub millis: u64,
 }
 
@@ -65,11 +69,13 @@
 macro_rules! frame {
     ($($name:ident),*) => {$(
         impl $name {
+            /// Encodes the frame.
             pub fn encode(&self) -> Vec<u8> {
                 rkyv::to_bytes::<rkyv::rancor::Error>(self)
                     .map_or_else(|_| Vec::new(), |bytes| bytes.to_vec())
             }
 
+            /// Decodes and checks the frame; None if it is not one.
             pub fn decode(bytes: &[u8]) -> Option<Self> {
                 rkyv::from_bytes::<Self, rkyv::rancor::Error>(&aligned(bytes)).ok()
             }
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -9,11 +9,17 @@
     Heartbeat(Heartbeat),
     /// The owner can't reach the state service: will you leave the shard alone
     /// for this long?
-    ExtendLease { millis: u64 },
+    ExtendLease {
+        /// For so many milliseconds.
+        millis: u64,
+    },
     /// A user's request that the sender can't serve itself.
     Forward {
+        /// The request's method.
         method: String,
+        /// Its path.
         path: String,
+        /// Its body.
         body: Vec<u8>,
     },
 }
@@ -21,7 +27,9 @@
 /// What a controller knows of itself.
 #[derive(Debug, Clone, Default, PartialEq, Archive, Serialize, Deserialize)]
 pub struct Heartbeat {
+    /// Its label.
     pub label: String,
+    /// Its zone.
     pub zone: String,
     /// Whether the state service answered it lately.
     pub state_served: bool,
@@ -44,22 +52,29 @@
 /// How far a job is, for display.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct Progress {
+    /// The job's id.
     pub job: String,
+    /// Tasks that have completed.
     pub done: u32,
+    /// Tasks that run.
     pub running: u32,
 }
 
 /// The answer to a [`PeerRequest`].
 #[derive(Debug, Clone, Archive, Serialize, Deserialize)]
 pub enum PeerAnswer {
+    /// The answering controller's own.
     Heartbeat(Heartbeat),
     /// Whether the promise is given.
     LeaseExtension {
+        /// Whether it leaves the shard alone for so long.
         granted: bool,
     },
     /// The final answer to a forwarded request.
     Answer {
+        /// The answer's status.
         status: u16,
+        /// Its body.
         body: Vec<u8>,
     },
     /// The frame could not be read.
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -6,12 +6,16 @@
 /// A stored key.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Item {
+    /// The key.
     #[serde(rename = "Path")]
     pub key: String,
+    /// Its value.
     #[serde(rename = "V")]
     pub value: Value,
+    /// The revision of its last change.
     #[serde(rename = "Mark")]
     pub version: u64,
+    /// The lease that it is attached to.
     #[serde(rename = "Tenure", default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<u64>,
 }
@@ -19,10 +23,13 @@
 /// A page of keys.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Page {
+    /// The keys on this page, in order.
     #[serde(rename = "Pairs")]
     pub items: Vec<Item>,
+    /// Whether more follow.
     #[serde(rename = "HasNext", default)]
     pub more: bool,
+    /// The revision at which the page was read.
     #[serde(rename = "Edition")]
     pub revision: u64,
 }
@@ -30,8 +37,10 @@
 /// The condition that a key has a version (0: does not exist).
 #[derive(Debug, Clone, Deserialize, Serialize, PartialEq)]
 pub struct Guard {
+    /// The key.
     #[serde(rename = "Path")]
     pub key: String,
+    /// The version that it has to have.
     #[serde(rename = "Mark")]
     pub version: u64,
 }
@@ -40,21 +49,28 @@
 #[derive(Debug, Clone, Deserialize, Serialize, PartialEq)]
 #[serde(untagged)]
 pub enum Change {
+    /// Writes a key.
     Put {
+        /// The key.
         #[serde(rename = "Write")]
         key: String,
+        /// Its new value.
         #[serde(rename = "V")]
         value: Value,
+        /// The lease to attach it to.
         #[serde(rename = "Tenure", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
+    /// Removes a key.
     Delete {
+        /// The key.
         #[serde(rename = "Drop")]
         key: String,
     },
 }
 
 impl Change {
+    /// A write of a key that no lease is attached to.
     pub fn put(key: impl Into<String>, value: Value) -> Self {
         Self::Put {
             key: key.into(),
@@ -63,6 +79,7 @@
         }
     }
 
+    /// A removal.
     pub fn delete(key: impl Into<String>) -> Self {
         Self::Delete { key: key.into() }
     }
@@ -71,8 +88,10 @@
 /// An atomic transaction.
 #[derive(Debug, Clone, Default, Deserialize, Serialize, PartialEq)]
 pub struct Txn {
+    /// Conditions, all of which have to hold.
     #[serde(rename = "Guards")]
     pub guards: Vec<Guard>,
+    /// Changes, which share one revision.
     #[serde(rename = "Apply", default, skip_serializing_if = "Vec::is_empty")]
     pub changes: Vec<Change>,
 }
@@ -97,6 +116,7 @@
 /// The revision in a transaction's answer.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Committed {
+    /// The revision of its changes.
     #[serde(rename = "Edition")]
     pub revision: u64,
 }
@@ -104,6 +124,7 @@
 /// The answer to a new lease.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct LeaseGranted {
+    /// The lease's id.
     #[serde(rename = "Tenure")]
     pub lease: u64,
 }
@@ -111,6 +132,7 @@
 /// A request for a lease.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct LeaseRequest {
+    /// Time to live in milliseconds.
     #[serde(rename = "TtlMs")]
     pub ttl_ms: u64,
 }
@@ -119,17 +141,24 @@
 #[derive(Debug, Clone, Deserialize, Serialize)]
 #[serde(untagged)]
 pub enum News {
+    /// A key was written.
     Put {
+        /// The key.
         #[serde(rename = "Write")]
         key: String,
+        /// Its value.
         #[serde(rename = "V")]
         value: Value,
+        /// The revision.
         #[serde(rename = "Mark")]
         version: u64,
     },
+    /// A key was removed.
     Delete {
+        /// The key.
         #[serde(rename = "Drop")]
         key: String,
+        /// The revision.
         #[serde(rename = "Mark")]
         version: u64,
     },
@@ -138,8 +167,10 @@
 /// A watch's answer.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct NewsPage {
+    /// The revision up to which the changes go.
     #[serde(rename = "Edition")]
     pub revision: u64,
+    /// The changes, in order.
     #[serde(rename = "News", default)]
     pub events: Vec<News>,
 }
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -15,6 +15,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobKind {
+    /// Independent tasks, each of which runs to its end.
     Batch,
     /// Replicas that run until the job is cancelled.
     #[serde(rename = "standing")]
@@ -27,33 +28,56 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
+    /// What nobody waits for.
     BestEffort,
+    /// Ordinary work.
     Standard,
+    /// Work that goes before ordinary work.
     High,
+    /// What people use.
     Prod,
 }
 
 /// A job's description, validated.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
+    /// The class of jobs that it belongs to.
     pub class: String,
+    /// The team whose guarantee and limit apply.
     pub team: String,
+    /// How its tasks run.
     pub kind: JobKind,
+    /// Its priority.
     pub priority: Priority,
+    /// How many tasks it has.
     pub tasks: u32,
+    /// Cores of each task.
     pub cores: f64,
+    /// Accelerators of each task.
     pub accelerators: f64,
+    /// Memory of each task, in GB.
     pub mem_gb: f64,
+    /// The image that its tasks need.
     pub image: String,
+    /// The image's size, in GB.
     pub image_gb: f64,
+    /// The machine types that it may use; any if none are named.
     pub machine_types: Option<Vec<String>>,
+    /// The only zone that it may use, if one is named.
     pub zone: Option<String>,
+    /// All tasks have to be in the same zone.
     pub one_zone: bool,
+    /// At most half of the tasks may be in one zone.
     pub scatter: bool,
+    /// It may use spot machines.
     pub spot: bool,
+    /// The owner's estimate of a task's run time; 0 for services.
     pub duration_s: f64,
+    /// Seconds of progress between two checkpoints; 0 if it saves none.
     pub checkpoint_s: f64,
+    /// Seconds that a task needs to save when it is stopped.
     pub save_s: f64,
+    /// Seconds from its submission until it should be complete.
     pub deadline_s: Option<f64>,
 }
 
@@ -81,10 +105,13 @@
 /// Why a submission is malformed.
 #[derive(Debug, Error, PartialEq)]
 pub enum Malformed {
+    /// The body is not a JSON object.
     #[error("the body is not a JSON object")]
     NotAnObject,
+    /// This field is missing.
     #[error("field {0} is missing")]
     Missing(&'static str),
+    /// This field has a wrong value, for this reason.
     #[error("field {0} is invalid: {1}")]
     Invalid(&'static str, &'static str),
 }
@@ -235,21 +262,29 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
+    /// No task runs.
     Pending,
+    /// Some task runs.
     Running,
+    /// All tasks have completed.
     Done,
+    /// Its user called it off.
     Cancelled,
 }
 
 /// The answer to a submission, a poll or a cancel.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobView {
+    /// The job's id.
     #[serde(rename = "NameId")]
     pub id: String,
+    /// How far it is.
     #[serde(rename = "Stage")]
     pub stage: Stage,
+    /// Tasks that have completed.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub done: Option<u32>,
+    /// Tasks that run.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub running: Option<u32>,
 }
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -9,12 +9,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskState {
+    /// Waiting for its image.
     Fetching,
     /// A gang's task that waits for the others of its attempt.
     Waiting,
+    /// Running.
     Running,
+    /// Told to stop, and saving.
     #[serde(rename = "flushing")]
     Saving,
+    /// Over; its ending tells why.
     Ended,
 }
 
@@ -22,19 +26,26 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ending {
+    /// It has completed.
     Done,
+    /// It was stopped by a command.
     #[serde(rename = "halted")]
     Stopped,
+    /// It failed.
     Error,
+    /// Its start was refused for want of room.
     #[serde(rename = "full")]
     NoRoom,
+    /// Its start was refused: another attempt of it is there.
     #[serde(rename = "in_use")]
     Busy,
+    /// Its start was refused: no such job or task is known.
     Unknown,
     /// Another task of its gang is gone.
     Peers,
     /// Its gang was not complete in time.
     Alone,
+    /// A reason that this version doesn't know.
     #[serde(other)]
     Other,
 }
@@ -42,12 +53,16 @@
 /// One line of a report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TaskReport {
+    /// The task.
     #[serde(rename = "Voice", with = "task_id")]
     pub task: TaskId,
+    /// The number of its attempt.
     #[serde(rename = "Take")]
     pub attempt: u64,
+    /// How far it is.
     #[serde(rename = "Stage")]
     pub state: TaskState,
+    /// Why it ended, if it has.
     #[serde(rename = "Coda", default, skip_serializing_if = "Option::is_none")]
     pub ending: Option<Ending>,
 }
@@ -55,24 +70,34 @@
 /// A worker's report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Report {
+    /// The machine's name.
     #[serde(rename = "Stand")]
     pub machine: String,
+    /// The worker's address.
     #[serde(rename = "Addr")]
     pub addr: String,
+    /// The machine's type.
     #[serde(rename = "Instrument")]
     pub machine_type: String,
+    /// Its zone.
     #[serde(rename = "Hall")]
     pub zone: String,
+    /// Whether it is a spot machine.
     #[serde(rename = "Borrowed")]
     pub spot: bool,
+    /// The worker's session: one more each time its lease expires.
     #[serde(rename = "Rehearsal")]
     pub session: u64,
+    /// Increases with every report and every answer of the session.
     #[serde(rename = "Bar")]
     pub seq: u64,
+    /// The highest term that it has seen.
     #[serde(rename = "Baton")]
     pub term: u64,
+    /// Seconds until the cloud takes the machine away, if it said so.
     #[serde(rename = "CueS", default)]
     pub notice_s: Option<f64>,
+    /// All tasks on the machine, ended ones too until they are cleared.
     #[serde(rename = "Voices")]
     pub tasks: Vec<TaskReport>,
 }
@@ -81,23 +106,33 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "CueKind", rename_all = "snake_case")]
 pub enum Command {
+    /// Starts a task.
     Launch {
+        /// The task.
         #[serde(rename = "Voice", with = "task_id")]
         task: TaskId,
+        /// The number of the attempt.
         #[serde(rename = "Take")]
         attempt: u64,
     },
+    /// Stops a task.
     Stop {
+        /// The task.
         #[serde(rename = "Voice", with = "task_id")]
         task: TaskId,
+        /// The number of the attempt.
         #[serde(rename = "Take")]
         attempt: u64,
+        /// Seconds that it has to save.
         #[serde(rename = "RestS")]
         grace_s: f64,
     },
+    /// Removes an ended task from the reports.
     Clear {
+        /// The task.
         #[serde(rename = "Voice", with = "task_id")]
         task: TaskId,
+        /// The number of the attempt.
         #[serde(rename = "Take")]
         attempt: u64,
     },
@@ -106,8 +141,10 @@
 /// The answer to a report.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct ReportAnswer {
+    /// The term of the controller that answers.
     #[serde(rename = "Baton")]
     pub term: u64,
+    /// What the worker is to do.
     #[serde(rename = "Cues")]
     pub commands: Vec<Command>,
 }
@@ -115,10 +152,13 @@
 /// The body of `/commands`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CommandBatch {
+    /// The term of the controller that commands.
     #[serde(rename = "Baton")]
     pub term: u64,
+    /// The session in which they are to be executed.
     #[serde(rename = "Rehearsal")]
     pub session: u64,
+    /// What the worker is to do.
     #[serde(rename = "Cues")]
     pub commands: Vec<Command>,
 }
@@ -126,6 +166,7 @@
 /// Where a worker should report instead.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Redirect {
+    /// The label of the controller to report to, if it is known.
     #[serde(rename = "Conductor", skip_serializing_if = "Option::is_none")]
     pub owner: Option<String>,
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -13,14 +13,30 @@
 /// Why the process can't start with the settings given.
 #[derive(Debug, Error)]
 pub enum SettingsError {
+    /// The file can't be read.
     #[error("{file}: can't be read: {why}")]
-    Unreadable { file: String, why: String },
+    Unreadable {
+        /// The file.
+        file: String,
+        /// What the system says.
+        why: String,
+    },
+    /// The file isn't in its format.
     #[error("{file}: {why}")]
-    Syntax { file: String, why: String },
+    Syntax {
+        /// The file.
+        file: String,
+        /// What is wrong, and where.
+        why: String,
+    },
+    /// A value is out of its range.
     #[error("{file}: field {field}: {why}")]
     Field {
+        /// The file.
         file: String,
+        /// The field.
         field: String,
+        /// What is wrong with it.
         why: String,
     },
 }
@@ -28,7 +44,9 @@
 /// Both files, checked.
 #[derive(Debug, Clone)]
 pub struct Settings {
+    /// The platform's file.
     pub platform: Platform,
+    /// The operators' own file.
     pub operator: Operator,
 }
 
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -114,42 +114,52 @@
         Ok(())
     }
 
+    /// Time to live of a controller's lease.
     pub fn lease(&self) -> Duration {
         Duration::from_secs_f64(self.lease_s)
     }
 
+    /// Pause between two renewals.
     pub fn renew(&self) -> Duration {
         Duration::from_secs_f64(self.renew_s)
     }
 
+    /// Pause between two snapshots.
     pub fn snapshot(&self) -> Duration {
         Duration::from_secs_f64(self.snapshot_s)
     }
 
+    /// Age of unsnapshotted changes past which nothing is started.
     pub fn staleness(&self) -> Duration {
         Duration::from_secs_f64(self.staleness_s)
     }
 
+    /// Lateness after which a machine gets no new tasks.
     pub fn suspect_late(&self) -> Duration {
         Duration::from_secs_f64(self.suspect_late_s)
     }
 
+    /// Lateness after which a machine is given back.
     pub fn abandon_late(&self) -> Duration {
         Duration::from_secs_f64(self.abandon_late_s)
     }
 
+    /// How long a machine may stay idle.
     pub fn idle(&self) -> Duration {
         Duration::from_secs_f64(self.idle_s)
     }
 
+    /// How long unused room for a guarantee is held.
     pub fn guarantee_hold(&self) -> Duration {
         Duration::from_secs_f64(self.guarantee_hold_s)
     }
 
+    /// Pause before a refused kind of machine is asked for again.
     pub fn refused(&self) -> Duration {
         Duration::from_secs_f64(self.refused_s)
     }
 
+    /// Longest time without the state service and the owner.
     pub fn keep_alone(&self) -> Duration {
         Duration::from_secs_f64(self.keep_alone_s)
     }
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -10,28 +10,38 @@
 /// Another controller.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Peer {
+    /// Its label.
     pub label: String,
+    /// Its zone.
     pub area: String,
+    /// Its internal address.
     pub address: SocketAddr,
 }
 
 /// Where the outside services are.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Services {
+    /// The cloud's address.
     pub cloud: SocketAddr,
+    /// The state service's address.
     pub state: SocketAddr,
 }
 
 /// A team's guarantee and limit; 0 means none.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Team {
+    /// The team's name.
     pub name: String,
+    /// Cores that are guaranteed.
     #[serde(default)]
     pub cpus: f64,
+    /// Cores that may be used at once.
     #[serde(default)]
     pub cpus_max: f64,
+    /// Accelerators that are guaranteed.
     #[serde(default)]
     pub gpus: f64,
+    /// Accelerators that may be used at once.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -39,13 +49,18 @@
 /// One of the aims at start and at finish.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Objective {
+    /// What is aimed at.
     pub kind: String,
+    /// The class of jobs that it is about.
     #[serde(default)]
     pub class: Option<String>,
+    /// The time within which it should happen.
     #[serde(default)]
     pub within_s: Option<f64>,
+    /// The share for which it should.
     #[serde(default)]
     pub share: Option<f64>,
+    /// A multiple of the deadline.
     #[serde(default)]
     pub times: Option<f64>,
 }
@@ -53,8 +68,11 @@
 /// How workers behave.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Workers {
+    /// The usual pause between two reports.
     pub report_s: f64,
+    /// How long a worker's lease lasts.
     pub lease_s: f64,
+    /// How long a cancelled job's tasks have to end.
     pub cancel_s: f64,
     /// How long a gang's task waits for the others.
     #[serde(default = "default_gang_wait")]
@@ -74,6 +92,7 @@
 }
 
 impl Workers {
+    /// The usual pause between two reports.
     pub fn report(&self) -> Duration {
         Duration::from_secs_f64(self.report_s)
     }
@@ -83,14 +102,17 @@
         Duration::from_secs_f64(self.report_s * 1.25)
     }
 
+    /// How long a worker's lease lasts.
     pub fn lease(&self) -> Duration {
         Duration::from_secs_f64(self.lease_s)
     }
 
+    /// How long a gang's task waits for the others.
     pub fn gang_wait(&self) -> Duration {
         Duration::from_secs_f64(self.gang_wait_s)
     }
 
+    /// How long a cancelled job's tasks have to end.
     pub fn cancel(&self) -> Duration {
         Duration::from_secs_f64(self.cancel_s)
     }
@@ -99,9 +121,13 @@
 /// The state service's limits.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StateLimits {
+    /// Requests a second.
     pub rps: f64,
+    /// Changes a second.
     pub write_rps: f64,
+    /// Size of a value in KiB.
     pub value_kb: f64,
+    /// Changes of one transaction.
     pub txn_ops: usize,
     /// The limits that it will have from some moment on, without notice.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -111,12 +137,16 @@
 /// Limits to come; what isn't named stays as it is.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct NextLimits {
+    /// Requests a second, if that changes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rps: Option<f64>,
+    /// Changes a second, if that changes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub write_rps: Option<f64>,
+    /// Size of a value in KiB, if that changes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub value_kb: Option<f64>,
+    /// Changes of one transaction, if that changes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub txn_ops: Option<usize>,
 }
@@ -145,29 +175,42 @@
 /// The cloud's limits.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CloudLimits {
+    /// Requests a second.
     pub rps: f64,
+    /// How old the machine list may be.
     pub list_lag_s: f64,
 }
 
 /// What this machine gives the process.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Resources {
+    /// Share of a core.
     pub cpu: f64,
+    /// Memory in MB.
     pub ram_mb: f64,
+    /// Sockets.
     pub max_connections: usize,
 }
 
 /// The part named `settings`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Parameters {
+    /// The zones that have controllers.
     pub zones: Vec<String>,
+    /// The teams.
     pub teams: Vec<Team>,
+    /// The aims at start and at finish.
     #[serde(default)]
     pub objectives: Vec<Objective>,
+    /// What applies to workers.
     pub workers: Workers,
+    /// The state service's limits.
     pub state: StateLimits,
+    /// The cloud's limits.
     pub cloud: CloudLimits,
+    /// What each controller has.
     pub resources: Resources,
+    /// How far the time of day may be off.
     #[serde(default)]
     pub skew_ms: f64,
 }
@@ -175,12 +218,19 @@
 /// The whole file.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Platform {
+    /// This controller's label.
     pub label: String,
+    /// Its zone.
     pub area: String,
+    /// The address for users, workers and the balancer.
     pub front: SocketAddr,
+    /// The address for the other controllers.
     pub internal_addr: SocketAddr,
+    /// The other controllers.
     pub others: Vec<Peer>,
+    /// What the controllers depend on.
     pub services: Services,
+    /// What is the same for all controllers.
     pub settings: Parameters,
 }
 
--- a/src/storage/client.rs
+++ b/src/storage/client.rs
@@ -43,7 +43,12 @@
 /// What became of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TxnOutcome {
-    Committed { revision: u64 },
+    /// It was carried out.
+    Committed {
+        /// The revision of its changes.
+        revision: u64,
+    },
+    /// A condition did not hold: nothing was changed.
     Conflict,
 }
 
@@ -69,9 +74,13 @@
 /// Percentiles of the service's latencies.
 #[derive(Debug, Clone, Copy)]
 pub struct Latencies {
+    /// Requests that were answered.
     pub answered: u64,
+    /// The median.
     pub p50: Duration,
+    /// The 99th percentile.
     pub p99: Duration,
+    /// The longest.
     pub longest: Duration,
 }
 
@@ -79,6 +88,7 @@
 const LONGEST_LATENCY_US: u64 = 60_000_000;
 
 impl StateClient {
+    /// A client for the service at this address.
     pub fn new(addr: SocketAddr, clock: Arc<dyn Clock>) -> Self {
         Self {
             addr,
--- a/src/storage/inventory.rs
+++ b/src/storage/inventory.rs
@@ -18,6 +18,7 @@
 /// Pages that belong together: a page of whole reports, or all parts of one.
 #[derive(Debug)]
 pub struct Batch {
+    /// The pages.
     pub pages: Vec<InventoryRecord>,
     /// What the pages hold, to be laid out again if they can't be written.
     pub reports: Vec<Report>,
--- a/src/storage/ledger.rs
+++ b/src/storage/ledger.rs
@@ -123,6 +123,7 @@
 }
 
 impl Ledger {
+    /// A ledger that catches up at most once in this time.
     pub fn new(pace: Duration) -> Self {
         Self {
             book: Mutex::default(),
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -16,17 +16,22 @@
 /// An unfinished job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
+    /// The version of its format.
     pub v: u32,
     /// Time of day of its acceptance, in milliseconds.
     pub at_ms: u64,
+    /// The job's description.
     pub spec: JobSpec,
 }
 
 /// A job that is over.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FinalRecord {
+    /// The version of its format.
     pub v: u32,
+    /// How it ended.
     pub stage: Stage,
+    /// How many tasks it had.
     pub tasks: u32,
     /// What its last tasks may still use.
     pub spec: JobSpec,
@@ -70,7 +75,9 @@
 /// Who runs the shard.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OwnerRecord {
+    /// The version of its format.
     pub v: u32,
+    /// The owner's label.
     pub label: String,
     /// The id of the lease that its record is attached to.
     #[serde(rename = "hold")]
@@ -82,7 +89,9 @@
 /// That a controller may answer workers which the owner of this term can't hear.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DelegateRecord {
+    /// The version of its format.
     pub v: u32,
+    /// The owner's term, with which the delegation ends.
     pub term: u64,
     /// The owner asks what those workers hold.
     #[serde(default)]
@@ -92,8 +101,11 @@
 /// What some workers hold, as they reported under a term to their delegate.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct InventoryRecord {
+    /// The version of its format.
     pub v: u32,
+    /// The owner's term under which they reported.
     pub term: u64,
+    /// Whole reports.
     pub reports: Vec<Report>,
     /// Parts of reports that are larger than a value may be. An older version ignores
     /// this field.
@@ -117,20 +129,27 @@
 /// The shard's sequence number.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SequenceRecord {
+    /// The version of its format.
     pub v: u32,
+    /// The term of the owner that wrote it.
     pub term: u64,
+    /// The number.
     pub n: u64,
 }
 
 /// A machine that may hold tasks, as a page of the roster holds it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RosterRecord {
+    /// Its worker's address.
     #[serde(rename = "a")]
     pub addr: String,
+    /// Its type.
     #[serde(rename = "t")]
     pub machine_type: String,
+    /// Its zone.
     #[serde(rename = "z")]
     pub zone: String,
+    /// Whether it is a spot machine.
     #[serde(rename = "s", default, skip_serializing_if = "is_false")]
     pub spot: bool,
     /// It is being given back.
@@ -145,14 +164,18 @@
 /// A rental that is not yet answered.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BookingRecord {
+    /// The version of its format.
     pub v: u32,
+    /// The request.
     pub rental: Rental,
 }
 
 /// How many workers a controller hears that can't reach the owner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HearingRecord {
+    /// The version of its format.
     pub v: u32,
+    /// How many workers.
     pub workers: u32,
     /// Time of day, in milliseconds.
     pub at_ms: u64,
--- a/src/storage/snapshot.rs
+++ b/src/storage/snapshot.rs
@@ -23,6 +23,7 @@
 /// One job's part of a snapshot.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct JobProgress {
+    /// The tasks that have completed.
     pub done: TaskSet,
     /// Where its other tasks were.
     pub placed: BTreeMap<u32, String>,
--- a/src/storage/task_set.rs
+++ b/src/storage/task_set.rs
@@ -13,10 +13,12 @@
         self.len
     }
 
+    /// Whether it holds none.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
+    /// Whether it holds a number.
     pub fn contains(&self, n: u32) -> bool {
         self.words
             .get(n as usize / 64)
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -36,6 +36,7 @@
 pub struct Activities(BTreeMap<&'static str, (u64, Duration)>);
 
 impl Activities {
+    /// Notes that an activity took so long.
     pub fn note(&mut self, activity: &'static str, took: Duration) {
         let (count, total) = self.0.entry(activity).or_default();
         *count += 1;
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -31,7 +31,9 @@
 /// An answer.
 #[derive(Debug, Clone)]
 pub struct Answer {
+    /// The answer's status.
     pub status: StatusCode,
+    /// Its body.
     pub body: Bytes,
 }
 
--- a/src/transport/limit.rs
+++ b/src/transport/limit.rs
@@ -28,6 +28,7 @@
 }
 
 impl Places {
+    /// Places for so many connections.
     pub fn new(most: usize) -> Self {
         let most = most.max(1);
         Self {
