--- a/src/coordination/shard/writes.rs
+++ b/src/coordination/shard/writes.rs
@@ -45,6 +45,22 @@
     pub changes: Vec<Change>,
 }
 
+/// A transaction as it is put together.
+#[derive(Debug, Default)]
+struct WriteInProgress {
+    facts: Vec<Fact>,
+    changes: Vec<Change>,
+    bytes: usize,
+}
+
+impl WriteInProgress {
+    /// Whether it holds nothing but chunks of the snapshot.
+    fn is_snapshot_only(&self) -> bool {
+        let chunk = |fact: &Fact| matches!(fact, Fact::Chunk(..));
+        self.facts.len() == self.changes.len() && self.facts.iter().all(chunk)
+    }
+}
+
 /// A finish that the worker may forget once a snapshot holds it.
 type Finish = (MachineId, (TaskId, u64));
 
@@ -174,29 +190,54 @@
         }
         // One change of every transaction is the sequence number's.
         let room = self.policy.txn_ops - 1;
-        let mut write = ShardWrite {
-            facts: Vec::new(),
-            changes: Vec::new(),
-        };
-        let mut bytes = 0;
         let facts_allowed = self.writes.fact_tokens > 0.0;
-        // A roster in few pages is written whole, so that what follows from
-        // its changes can follow at once.
-        while facts_allowed && self.writes.roster.has_changes() && write.changes.len() < room {
-            let Some(change) = self.writes.roster.next_change(self.policy.value_bytes) else {
+        let mut write = WriteInProgress::default();
+        if facts_allowed {
+            self.take_roster_changes(room, &mut write);
+        }
+        self.take_queued(room, facts_allowed, &mut write);
+        if write.changes.is_empty() {
+            if self.writes.cycle && self.writes.chunks.is_empty() {
+                self.end_cycle();
+            }
+            return;
+        }
+        // The sequence number is a change as well.
+        if write.is_snapshot_only() {
+            self.writes.tokens -= 1.0;
+        } else {
+            self.writes.fact_tokens -= 1.0;
+        }
+        self.writes.in_flight = true;
+        self.out.push(Action::Write(ShardWrite {
+            facts: write.facts,
+            changes: write.changes,
+        }));
+    }
+
+    /// Takes changed pages of the roster. What follows from its changes follows once all
+    /// of them are written.
+    fn take_roster_changes(&mut self, room: usize, write: &mut WriteInProgress) {
+        let most = self.policy.value_bytes;
+        while self.writes.roster.has_changes()
+            && write.changes.len() < room
+            && write.bytes + most <= MAX_TXN_BYTES
+        {
+            let Some(change) = self.writes.roster.next_change(most) else {
                 continue;
             };
-            bytes += change_size(&change);
+            write.bytes += change_size(&change);
             write.changes.push(change);
-            if bytes + self.policy.value_bytes > MAX_TXN_BYTES {
-                break;
-            }
         }
         if !self.writes.roster.has_changes() && !write.changes.is_empty() {
             write.facts.append(&mut self.writes.entered);
         }
-        // Chunks go along with facts, or wait until they fill a transaction: one for
-        // each would spend as much on sequence numbers.
+    }
+
+    /// Takes queued facts, and chunks of the snapshot with what room is left. Chunks go
+    /// along with facts, or wait until they fill a transaction: one for each would spend
+    /// as much on sequence numbers.
+    fn take_queued(&mut self, room: usize, facts_allowed: bool, write: &mut WriteInProgress) {
         let full = (self.writes.chunks.len().min(room) + 1) as f64;
         let chunks_allowed = self.writes.tokens >= full.min(self.most_chunks());
         while write.changes.len() < room {
@@ -206,41 +247,27 @@
             } else if self.writes.tokens >= 1.0 && (chunks_allowed || !write.changes.is_empty()) {
                 &mut self.writes.chunks
             } else {
-                break;
+                return;
             };
             let Some((_, change)) = queue.front() else {
-                break;
+                return;
             };
             let size = change_size(change);
-            if bytes + size > MAX_TXN_BYTES && !write.changes.is_empty() {
-                break;
+            if write.bytes + size > MAX_TXN_BYTES && !write.changes.is_empty() {
+                return;
             }
-            bytes += size;
-            if let Some((fact, change)) = queue.pop_front() {
-                if from_facts {
-                    self.writes.fact_tokens -= 1.0;
-                } else {
-                    self.writes.tokens -= 1.0;
-                }
-                write.facts.push(fact);
-                write.changes.push(change);
-            }
-        }
-        if write.changes.is_empty() {
-            if self.writes.cycle && self.writes.chunks.is_empty() {
-                self.end_cycle();
+            let Some((fact, change)) = queue.pop_front() else {
+                return;
+            };
+            if from_facts {
+                self.writes.fact_tokens -= 1.0;
+            } else {
+                self.writes.tokens -= 1.0;
             }
-            return;
-        }
-        // The sequence number is a change as well.
-        let chunk = |fact: &Fact| matches!(fact, Fact::Chunk(..));
-        if write.facts.len() == write.changes.len() && write.facts.iter().all(chunk) {
-            self.writes.tokens -= 1.0;
-        } else {
-            self.writes.fact_tokens -= 1.0;
+            write.bytes += size;
+            write.facts.push(fact);
+            write.changes.push(change);
         }
-        self.writes.in_flight = true;
-        self.out.push(Action::Write(write));
     }
 
     /// Chunks that may be written at once.
