--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -6,6 +6,7 @@
 pub mod drift;
 pub mod entitlement;
 pub mod io;
+pub mod job_watch;
 pub mod lease;
 pub mod loading;
 pub mod node;
--- a/src/coordination/ownership.rs
+++ b/src/coordination/ownership.rs
@@ -7,13 +7,13 @@
 
 use super::advance_delegation::AdvanceGrants;
 use super::lease::{self, ShardLease};
-use super::loading::{StoredShard, parse_job};
+use super::loading::StoredShard;
 use super::node::{Node, STATE_DEADLINE};
 use super::node_state::Ownership;
 use super::peering::extension;
 use super::shard::{Loaded, Shard};
-use super::{drift, io};
-use crate::protocol::state::{Change, Item, News, Txn};
+use super::{drift, io, job_watch};
+use crate::protocol::state::{Change, News, Txn};
 use crate::storage::client::{StateError, TxnOutcome, backoff};
 use crate::storage::keys;
 use crate::storage::records::{OwnerRecord, VERSION};
@@ -331,7 +331,7 @@
             shard.set_types(&types);
         }
     });
-    tokio::spawn(watch_jobs(node.clone(), lease.clone(), revision));
+    tokio::spawn(job_watch::watch_jobs(node.clone(), lease.clone(), revision));
     tokio::spawn(io::watch_cloud(node.clone(), lease.clone()));
     decide(node, &lease).await;
     let mut inner = node.lock();
@@ -401,64 +401,3 @@
     let revision = stored.revision;
     Ok((stored.parse(), revision))
 }
-
-/// Tells the shard of accepted and ended jobs.
-async fn watch_jobs(node: Arc<Node>, lease: Arc<ShardLease>, mut revision: u64) {
-    let mut attempt = 0;
-    while !lease.ended() {
-        match node.state.follow(keys::JOBS, revision, WATCH).await {
-            Ok(page) => {
-                attempt = 0;
-                revision = page.revision.max(revision);
-                if page.events.is_empty() {
-                    continue;
-                }
-                node.with_shard(&lease, "jobs", |shard, now| {
-                    for event in page.events {
-                        match event {
-                            News::Put {
-                                key,
-                                value,
-                                version,
-                            } => {
-                                let item = Item {
-                                    key,
-                                    value,
-                                    version,
-                                    lease: None,
-                                };
-                                if let Some((id, mark, record)) = parse_job(item) {
-                                    node.tell_accepted(shard, &id, mark, record, now);
-                                }
-                            }
-                            News::Delete { key, .. } => {
-                                if let Some(id) = key.strip_prefix(keys::JOBS) {
-                                    shard.job_gone(id, None);
-                                }
-                            }
-                        }
-                    }
-                });
-            }
-            Err(StateError::TooOld) => match node.state.list(keys::JOBS, STATE_DEADLINE).await {
-                Ok((items, at)) => {
-                    revision = at;
-                    let open = |(id, mark, _): &(String, u64, _)| !node.ledger.has_ended(id, *mark);
-                    let jobs = items.into_iter().filter_map(parse_job);
-                    let jobs: Vec<_> = jobs.filter(open).collect();
-                    node.with_shard(&lease, "jobs", |shard, now| {
-                        shard.jobs_reread(jobs, at, now)
-                    });
-                }
-                Err(_) => {
-                    attempt += 1;
-                    tokio::time::sleep(backoff(attempt)).await;
-                }
-            },
-            Err(_) => {
-                attempt += 1;
-                tokio::time::sleep(backoff(attempt)).await;
-            }
-        }
-    }
-}
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -14,9 +14,11 @@
 mod machines;
 mod placement;
 mod plan;
+mod policy;
 mod preemption;
 mod reports;
 mod slowness;
+mod summary;
 mod writes;
 
 pub use cluster::{Loaded, LoadedMachine};
@@ -26,6 +28,7 @@
 pub use jobs::{Job, TaskCounts};
 pub use machine_set::{MachineLoad, Machines};
 pub use machines::{Attempt, Machine, Phase};
+pub use policy::{Policy, TeamPolicy};
 pub use reports::ReportOutcome;
 pub use writes::{Fact, ShardWrite};
 
@@ -33,13 +36,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use crate::coordination::{advance_delegation, drift};
 use crate::protocol::cloud::{MachineType, Rental};
-use crate::protocol::users::JobKind;
 use crate::protocol::workers::{Command, Report};
 use crate::protocol::{JobId, MachineId};
-use crate::settings::Settings;
-use crate::settings::platform::Objective;
 
 /// What the owner wants done outside. Each is answered by an event.
 #[derive(Debug, Clone, PartialEq)]
@@ -104,164 +103,6 @@
     pub expected: usize,
 }
 
-/// A team's amounts; 0 means none.
-#[derive(Debug, Clone, Copy, Default)]
-pub struct TeamPolicy {
-    /// Cores that are guaranteed.
-    pub cores: f64,
-    /// Cores that may be used at once.
-    pub cores_max: f64,
-    /// Accelerators that are guaranteed.
-    pub accelerators: f64,
-    /// Accelerators that may be used at once.
-    pub accelerators_max: f64,
-}
-
-/// Share of the state service's writes that the shard's own facts (roster,
-/// rentals) may use; jobs' facts need the rest.
-const FACT_WRITE_SHARE: f64 = 0.3;
-
-/// For an answer that reaches a worker later than it was given.
-const LEASE_MARGIN: Duration = Duration::from_millis(300);
-
-/// What the shard's decisions depend on besides its state.
-#[derive(Debug, Clone)]
-pub struct Policy {
-    /// This controller's label.
-    pub label: String,
-    /// The teams by name.
-    pub teams: BTreeMap<String, TeamPolicy>,
-    /// Longest good wait for a start, by class.
-    pub wait_within: HashMap<String, Duration>,
-    /// Longest good time until the end, by class.
-    pub finish_within: HashMap<String, Duration>,
-    /// The multiples of their deadlines by which jobs of a class had better be
-    /// done, rising.
-    pub deadline_times: HashMap<String, Vec<f64>>,
-    /// The usual pause between two reports of a worker.
-    pub report: Duration,
-    /// How long a worker's lease lasts.
-    pub worker_lease: Duration,
-    /// How long a gang's task waits for the others.
-    pub gang_wait: Duration,
-    /// How long another controller may go on answering workers on its own.
-    pub alone: Duration,
-    /// Changes that one transaction may have.
-    pub txn_ops: usize,
-    /// Bytes that one value may have.
-    pub value_bytes: usize,
-    /// How often a changed shard is snapshotted.
-    pub snapshot: Duration,
-    /// Age of unsnapshotted changes past which nothing is started.
-    pub staleness: Duration,
-    /// Changes a second for snapshots.
-    pub snapshot_writes_per_s: f64,
-    /// Changes a second for the shard's own facts.
-    pub fact_writes_per_s: f64,
-    /// Silence after which a machine gets no new tasks.
-    pub suspect: Duration,
-    /// Silence after which a machine is given back.
-    pub abandon: Duration,
-    /// Capacity held ready, as a multiple of what runs.
-    pub headroom: f64,
-    /// How long a machine may stay idle before it is given back.
-    pub idle: Duration,
-    /// How long unused room for a guarantee is held after its team's last job.
-    pub guarantee_hold: Duration,
-    /// How long a refused kind of machine is not asked for again.
-    pub refused: Duration,
-}
-
-impl Policy {
-    /// The policy that the settings ask for.
-    pub fn new(settings: &Settings) -> Self {
-        let given = &settings.platform.settings;
-        let state = given.state.planned();
-        let operator = &settings.operator;
-        Self {
-            label: settings.platform.label.clone(),
-            teams: given
-                .teams
-                .iter()
-                .map(|team| {
-                    let policy = TeamPolicy {
-                        cores: team.cpus,
-                        cores_max: team.cpus_max,
-                        accelerators: team.gpus,
-                        accelerators_max: team.gpus_max,
-                    };
-                    (team.name.clone(), policy)
-                })
-                .collect(),
-            wait_within: within(&given.objectives, "wait"),
-            finish_within: within(&given.objectives, "finished"),
-            deadline_times: deadline_times(&given.objectives),
-            report: given.workers.report(),
-            worker_lease: given.workers.lease(),
-            gang_wait: given.workers.gang_wait(),
-            alone: advance_delegation::longest(settings),
-            txn_ops: state.txn_ops,
-            value_bytes: state.value_bytes(),
-            snapshot: operator.snapshot(),
-            staleness: operator.staleness(),
-            snapshot_writes_per_s: state.write_rps * operator.snapshot_write_share,
-            fact_writes_per_s: state.write_rps * FACT_WRITE_SHARE,
-            suspect: given.workers.latest_report() + operator.suspect_late(),
-            abandon: given.workers.latest_report() + operator.abandon_late(),
-            headroom: operator.headroom,
-            idle: operator.idle(),
-            guarantee_hold: operator.guarantee_hold(),
-            refused: operator.refused(),
-        }
-    }
-
-    /// Whether machines are kept for guarantees whatever runs on them.
-    pub fn holds_capacity(&self) -> bool {
-        self.teams.values().any(|team| team.cores > 0.0)
-    }
-
-    /// How long a worker that answers may go without a report of its own. One whose
-    /// owner has just ended takes its time to find the next.
-    pub fn report_overdue(&self) -> Duration {
-        self.suspect.max(self.worker_lease / 2)
-    }
-
-    /// How long after our last answer left a worker's lease has surely ended:
-    /// its own clock may run slow, and ours fast.
-    pub fn lease_surely_over(&self) -> Duration {
-        drift::longest(self.worker_lease) + LEASE_MARGIN
-    }
-}
-
-/// The times of the aims of one kind, by class.
-fn within(objectives: &[Objective], kind: &str) -> HashMap<String, Duration> {
-    objectives
-        .iter()
-        .filter(|aim| aim.kind == kind)
-        .filter_map(|aim| {
-            let within = aim.within_s.filter(|s| (0.0..1e9).contains(s))?;
-            Some((aim.class.clone()?, Duration::from_secs_f64(within)))
-        })
-        .collect()
-}
-
-/// The multiples of deadlines that aims name, by class.
-fn deadline_times(objectives: &[Objective]) -> HashMap<String, Vec<f64>> {
-    let mut times: HashMap<String, Vec<f64>> = HashMap::new();
-    for aim in objectives.iter().filter(|aim| aim.kind == "deadline") {
-        let multiple = aim.times.unwrap_or(1.0);
-        if let Some(class) = &aim.class
-            && (0.1..1e3).contains(&multiple)
-        {
-            times.entry(class.clone()).or_default().push(multiple);
-        }
-    }
-    for multiples in times.values_mut() {
-        multiples.sort_by(f64::total_cmp);
-    }
-    times
-}
-
 /// Pause between two counts of what runs, for display and for comparing
 /// machines.
 const COUNT_EVERY: Duration = Duration::from_secs(1);
@@ -414,81 +255,6 @@
         }
     }
 
-    /// A few numbers for the log.
-    pub fn summary(&self) -> String {
-        let attempts: usize = self.machines.values().map(|m| m.attempts.len()).sum();
-        let waiting: u32 = self.jobs.values().map(Job::waiting).sum();
-        let [ordinary, spot] = [false, true].map(|spot| self.cores_of(spot));
-        format!(
-            "jobs {} waiting {} machines {} attempts {} unresolved {} ordinary {} spot {}",
-            self.jobs.len(),
-            waiting,
-            self.machines.len(),
-            attempts,
-            self.unresolved.len(),
-            ordinary,
-            spot,
-        )
-    }
-
-    /// How the cores of ordinary or spot machines are used.
-    fn cores_of(&self, spot: bool) -> String {
-        let (mut total, mut hosts, mut services, mut batch) = (0.0, 0.0, 0.0, 0.0);
-        for machine in self.machines.values().filter(|m| m.spot == spot) {
-            let cores = self
-                .types
-                .get(&*machine.machine_type)
-                .map_or(0.0, |kind| kind.cores);
-            total += cores;
-            if drain::hosts_services(machine) {
-                hosts += cores;
-            }
-            for (spec, count) in &machine.load.tasks {
-                let cores = spec.cores * f64::from(*count);
-                match spec.kind {
-                    JobKind::Service => services += cores,
-                    JobKind::Batch | JobKind::Gang => batch += cores,
-                }
-            }
-        }
-        format!("{total} cores ({services} services on {hosts}, {batch} batch)")
-    }
-
-    /// Machines and queues, as text for operators.
-    pub fn describe(&self, now: Instant) -> String {
-        let mut text = format!("{}\n{}\n", self.summary(), self.writes.describe(now));
-        let mut queues: BTreeMap<&str, (u32, usize)> = BTreeMap::new();
-        for job in self.jobs.values() {
-            let entry = queues.entry(&job.spec.team).or_default();
-            entry.0 += job.waiting();
-            entry.1 += job.live().len();
-        }
-        for (team, (waiting, live)) in queues {
-            text.push_str(&format!(
-                "team {team}: {waiting} tasks wait, {live} on machines\n"
-            ));
-        }
-        for machine in self.machines.values() {
-            let state = match machine {
-                m if m.deleting => "being returned",
-                m if m.draining => "being emptied",
-                m if m.heard.is_none() => "not heard yet",
-                m if m.open(now, &self.policy) => "open",
-                _ => "closed",
-            };
-            text.push_str(&format!(
-                "{} {} {}{}: {state}, {} attempts, silent {:?}\n",
-                machine.id,
-                machine.machine_type,
-                machine.zone,
-                if machine.spot { " spot" } else { "" },
-                machine.attempts.len(),
-                machine.heard.map(|_| machine.silence(now)),
-            ));
-        }
-        text
-    }
-
     /// Whether work waits that may be placed, or machines are unaccounted for.
     pub fn is_busy(&self) -> bool {
         !self.unresolved.is_empty() || self.jobs.values().any(|job| job.waiting() > 0)
--- /dev/null
+++ b/src/coordination/shard/policy.rs
@@ -0,0 +1,166 @@
+//! What the shard's decisions depend on besides its state: the settings, worked out.
+
+use std::collections::{BTreeMap, HashMap};
+use std::time::Duration;
+
+use crate::coordination::{advance_delegation, drift};
+use crate::settings::Settings;
+use crate::settings::platform::Objective;
+
+/// A team's amounts; 0 means none.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct TeamPolicy {
+    /// Cores that are guaranteed.
+    pub cores: f64,
+    /// Cores that may be used at once.
+    pub cores_max: f64,
+    /// Accelerators that are guaranteed.
+    pub accelerators: f64,
+    /// Accelerators that may be used at once.
+    pub accelerators_max: f64,
+}
+
+/// Share of the state service's writes that the shard's own facts (roster,
+/// rentals) may use; jobs' facts need the rest.
+const FACT_WRITE_SHARE: f64 = 0.3;
+
+/// For an answer that reaches a worker later than it was given.
+const LEASE_MARGIN: Duration = Duration::from_millis(300);
+
+/// What the shard's decisions depend on besides its state.
+#[derive(Debug, Clone)]
+pub struct Policy {
+    /// This controller's label.
+    pub label: String,
+    /// The teams by name.
+    pub teams: BTreeMap<String, TeamPolicy>,
+    /// Longest good wait for a start, by class.
+    pub wait_within: HashMap<String, Duration>,
+    /// Longest good time until the end, by class.
+    pub finish_within: HashMap<String, Duration>,
+    /// The multiples of their deadlines by which jobs of a class had better be
+    /// done, rising.
+    pub deadline_times: HashMap<String, Vec<f64>>,
+    /// The usual pause between two reports of a worker.
+    pub report: Duration,
+    /// How long a worker's lease lasts.
+    pub worker_lease: Duration,
+    /// How long a gang's task waits for the others.
+    pub gang_wait: Duration,
+    /// How long another controller may go on answering workers on its own.
+    pub alone: Duration,
+    /// Changes that one transaction may have.
+    pub txn_ops: usize,
+    /// Bytes that one value may have.
+    pub value_bytes: usize,
+    /// How often a changed shard is snapshotted.
+    pub snapshot: Duration,
+    /// Age of unsnapshotted changes past which nothing is started.
+    pub staleness: Duration,
+    /// Changes a second for snapshots.
+    pub snapshot_writes_per_s: f64,
+    /// Changes a second for the shard's own facts.
+    pub fact_writes_per_s: f64,
+    /// Silence after which a machine gets no new tasks.
+    pub suspect: Duration,
+    /// Silence after which a machine is given back.
+    pub abandon: Duration,
+    /// Capacity held ready, as a multiple of what runs.
+    pub headroom: f64,
+    /// How long a machine may stay idle before it is given back.
+    pub idle: Duration,
+    /// How long unused room for a guarantee is held after its team's last job.
+    pub guarantee_hold: Duration,
+    /// How long a refused kind of machine is not asked for again.
+    pub refused: Duration,
+}
+
+impl Policy {
+    /// The policy that the settings ask for.
+    pub fn new(settings: &Settings) -> Self {
+        let given = &settings.platform.settings;
+        let state = given.state.planned();
+        let operator = &settings.operator;
+        Self {
+            label: settings.platform.label.clone(),
+            teams: given
+                .teams
+                .iter()
+                .map(|team| {
+                    let policy = TeamPolicy {
+                        cores: team.cpus,
+                        cores_max: team.cpus_max,
+                        accelerators: team.gpus,
+                        accelerators_max: team.gpus_max,
+                    };
+                    (team.name.clone(), policy)
+                })
+                .collect(),
+            wait_within: within(&given.objectives, "wait"),
+            finish_within: within(&given.objectives, "finished"),
+            deadline_times: deadline_times(&given.objectives),
+            report: given.workers.report(),
+            worker_lease: given.workers.lease(),
+            gang_wait: given.workers.gang_wait(),
+            alone: advance_delegation::longest(settings),
+            txn_ops: state.txn_ops,
+            value_bytes: state.value_bytes(),
+            snapshot: operator.snapshot(),
+            staleness: operator.staleness(),
+            snapshot_writes_per_s: state.write_rps * operator.snapshot_write_share,
+            fact_writes_per_s: state.write_rps * FACT_WRITE_SHARE,
+            suspect: given.workers.latest_report() + operator.suspect_late(),
+            abandon: given.workers.latest_report() + operator.abandon_late(),
+            headroom: operator.headroom,
+            idle: operator.idle(),
+            guarantee_hold: operator.guarantee_hold(),
+            refused: operator.refused(),
+        }
+    }
+
+    /// Whether machines are kept for guarantees whatever runs on them.
+    pub fn holds_capacity(&self) -> bool {
+        self.teams.values().any(|team| team.cores > 0.0)
+    }
+
+    /// How long a worker that answers may go without a report of its own. One whose
+    /// owner has just ended takes its time to find the next.
+    pub fn report_overdue(&self) -> Duration {
+        self.suspect.max(self.worker_lease / 2)
+    }
+
+    /// How long after our last answer left a worker's lease has surely ended:
+    /// its own clock may run slow, and ours fast.
+    pub fn lease_surely_over(&self) -> Duration {
+        drift::longest(self.worker_lease) + LEASE_MARGIN
+    }
+}
+
+/// The times of the aims of one kind, by class.
+fn within(objectives: &[Objective], kind: &str) -> HashMap<String, Duration> {
+    objectives
+        .iter()
+        .filter(|aim| aim.kind == kind)
+        .filter_map(|aim| {
+            let within = aim.within_s.filter(|s| (0.0..1e9).contains(s))?;
+            Some((aim.class.clone()?, Duration::from_secs_f64(within)))
+        })
+        .collect()
+}
+
+/// The multiples of deadlines that aims name, by class.
+fn deadline_times(objectives: &[Objective]) -> HashMap<String, Vec<f64>> {
+    let mut times: HashMap<String, Vec<f64>> = HashMap::new();
+    for aim in objectives.iter().filter(|aim| aim.kind == "deadline") {
+        let multiple = aim.times.unwrap_or(1.0);
+        if let Some(class) = &aim.class
+            && (0.1..1e3).contains(&multiple)
+        {
+            times.entry(class.clone()).or_default().push(multiple);
+        }
+    }
+    for multiples in times.values_mut() {
+        multiples.sort_by(f64::total_cmp);
+    }
+    times
+}
--- /dev/null
+++ b/src/coordination/shard/summary.rs
@@ -0,0 +1,85 @@
+//! The shard in a few numbers for the log, and as text for operators.
+
+use std::collections::BTreeMap;
+use std::time::Instant;
+
+use super::drain::hosts_services;
+use super::{Job, Shard};
+use crate::protocol::users::JobKind;
+
+impl Shard {
+    /// A few numbers for the log.
+    pub fn summary(&self) -> String {
+        let attempts: usize = self.machines.values().map(|m| m.attempts.len()).sum();
+        let waiting: u32 = self.jobs.values().map(Job::waiting).sum();
+        let [ordinary, spot] = [false, true].map(|spot| self.cores_of(spot));
+        format!(
+            "jobs {} waiting {} machines {} attempts {} unresolved {} ordinary {} spot {}",
+            self.jobs.len(),
+            waiting,
+            self.machines.len(),
+            attempts,
+            self.unresolved.len(),
+            ordinary,
+            spot,
+        )
+    }
+
+    /// How the cores of ordinary or spot machines are used.
+    fn cores_of(&self, spot: bool) -> String {
+        let (mut total, mut hosts, mut services, mut batch) = (0.0, 0.0, 0.0, 0.0);
+        for machine in self.machines.values().filter(|m| m.spot == spot) {
+            let cores = self
+                .types
+                .get(&*machine.machine_type)
+                .map_or(0.0, |kind| kind.cores);
+            total += cores;
+            if hosts_services(machine) {
+                hosts += cores;
+            }
+            for (spec, count) in &machine.load.tasks {
+                let cores = spec.cores * f64::from(*count);
+                match spec.kind {
+                    JobKind::Service => services += cores,
+                    JobKind::Batch | JobKind::Gang => batch += cores,
+                }
+            }
+        }
+        format!("{total} cores ({services} services on {hosts}, {batch} batch)")
+    }
+
+    /// Machines and queues, as text for operators.
+    pub fn describe(&self, now: Instant) -> String {
+        let mut text = format!("{}\n{}\n", self.summary(), self.writes.describe(now));
+        let mut queues: BTreeMap<&str, (u32, usize)> = BTreeMap::new();
+        for job in self.jobs.values() {
+            let entry = queues.entry(&job.spec.team).or_default();
+            entry.0 += job.waiting();
+            entry.1 += job.live().len();
+        }
+        for (team, (waiting, live)) in queues {
+            text.push_str(&format!(
+                "team {team}: {waiting} tasks wait, {live} on machines\n"
+            ));
+        }
+        for machine in self.machines.values() {
+            let state = match machine {
+                m if m.deleting => "being returned",
+                m if m.draining => "being emptied",
+                m if m.heard.is_none() => "not heard yet",
+                m if m.open(now, &self.policy) => "open",
+                _ => "closed",
+            };
+            text.push_str(&format!(
+                "{} {} {}{}: {state}, {} attempts, silent {:?}\n",
+                machine.id,
+                machine.machine_type,
+                machine.zone,
+                if machine.spot { " spot" } else { "" },
+                machine.attempts.len(),
+                machine.heard.map(|_| machine.silence(now)),
+            ));
+        }
+        text
+    }
+}
