--- a/src/coordination/shard/fleet.rs
+++ b/src/coordination/shard/fleet.rs
@@ -4,7 +4,6 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::plan::{Capacity, startup};
 use super::{Action, Machine, Shard};
 use crate::protocol::MachineId;
 use crate::protocol::cloud::{Listed, ListedState, Rental};
@@ -13,9 +12,6 @@
 /// Most machines in one rental request.
 pub(super) const MOST_PER_RENTAL: u32 = 50;
 
-/// Most machines in one deletion request.
-const MOST_PER_DELETION: usize = 100;
-
 /// Pause between two plans.
 pub(super) const PLAN_EVERY: Duration = Duration::from_millis(500);
 
@@ -25,12 +21,6 @@
 /// A machine is charged for this long at least.
 pub(super) const LEAST_CHARGE: Duration = Duration::from_secs(60);
 
-/// Probes that must go unanswered before a silent machine is given back.
-const PROBES_TO_ABANDON: u32 = 2;
-
-/// One in so many machines counts as few.
-const FEW_LEFT: usize = 20;
-
 /// Names of machines that are gone are kept at least this long.
 const REMEMBER_GONE: Duration = Duration::from_secs(900);
 
@@ -38,7 +28,7 @@
 const LONGEST_REFUSAL: u32 = 3;
 
 /// Pause before a rental or a deletion is tried again.
-const RETRY: Duration = Duration::from_secs(1);
+pub(super) const RETRY: Duration = Duration::from_secs(1);
 
 /// What became of a rental request.
 #[derive(Debug, Clone, PartialEq)]
@@ -135,6 +125,11 @@
 }
 
 impl Fleet {
+    /// There is one more to be had of a kind: it may be asked for again.
+    pub(super) fn note_freed(&mut self, kind: &MachineKind) {
+        self.refused.remove(kind);
+    }
+
     /// Whether a kind is better not asked for now.
     pub(super) fn refuses(&self, kind: &MachineKind, now: Instant) -> bool {
         self.refused
@@ -227,133 +222,6 @@
         self.delete(&again);
     }
 
-    /// Gives back machines that are silent, so that their tasks can move.
-    fn abandon_lost(&mut self, now: Instant) {
-        let since = |m: &Machine| {
-            now.saturating_duration_since(m.heard.unwrap_or(self.acquired).max(self.acquired))
-        };
-        let expected: Vec<&Machine> = self
-            .machines
-            .values()
-            .filter(|m| m.should_report())
-            .collect();
-        let silent = expected
-            .iter()
-            .filter(|m| since(m) >= self.policy.suspect)
-            .count();
-        // When much is silent at once, the trouble is more likely ours.
-        let many = silent > 1 && silent * 3 > expected.len();
-        // The same for those that answer, but whose own reports don't come.
-        let mute = |m: &Machine| {
-            m.heard.is_some() && m.unreported_for(now) >= self.policy.report_overdue()
-        };
-        let much_mute = expected.iter().filter(|m| mute(m)).count();
-        let many_mute = much_mute > 1 && much_mute * 3 > expected.len();
-        let soon = self.policy.report.mul_f64(1.4);
-        // The last few that nobody can account for hold up all that waits; when
-        // most are accounted for, the trouble is not ours.
-        let few = self.unresolved.len() * FEW_LEFT <= expected.len().max(FEW_LEFT * 2);
-        let lost: Vec<(MachineId, &str)> = expected
-            .iter()
-            .filter_map(|m| {
-                let silence = since(m);
-                let taken = m.vanished || m.notice.is_some_and(|at| at <= now);
-                if taken && silence >= soon {
-                    Some((m.id.clone(), "the cloud has taken it"))
-                } else if few
-                    && self.unresolved.contains(&m.id)
-                    && m.unanswered >= PROBES_TO_ABANDON
-                    && !self.left_to_delegates(m, now)
-                {
-                    Some((m.id.clone(), "it alone is not accounted for"))
-                } else if silence >= self.policy.abandon
-                    && m.unanswered >= PROBES_TO_ABANDON
-                    && !many
-                    && !self.left_to_delegates(m, now)
-                {
-                    Some((m.id.clone(), "its worker is silent"))
-                } else if now > m.lease_over
-                    && !self.others_may_answer()
-                    && silence >= self.patience(m, many)
-                {
-                    Some((m.id.clone(), "its worker's lease is over"))
-                } else if mute(m)
-                    && now > m.lease_over
-                    && !self.others_may_answer()
-                    && m.unreported_for(now) >= self.patience(m, many_mute)
-                {
-                    Some((m.id.clone(), "its worker's reports don't come"))
-                } else {
-                    None
-                }
-            })
-            .collect();
-        for (id, why) in lost {
-            self.begin_deletion(&id, now, why);
-        }
-    }
-
-    /// How long a machine may be silent at the most before it is given back.
-    fn patience(&self, machine: &Machine, many: bool) -> Duration {
-        let lease = self.policy.worker_lease;
-        if many {
-            lease * 4
-        } else if self.answered_in_cut(machine) {
-            lease + self.policy.alone
-        } else {
-            lease
-        }
-    }
-
-    /// Gives a machine back; its tasks count until the cloud says 200.
-    pub(super) fn begin_deletion(&mut self, id: &MachineId, now: Instant, why: &str) {
-        let Some(machine) = self.machines.get_mut(id) else {
-            return;
-        };
-        if machine.deleting {
-            return;
-        }
-        machine.deleting = true;
-        tracing::info!(
-            machine = %id,
-            age_s = now.saturating_duration_since(machine.rented).as_secs(),
-            why,
-            "machine given back"
-        );
-        self.record_return(id);
-    }
-
-    /// Asks the cloud to delete machines whose return is on record.
-    pub(super) fn delete(&mut self, ids: &[MachineId]) {
-        for batch in ids.chunks(MOST_PER_DELETION) {
-            self.out.push(Action::Delete(batch.to_vec()));
-        }
-    }
-
-    /// The cloud answered (or didn't) a deletion.
-    pub fn deletion_answered(&mut self, ids: &[MachineId], done: bool, now: Instant) {
-        for id in ids {
-            if done {
-                // The machine and everything on it are gone.
-                self.empty_machine(id, now);
-                if let Some(machine) = self.machines.remove(id) {
-                    self.record_gone(id);
-                    // There is one more to be had of its kind.
-                    let kind = MachineKind {
-                        machine_type: machine.machine_type.to_string(),
-                        zone: machine.zone.to_string(),
-                        spot: machine.spot,
-                    };
-                    self.fleet.refused.remove(&kind);
-                }
-                self.gone.insert(id.clone(), now);
-            } else if let Some(machine) = self.machines.get_mut(id) {
-                machine.deletion_retry = Some(now + RETRY);
-            }
-        }
-        self.needs_pass = true;
-    }
-
     /// The cloud answered (or didn't) a rental.
     pub fn rental_answered(&mut self, request: &str, outcome: RentalOutcome, now: Instant) {
         let Some(booking) = self.fleet.bookings.get_mut(request) else {
@@ -514,48 +382,6 @@
     pub(super) fn barren(&self, machine: &Machine) -> bool {
         !machine.spot && !self.policy.holds_capacity() && !super::drain::hosts_services(machine)
     }
-
-    /// Gives back what is empty and in no plan, and what never came up.
-    pub(super) fn give_back(&mut self, capacities: &[Capacity], now: Instant) {
-        let spare: std::collections::HashSet<&MachineId> = capacities
-            .iter()
-            .filter(|capacity| !capacity.used)
-            .filter_map(|capacity| capacity.machine.as_ref())
-            .collect();
-        let mut back: Vec<(MachineId, &str)> = Vec::new();
-        for machine in self.machines.values().filter(|m| !m.deleting) {
-            let age = now.saturating_duration_since(machine.rented);
-            if machine.heard.is_none() && !machine.admitted {
-                let patience = match self.types.get(&*machine.machine_type) {
-                    Some(kind) => startup(kind).mul_f64(4.0) + Duration::from_secs(30),
-                    None => Duration::from_secs(300),
-                };
-                if age > patience {
-                    back.push((machine.id.clone(), "it never came up"));
-                }
-                continue;
-            }
-            let unrecorded = |m: &Machine| m.attempts.values().any(|a| !a.clearable);
-            if !machine.load.idle() || unrecorded(machine) {
-                continue;
-            }
-            let idle = machine
-                .idle_since
-                .is_some_and(|since| now.saturating_duration_since(since) >= self.policy.idle);
-            if machine.condemned || machine.draining || machine.notice.is_some() {
-                back.push((machine.id.clone(), "it is empty and gets no more tasks"));
-            } else if idle
-                && self.unresolved.is_empty()
-                && spare.contains(&machine.id)
-                && age + Duration::from_secs(5) > LEAST_CHARGE
-            {
-                back.push((machine.id.clone(), "it is not needed"));
-            }
-        }
-        for (id, why) in back {
-            self.begin_deletion(&id, now, why);
-        }
-    }
 }
 
 #[cfg(test)]
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -17,6 +17,7 @@
 mod policy;
 mod preemption;
 mod reports;
+mod returns;
 mod slowness;
 mod summary;
 mod writes;
--- /dev/null
+++ b/src/coordination/shard/returns.rs
@@ -0,0 +1,209 @@
+//! Giving machines back: those that are silent, that nobody needs, or that never came up.
+
+use std::collections::HashSet;
+use std::time::{Duration, Instant};
+
+use super::fleet::{LEAST_CHARGE, MachineKind, RETRY};
+use super::plan::{Capacity, startup};
+use super::{Action, Machine, Shard};
+use crate::protocol::MachineId;
+
+/// Most machines in one deletion request.
+const MOST_PER_DELETION: usize = 100;
+
+/// Probes that must go unanswered before a silent machine is given back.
+const PROBES_TO_ABANDON: u32 = 2;
+
+/// One in so many machines counts as few.
+const FEW_LEFT: usize = 20;
+
+/// Times of a usual report after which a machine that was taken is given up.
+const SOON: f64 = 1.4;
+
+/// How much of the shard is silent.
+#[derive(Debug, Clone, Copy)]
+struct SilenceOverview {
+    many_silent: bool,
+    /// The same for machines that answer, but whose own reports don't come.
+    many_unreported: bool,
+    few_unaccounted: bool,
+}
+
+impl Shard {
+    /// Gives back machines that are silent, so that their tasks can move.
+    pub(super) fn abandon_lost(&mut self, now: Instant) {
+        let overview = self.silence_overview(now);
+        let expected = self.machines.values().filter(|m| m.should_report());
+        let lost: Vec<(MachineId, &str)> = expected
+            .filter_map(|m| Some((m.id.clone(), self.why_lost(m, overview, now)?)))
+            .collect();
+        for (id, why) in lost {
+            self.begin_deletion(&id, now, why);
+        }
+    }
+
+    /// How long a machine has been silent under this owner.
+    fn silence_under_us(&self, machine: &Machine, now: Instant) -> Duration {
+        let heard = machine.heard.unwrap_or(self.acquired);
+        now.saturating_duration_since(heard.max(self.acquired))
+    }
+
+    /// Whether a machine answers, but its own reports don't come.
+    fn reports_missing(&self, machine: &Machine, now: Instant) -> bool {
+        machine.heard.is_some() && machine.unreported_for(now) >= self.policy.report_overdue()
+    }
+
+    /// How much is silent at once: when it is much, the trouble is more likely ours.
+    fn silence_overview(&self, now: Instant) -> SilenceOverview {
+        let expected = self.machines.values().filter(|m| m.should_report());
+        let total = expected.clone().count();
+        let much = |count: usize| count > 1 && count * 3 > total;
+        let silent = expected.clone();
+        let silent = silent.filter(|m| self.silence_under_us(m, now) >= self.policy.suspect);
+        let unreported = expected.filter(|m| self.reports_missing(m, now));
+        SilenceOverview {
+            many_silent: much(silent.count()),
+            many_unreported: much(unreported.count()),
+            // The last few that nobody can account for hold up all that waits; when
+            // most are accounted for, the trouble is not ours.
+            few_unaccounted: self.unresolved.len() * FEW_LEFT <= total.max(FEW_LEFT * 2),
+        }
+    }
+
+    /// Why a machine is to be given back now; None if it isn't.
+    fn why_lost(
+        &self,
+        machine: &Machine,
+        overview: SilenceOverview,
+        now: Instant,
+    ) -> Option<&'static str> {
+        let silence = self.silence_under_us(machine, now);
+        let unanswered = machine.unanswered >= PROBES_TO_ABANDON;
+        let taken = machine.vanished || machine.notice.is_some_and(|at| at <= now);
+        if taken && silence >= self.policy.report.mul_f64(SOON) {
+            return Some("the cloud has taken it");
+        }
+        if unanswered && !self.left_to_delegates(machine, now) {
+            if overview.few_unaccounted && self.unresolved.contains(&machine.id) {
+                return Some("it alone is not accounted for");
+            }
+            if silence >= self.policy.abandon && !overview.many_silent {
+                return Some("its worker is silent");
+            }
+        }
+        if now <= machine.lease_over || self.others_may_answer() {
+            return None;
+        }
+        if silence >= self.patience(machine, overview.many_silent) {
+            return Some("its worker's lease is over");
+        }
+        let unreported = machine.unreported_for(now);
+        let missing = self.reports_missing(machine, now);
+        if missing && unreported >= self.patience(machine, overview.many_unreported) {
+            return Some("its worker's reports don't come");
+        }
+        None
+    }
+
+    /// How long a machine may be silent at the most before it is given back.
+    fn patience(&self, machine: &Machine, many: bool) -> Duration {
+        let lease = self.policy.worker_lease;
+        if many {
+            lease * 4
+        } else if self.answered_in_cut(machine) {
+            lease + self.policy.alone
+        } else {
+            lease
+        }
+    }
+
+    /// Gives a machine back; its tasks count until the cloud says 200.
+    pub(super) fn begin_deletion(&mut self, id: &MachineId, now: Instant, why: &str) {
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
+        if machine.deleting {
+            return;
+        }
+        machine.deleting = true;
+        tracing::info!(
+            machine = %id,
+            age_s = now.saturating_duration_since(machine.rented).as_secs(),
+            why,
+            "machine given back"
+        );
+        self.record_return(id);
+    }
+
+    /// Asks the cloud to delete machines whose return is on record.
+    pub(super) fn delete(&mut self, ids: &[MachineId]) {
+        for batch in ids.chunks(MOST_PER_DELETION) {
+            self.out.push(Action::Delete(batch.to_vec()));
+        }
+    }
+
+    /// The cloud answered (or didn't) a deletion.
+    pub fn deletion_answered(&mut self, ids: &[MachineId], done: bool, now: Instant) {
+        for id in ids {
+            if done {
+                // The machine and everything on it are gone.
+                self.empty_machine(id, now);
+                if let Some(machine) = self.machines.remove(id) {
+                    self.record_gone(id);
+                    let kind = MachineKind {
+                        machine_type: machine.machine_type.to_string(),
+                        zone: machine.zone.to_string(),
+                        spot: machine.spot,
+                    };
+                    self.fleet.note_freed(&kind);
+                }
+                self.gone.insert(id.clone(), now);
+            } else if let Some(machine) = self.machines.get_mut(id) {
+                machine.deletion_retry = Some(now + RETRY);
+            }
+        }
+        self.needs_pass = true;
+    }
+
+    /// Gives back what is empty and in no plan, and what never came up.
+    pub(super) fn give_back(&mut self, capacities: &[Capacity], now: Instant) {
+        let spare: HashSet<&MachineId> = capacities
+            .iter()
+            .filter(|capacity| !capacity.used)
+            .filter_map(|capacity| capacity.machine.as_ref())
+            .collect();
+        let mut back: Vec<(MachineId, &str)> = Vec::new();
+        for machine in self.machines.values().filter(|m| !m.deleting) {
+            let age = now.saturating_duration_since(machine.rented);
+            if machine.heard.is_none() && !machine.admitted {
+                let patience = match self.types.get(&*machine.machine_type) {
+                    Some(kind) => startup(kind).mul_f64(4.0) + Duration::from_secs(30),
+                    None => Duration::from_secs(300),
+                };
+                if age > patience {
+                    back.push((machine.id.clone(), "it never came up"));
+                }
+                continue;
+            }
+            let unrecorded = |m: &Machine| m.attempts.values().any(|a| !a.clearable);
+            if !machine.load.idle() || unrecorded(machine) {
+                continue;
+            }
+            let idle = machine
+                .idle_since
+                .is_some_and(|since| now.saturating_duration_since(since) >= self.policy.idle);
+            if machine.condemned || machine.draining || machine.notice.is_some() {
+                back.push((machine.id.clone(), "it is empty and gets no more tasks"));
+            } else if idle
+                && self.unresolved.is_empty()
+                && spare.contains(&machine.id)
+                && age + Duration::from_secs(5) > LEAST_CHARGE
+            {
+                back.push((machine.id.clone(), "it is not needed"));
+            }
+        }
+        for (id, why) in back {
+            self.begin_deletion(&id, now, why);
+        }
+    }
+}
