--- a/tests/trial/main.rs
+++ b/tests/trial/main.rs
@@ -152,12 +152,20 @@
         "DurationS": 1.5, "BreathS": 0.0, "FermataS": 0.0 })
 }
 
-fn accepted(answer: &Answer, _: &Value) -> bool {
-    answer.status == 201 || answer.status == 200
+/// Submits a job to one controller until it is accepted, or was before.
+async fn submit(client: &HttpClient, to: &Controller, job: &Value) -> Value {
+    insist(client, to, Method::POST, "/v1/jobs", job, accepted).await
+}
+
+/// Asks one controller for a job until it is in this stage.
+async fn wait_for(client: &HttpClient, to: &Controller, id: &str, stage: &str) {
+    let path = format!("/v1/jobs/{id}");
+    let in_stage = |answer: &Answer, value: &Value| answer.status == 200 && value["Stage"] == stage;
+    insist(client, to, Method::GET, &path, &Value::Null, in_stage).await;
 }
 
-fn in_stage(stage: &str) -> impl Fn(&Answer, &Value) -> bool {
-    move |answer, value| answer.status == 200 && value["Stage"] == stage
+fn accepted(answer: &Answer, _: &Value) -> bool {
+    answer.status == 201 || answer.status == 200
 }
 
 /// The one that answers a report's address question: the shard's owner.
@@ -194,8 +202,7 @@
     let mut controllers = start_all("m").await;
     let client = HttpClient::new();
     for (n, to) in controllers.iter().enumerate() {
-        let submit = job(&format!("run-00000{n}"), "batch", 8);
-        insist(&client, to, Method::POST, "/v1/jobs", &submit, accepted).await;
+        submit(&client, to, &job(&format!("run-00000{n}"), "batch", 8)).await;
     }
     for _ in 0..3 {
         let owns = owner(&client, &controllers).await;
@@ -207,10 +214,8 @@
         restart(&mut controllers, at);
     }
     for n in 0..3 {
-        let path = format!("/v1/jobs/run-00000{n}");
         for to in &controllers {
-            let done = in_stage("done");
-            insist(&client, to, Method::GET, &path, &Value::Null, done).await;
+            wait_for(&client, to, &format!("run-00000{n}"), "done").await;
         }
     }
 }
@@ -221,57 +226,19 @@
     let client = HttpClient::new();
     for controller in &controllers {
         let ready = |answer: &Answer, _: &Value| answer.status == 200;
-        insist(
-            &client,
-            controller,
-            Method::GET,
-            "/ready",
-            &Value::Null,
-            ready,
-        )
-        .await;
+        let null = &Value::Null;
+        insist(&client, controller, Method::GET, "/ready", null, ready).await;
     }
-    let submit = job("run-000001", "batch", 6);
-    insist(
-        &client,
-        &controllers[0],
-        Method::POST,
-        "/v1/jobs",
-        &submit,
-        accepted,
-    )
-    .await;
-    let path = "/v1/jobs/run-000001";
-    insist(
-        &client,
-        &controllers[1],
-        Method::GET,
-        path,
-        &Value::Null,
-        in_stage("done"),
-    )
-    .await;
+    submit(&client, &controllers[0], &job("run-000001", "batch", 6)).await;
+    wait_for(&client, &controllers[1], "run-000001", "done").await;
 
     // A gang whose tasks don't fit on one machine: it runs whole, or never ends.
     support::worker::upload_gang("run-000007", 6);
-    let submit = job("run-000007", "group", 6);
-    let to = &controllers[1];
-    insist(&client, to, Method::POST, "/v1/jobs", &submit, accepted).await;
-    let path = "/v1/jobs/run-000007";
-    let done = in_stage("done");
-    insist(&client, to, Method::GET, path, &Value::Null, done).await;
+    submit(&client, &controllers[1], &job("run-000007", "group", 6)).await;
+    wait_for(&client, &controllers[1], "run-000007", "done").await;
 
     // A second job, and then the owner dies in the middle of it.
-    let submit = job("run-000002", "batch", 12);
-    insist(
-        &client,
-        &controllers[2],
-        Method::POST,
-        "/v1/jobs",
-        &submit,
-        accepted,
-    )
-    .await;
+    submit(&client, &controllers[2], &job("run-000002", "batch", 12)).await;
     let dead = owner(&client, &controllers).await;
     let page = client
         .call(
@@ -289,62 +256,20 @@
     }
     drop(controllers.remove(dead));
     for controller in &controllers {
-        let path = "/v1/jobs/run-000002";
-        insist(
-            &client,
-            controller,
-            Method::GET,
-            path,
-            &Value::Null,
-            in_stage("done"),
-        )
-        .await;
+        wait_for(&client, controller, "run-000002", "done").await;
         // What was told before the kill still holds.
-        let path = "/v1/jobs/run-000001";
-        insist(
-            &client,
-            controller,
-            Method::GET,
-            path,
-            &Value::Null,
-            in_stage("done"),
-        )
-        .await;
+        wait_for(&client, controller, "run-000001", "done").await;
     }
 
     // Cancelled stays cancelled, and strangers are unknown.
-    let submit = job("run-000003", "batch", 2);
-    insist(
-        &client,
-        &controllers[0],
-        Method::POST,
-        "/v1/jobs",
-        &submit,
-        accepted,
-    )
-    .await;
+    submit(&client, &controllers[0], &job("run-000003", "batch", 2)).await;
     let path = "/v1/jobs/run-000003/cancel";
     let over = |answer: &Answer, value: &Value| {
         answer.status == 200 && (value["Stage"] == "cancelled" || value["Stage"] == "done")
     };
-    let told = insist(
-        &client,
-        &controllers[0],
-        Method::POST,
-        path,
-        &Value::Null,
-        over,
-    )
-    .await;
-    let again = insist(
-        &client,
-        &controllers[1],
-        Method::POST,
-        path,
-        &Value::Null,
-        over,
-    )
-    .await;
+    let null = &Value::Null;
+    let told = insist(&client, &controllers[0], Method::POST, path, null, over).await;
+    let again = insist(&client, &controllers[1], Method::POST, path, null, over).await;
     assert_eq!(told["Stage"], again["Stage"]);
     let unknown = ask(
         &client,
--- a/tests/trial/upgrade.rs
+++ b/tests/trial/upgrade.rs
@@ -3,16 +3,14 @@
 
 use std::time::Duration;
 
-use hyper::Method;
 use serde::Deserialize;
-use serde_json::Value;
 use valegap::protocol::state::{Item, Txn};
 use valegap::storage::keys;
 use valegap::transport::client::HttpClient;
 
 use crate::support::state::Service;
 use crate::support::worker::upload_gang;
-use crate::{accepted, in_stage, insist, job, owner, restart, start_on};
+use crate::{job, owner, restart, start_on, submit, wait_for};
 
 /// Of the workers: theirs are gone with their machines, and their leases have to end.
 const WORKER_LEASE_S: f64 = 3.0;
@@ -70,17 +68,12 @@
     restart(&mut controllers, (owns + 1) % 3);
     for to in &controllers {
         for id in unfinished {
-            let path = format!("/v1/jobs/{id}");
-            let done = in_stage("done");
-            insist(&client, to, Method::GET, &path, &Value::Null, done).await;
+            wait_for(&client, to, id, "done").await;
         }
         // What the older version told its users is told them still.
         for Over { id, form, stage } in over {
-            let path = format!("/v1/jobs/{id}");
-            let told = in_stage(stage);
-            insist(&client, to, Method::GET, &path, &Value::Null, told).await;
-            let again = job(id, form, 3);
-            let answer = insist(&client, to, Method::POST, "/v1/jobs", &again, accepted).await;
+            wait_for(&client, to, id, stage).await;
+            let answer = submit(&client, to, &job(id, form, 3)).await;
             assert_eq!(answer["Stage"], *stage);
         }
     }
