--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -19,6 +19,7 @@
 mod reports;
 mod returns;
 mod slowness;
+mod snapshots;
 mod summary;
 mod writes;
 
--- a/src/coordination/shard/writes.rs
+++ b/src/coordination/shard/writes.rs
@@ -7,15 +7,13 @@
 
 use serde_json::Value;
 
-use super::{Action, Phase, Shard};
+use super::{Action, Shard};
 use crate::protocol::cloud::Rental;
 use crate::protocol::state::Change;
-use crate::protocol::workers::Ending;
 use crate::protocol::{MachineId, TaskId};
 use crate::storage::keys;
 use crate::storage::records::{BookingRecord, RosterRecord, VERSION};
 use crate::storage::roster::Roster;
-use crate::storage::snapshot;
 
 /// What a change is for.
 #[derive(Debug, Clone, PartialEq)]
@@ -62,7 +60,7 @@
 }
 
 /// A finish that the worker may forget once a snapshot holds it.
-type Finish = (MachineId, (TaskId, u64));
+pub(super) type Finish = (MachineId, (TaskId, u64));
 
 /// The queue of writes.
 #[derive(Debug, Default)]
@@ -71,18 +69,18 @@
     pub(super) roster: Roster,
     /// What follows once the roster's changes are written.
     entered: Vec<Fact>,
-    chunks: VecDeque<(Fact, Change)>,
+    pub(super) chunks: VecDeque<(Fact, Change)>,
     in_flight: bool,
     /// What the state service holds of the snapshot.
     pub(super) written: BTreeMap<String, Value>,
     /// Since when there are changes that no snapshot holds.
-    dirty_since: Option<Instant>,
+    pub(super) dirty_since: Option<Instant>,
     /// The same for changes that the snapshot under way does not cover.
-    dirty_next: Option<Instant>,
+    pub(super) dirty_next: Option<Instant>,
     /// The finishes that the snapshot being written covers.
-    covered: Vec<Finish>,
-    cycle: bool,
-    last_cycle: Option<Instant>,
+    pub(super) covered: Vec<Finish>,
+    pub(super) cycle: bool,
+    pub(super) last_cycle: Option<Instant>,
     /// Chunk writes allowed now.
     tokens: f64,
     /// Changes for facts allowed now; below 0 they wait and gather.
@@ -291,85 +289,6 @@
         self.writes.refilled = Some(now);
     }
 
-    /// Takes a snapshot if one is due, and queues the chunks that changed.
-    fn begin_cycle(&mut self, now: Instant) {
-        let due = match self.writes.last_cycle {
-            Some(last) => now.saturating_duration_since(last) >= self.policy.snapshot,
-            None => true,
-        };
-        if !due {
-            return;
-        }
-        self.writes.last_cycle = Some(now);
-        let rows: Vec<_> = self
-            .jobs
-            .values()
-            .filter(|job| job.over.is_none())
-            .map(|job| {
-                let placed = job
-                    .live()
-                    .iter()
-                    .map(|(n, machine)| (*n, machine.to_string()))
-                    .collect::<BTreeMap<_, _>>()
-                    .into_iter()
-                    .collect::<Vec<_>>();
-                (&*job.id, job.done(), placed)
-            })
-            .collect();
-        let chunks = snapshot::encode(rows.into_iter(), self.policy.value_bytes);
-        // What a part no longer holds is written elsewhere first: in a later part
-        // where there are more of them than before, since jobs came or the limits
-        // were lowered, else in an earlier one.
-        let mut parts: Vec<_> = chunks.iter().collect();
-        if chunks.len() > self.writes.written.len() {
-            parts.reverse();
-        }
-        for (key, value) in parts {
-            if self.writes.written.get(key) != Some(value) {
-                self.writes.chunks.push_back((
-                    Fact::Chunk(key.clone(), Some(value.clone())),
-                    Change::put(key.clone(), value.clone()),
-                ));
-            }
-        }
-        for key in self.writes.written.keys() {
-            if !chunks.contains_key(key) {
-                self.writes
-                    .chunks
-                    .push_back((Fact::Chunk(key.clone(), None), Change::delete(key.clone())));
-            }
-        }
-        self.writes.covered = self.unrecorded_finishes();
-        self.writes.cycle = true;
-    }
-
-    fn unrecorded_finishes(&self) -> Vec<Finish> {
-        let mut finishes = Vec::new();
-        for machine in self.machines.values() {
-            for (key, attempt) in &machine.attempts {
-                if attempt.phase == Phase::Ended(Ending::Done) && !attempt.clearable {
-                    finishes.push((machine.id.clone(), key.clone()));
-                }
-            }
-        }
-        finishes
-    }
-
-    /// The whole snapshot is written: workers may forget what it holds.
-    fn end_cycle(&mut self) {
-        self.writes.cycle = false;
-        self.writes.dirty_since = self.writes.dirty_next.take();
-        for (machine, key) in std::mem::take(&mut self.writes.covered) {
-            if let Some(attempt) = self
-                .machines
-                .get_mut(&machine)
-                .and_then(|m| m.attempts.get_mut(&key))
-            {
-                attempt.clearable = true;
-            }
-        }
-    }
-
     /// The state service calls the transaction under way too large: its limits are
     /// lower than was said. It is never sent as it was: fewer changes a transaction
     /// are planned from now on, or smaller values.
