--- a/src/coordination/shard/tests/gang_troubles.rs
+++ b/src/coordination/shard/tests/gang_troubles.rs
@@ -320,10 +320,7 @@
 /// The types of machines asked for since the last call; all are granted.
 fn rentals(script: &mut Script) -> Vec<String> {
     let mut types = Vec::new();
-    for action in std::mem::take(&mut script.actions) {
-        let Action::Rent(rental) = action else {
-            continue;
-        };
+    for rental in script.rentals() {
         let name = format!("vm-{}", rental.request);
         let granted = RentalOutcome::Rented(vec![name]);
         script
--- a/src/coordination/shard/tests/limits.rs
+++ b/src/coordination/shard/tests/limits.rs
@@ -24,6 +24,16 @@
 }
 
 impl Store {
+    /// An empty one whose limits are the lowered ones.
+    fn lowered() -> Self {
+        Self {
+            value_bytes: AFTER,
+            changes: 4,
+            keys: BTreeMap::new(),
+            refused: 0,
+        }
+    }
+
     fn take(&mut self, write: &ShardWrite) -> bool {
         let too_large = |change: &Change| match change {
             Change::Put { value, .. } => value.to_string().len() > self.value_bytes,
@@ -118,12 +128,7 @@
 #[test]
 fn what_was_written_under_larger_limits_is_written_again_within_the_lower() {
     let mut script = many(AFTER, 4);
-    let mut store = Store {
-        value_bytes: AFTER,
-        changes: 4,
-        keys: BTreeMap::new(),
-        refused: 0,
-    };
+    let mut store = Store::lowered();
     busy(&mut script);
     let gone = "vm-000140".into();
     script
@@ -154,12 +159,7 @@
     let mut script = many(AFTER, 4);
     script.shard.policy.snapshot_writes_per_s = 7.5;
     script.shard.policy.fact_writes_per_s = 4.5;
-    let mut store = Store {
-        value_bytes: AFTER,
-        changes: 4,
-        keys: BTreeMap::new(),
-        refused: 0,
-    };
+    let mut store = Store::lowered();
     busy(&mut script);
     // Every few seconds the whole snapshot differs, and a fact waits every second.
     for step in 0..300_u64 {
@@ -193,12 +193,7 @@
 #[test]
 fn a_write_that_has_become_too_large_is_planned_anew() {
     let mut script = many(BEFORE, 16);
-    let mut store = Store {
-        value_bytes: AFTER,
-        changes: 4,
-        keys: BTreeMap::new(),
-        refused: 0,
-    };
+    let mut store = Store::lowered();
     busy(&mut script);
     script.submit("run-900000", spec("blue", 1.0, 1));
     script.settle();
--- a/src/coordination/shard/tests/script.rs
+++ b/src/coordination/shard/tests/script.rs
@@ -7,6 +7,7 @@
 use crate::coordination::shard::{
     Action, CommandOutcome, Loaded, LoadedMachine, Machine, Policy, ReportOutcome, Shard,
 };
+use crate::protocol::cloud::Rental;
 use crate::protocol::state::Change;
 use crate::protocol::users::JobSpec;
 use crate::protocol::workers::{Command, Ending, Report, TaskReport, TaskState};
@@ -177,6 +178,19 @@
         batches
     }
 
+    /// The rentals asked for since the last call.
+    pub(super) fn rentals(&mut self) -> Vec<Rental> {
+        let mut rentals = Vec::new();
+        self.actions.retain(|action| match action {
+            Action::Rent(rental) => {
+                rentals.push(rental.clone());
+                false
+            }
+            _ => true,
+        });
+        rentals
+    }
+
     /// The empty batches, which only ask for a report.
     pub(super) fn probes(&mut self) -> Vec<(MachineId, u64, Vec<Command>)> {
         let mut batches = self.batches();
--- a/src/coordination/shard/tests/zones.rs
+++ b/src/coordination/shard/tests/zones.rs
@@ -4,7 +4,7 @@
 
 use super::script::{Script, obey};
 use super::world::spec;
-use crate::coordination::shard::{Action, RentalOutcome};
+use crate::coordination::shard::RentalOutcome;
 use crate::protocol::cloud::Rental;
 use crate::protocol::users::JobSpec;
 
@@ -29,16 +29,7 @@
     let mut rentals = Vec::new();
     for _ in 0..4 {
         script.pass(Duration::from_secs(1));
-        let asked: Vec<Rental> = script
-            .actions
-            .iter()
-            .filter_map(|action| match action {
-                Action::Rent(rental) => Some(rental.clone()),
-                _ => None,
-            })
-            .collect();
-        script.actions.retain(|a| !matches!(a, Action::Rent(_)));
-        for rental in asked {
+        for rental in script.rentals() {
             let none = RentalOutcome::Rented(Vec::new());
             script
                 .shard
