--- a/src/coordination/advance_delegation/tests.rs
+++ b/src/coordination/advance_delegation/tests.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn an_leader_counts_on_a_delegate_that_does_not_answer() {
+fn a_leader_counts_on_a_delegate_that_does_not_answer() {
     let start = Instant::now();
     let at = |s: f64| start + Duration::from_secs_f64(s);
     let mut advance_grants = AdvanceGrants::default();
--- a/src/coordination/cancellation_knowledge.rs
+++ b/src/coordination/cancellation_knowledge.rs
@@ -1,6 +1,6 @@
 //! Up to when a controller knows of every cancellation that users were told.
 //!
-//! An answer to a report lets a worker's tasks live on for its whole lease. So
+//! An answer to a heartbeat lets a worker's tasks live on for its whole lease. So
 //! nobody may give one unless all cancellations are known that users may have
 //! been told longer ago than `cancel_s` less that lease. Two things count as
 //! knowledge: a look at the jobs, from when it was sent; and what every other
--- a/src/coordination/entitlement.rs
+++ b/src/coordination/entitlement.rs
@@ -1,4 +1,4 @@
-//! What entitles a controller to answer workers' reports.
+//! What entitles a controller to answer workers' heartbeats.
 //!
 //! An answer renews a worker's lease, so that its tasks live on: it needs the leader's
 //! term, and knowledge of the cancellations that users were told.
@@ -10,7 +10,7 @@
 use super::advance_delegation::{self, AdvanceDelegation};
 use super::node::Node;
 use super::node_state::NodeState;
-use crate::protocol::workers::Report;
+use crate::protocol::workers::WorkerHeartbeat;
 
 impl Node {
     /// The moment up to which all cancellations that users were told are known.
@@ -40,24 +40,24 @@
 
     /// The term under which this node may answer a worker for the leader, if the
     /// worker would take it.
-    pub fn delegated_term(&self, report: &Report) -> Option<u64> {
-        self.term_while_loading(report)
-            .or_else(|| self.term_by_delegation(report))
-            .or_else(|| self.term_by_advance_delegation(report))
+    pub fn delegated_term(&self, heartbeat: &WorkerHeartbeat) -> Option<u64> {
+        self.term_while_loading(heartbeat)
+            .or_else(|| self.term_by_delegation(heartbeat))
+            .or_else(|| self.term_by_advance_delegation(heartbeat))
     }
 
     /// A leader that can't load the shard yet, since the state service fell out
     /// for all just then, and that has it by extension votes: workers know no other.
     /// Their leases are counted from when it will have been loaded.
-    fn term_while_loading(&self, report: &Report) -> Option<u64> {
+    fn term_while_loading(&self, heartbeat: &WorkerHeartbeat) -> Option<u64> {
         let inner = self.lock();
         let lease = inner.loading.as_ref()?;
-        (lease.live(self.now()) && report.term <= lease.term).then_some(lease.term)
+        (lease.live(self.now()) && heartbeat.term <= lease.term).then_some(lease.term)
     }
 
     /// The same without the state service and the leader, by the advance delegation
     /// that the leader's last answer gave, or by this node's own last renewal.
-    fn term_by_advance_delegation(&self, report: &Report) -> Option<u64> {
+    fn term_by_advance_delegation(&self, heartbeat: &WorkerHeartbeat) -> Option<u64> {
         if !self.state_failing() {
             return None;
         }
@@ -76,7 +76,7 @@
             heard.term >= delegation.term
                 && now.saturating_duration_since(heard.at) < advance_delegation::LEADER_SILENT
         });
-        if now >= until || leader_heard || report.term > delegation.term {
+        if now >= until || leader_heard || heartbeat.term > delegation.term {
             return None;
         }
         if inner.delegate.answered_alone.is_none() {
@@ -89,15 +89,18 @@
         Some(delegation.term)
     }
 
-    fn term_by_delegation(&self, report: &Report) -> Option<u64> {
+    fn term_by_delegation(&self, heartbeat: &WorkerHeartbeat) -> Option<u64> {
         let now = self.now();
         let mut inner = self.lock();
         let delegation = inner.delegate.delegation?;
-        if now >= delegation.until || report.term > delegation.term {
+        if now >= delegation.until || heartbeat.term > delegation.term {
             return None;
         }
-        if delegation.inventory && report.term == delegation.term {
-            inner.delegate.unwritten_reports.insert(report.clone());
+        if delegation.inventory && heartbeat.term == delegation.term {
+            inner
+                .delegate
+                .unwritten_heartbeats
+                .insert(heartbeat.clone());
         }
         Some(delegation.term)
     }
--- a/src/coordination/io.rs
+++ b/src/coordination/io.rs
@@ -21,7 +21,7 @@
 use crate::transport::client::CallError;
 
 const COMMAND_DEADLINE: Duration = Duration::from_secs(2);
-/// For an empty batch, which only asks for a report.
+/// For an empty batch, which only asks for a heartbeat.
 const PROBE_DEADLINE: Duration = Duration::from_secs(1);
 const CLOUD_DEADLINE: Duration = Duration::from_secs(4);
 /// Entries on one page of the machine list.
@@ -33,11 +33,11 @@
         Action::Command {
             machine,
             addr,
-            session,
+            agent_epoch,
             number,
             commands,
         } => {
-            let outcome = command(&node, &lease, &addr, session, &commands).await;
+            let outcome = command(&node, &lease, &addr, agent_epoch, &commands).await;
             node.with_shard(&lease, "answers", |shard, now| {
                 shard.command_answered(&machine, number, &commands, outcome, now);
             });
@@ -76,7 +76,7 @@
     node: &Node,
     lease: &ShardLease,
     addr: &str,
-    session: u64,
+    agent_epoch: u64,
     commands: &[Command],
 ) -> CommandOutcome {
     let Ok(addr) = addr.parse() else {
@@ -84,7 +84,7 @@
     };
     let batch = CommandBatch {
         term: lease.term,
-        session,
+        agent_epoch,
         commands: commands.to_vec(),
     };
     let Ok(body) = serde_json::to_vec(&batch) else {
@@ -105,8 +105,8 @@
         .await;
     match answer {
         Ok(answer) => match (answer.status, serde_json::from_slice(&answer.body)) {
-            (StatusCode::OK, Ok(report)) => CommandOutcome::Executed(report),
-            (StatusCode::CONFLICT, Ok(report)) => CommandOutcome::Refused(report),
+            (StatusCode::OK, Ok(heartbeat)) => CommandOutcome::Executed(heartbeat),
+            (StatusCode::CONFLICT, Ok(heartbeat)) => CommandOutcome::Refused(heartbeat),
             (status, _) => {
                 warn!(%addr, %status, "a worker's answer can't be read");
                 CommandOutcome::NoAnswer
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,7 +1,6 @@
 //! Who owns what, and what a leader does with it.
 
 pub mod advance_delegation;
-pub mod answering;
 pub mod cancellation_knowledge;
 pub mod drift;
 pub mod election;
@@ -17,6 +16,7 @@
 pub mod requests;
 pub mod shard;
 pub mod status;
+pub mod worker_heartbeats;
 
 #[cfg(test)]
 mod tests;
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -31,8 +31,8 @@
 /// How long an unused connection to a worker is kept: there are many workers,
 /// each with a connection of its own to us as well.
 const WORKER_IDLE: Duration = Duration::from_secs(5);
-/// Pauses between reports after which a silent connection to us is closed.
-const IDLE_REPORTS: u32 = 5;
+/// Pauses between heartbeats after which a silent connection to us is closed.
+const IDLE_HEARTBEATS: u32 = 5;
 /// Batches of commands under way at once, in percent of the sockets, and the least that is
 /// allowed for; more wait for their turn.
 const COMMAND_SHARE: usize = 7;
@@ -314,7 +314,7 @@
     tokio::spawn(peering::run(node.clone()));
     tokio::spawn(peering::delegation::serve_delegated_workers(node.clone()));
     tokio::spawn(election::campaign(node.clone()));
-    let idle = platform.settings.workers.report() * IDLE_REPORTS;
+    let idle = platform.settings.workers.heartbeat_interval() * IDLE_HEARTBEATS;
     let front_listener = Limited::new(front_listener, node.front_places.clone(), idle);
     let internal_places = places(&node.settings, INTERNAL_SHARE);
     let internal_listener = Limited::new(internal_listener, internal_places, idle);
--- a/src/coordination/node_state.rs
+++ b/src/coordination/node_state.rs
@@ -10,8 +10,8 @@
 use super::peering::reach::UnheardWorkers;
 use super::shard::{Shard, TaskCounts};
 use crate::protocol::cloud::MachineType;
-use crate::protocol::peers::Heartbeat;
-use crate::storage::inventory::PendingReports;
+use crate::protocol::peers::PeerHeartbeat;
+use crate::storage::inventory::PendingHeartbeats;
 use crate::storage::records::LeaderRecord;
 use crate::telemetry::Activities;
 
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone)]
 pub struct PeerView {
     /// What it said of itself.
-    pub heartbeat: Heartbeat,
+    pub heartbeat: PeerHeartbeat,
     /// When that was heard.
     pub at: Instant,
 }
@@ -60,7 +60,7 @@
     pub observed_leader: Option<LeaderRecord>,
     /// The cloud's machine types, once they are known.
     pub types: Option<Vec<MachineType>>,
-    /// Workers that tried to report here, and when.
+    /// Workers that tried to send heartbeats here, and when.
     pub workers: HashMap<String, Instant>,
     /// What the other controllers say.
     pub peers: Peers,
@@ -130,7 +130,7 @@
     /// When a worker was last answered by an advance delegation.
     pub answered_alone: Option<Instant>,
     /// What delegated workers reported under the leader's term, to be written.
-    pub unwritten_reports: PendingReports,
+    pub unwritten_heartbeats: PendingHeartbeats,
     /// The largest inventory page that the state service has not refused, if it is
     /// less than its limits say.
     pub inventory_bytes: Option<usize>,
--- a/src/coordination/peering/delegation.rs
+++ b/src/coordination/peering/delegation.rs
@@ -1,5 +1,5 @@
 //! Workers that the leader can't hear, while another controller does: delegating the
-//! answering of their reports, revoking it, and what they hold.
+//! answering of their heartbeats, revoking it, and what they hold.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,10 +13,10 @@
 use crate::coordination::node_state::Delegation;
 use crate::coordination::shard::Shard;
 use crate::protocol::state::{Change, Item, Txn};
-use crate::protocol::workers::Report;
+use crate::protocol::workers::WorkerHeartbeat;
 use crate::settings::platform::Peer;
 use crate::storage::client::StateError;
-use crate::storage::inventory::{Batch, whole_reports};
+use crate::storage::inventory::{Batch, whole_heartbeats};
 use crate::storage::keys;
 use crate::storage::records::{DelegateRecord, HearingRecord, InventoryRecord, VERSION};
 
@@ -170,10 +170,10 @@
             .inspect_err(|error| tracing::error!(key = item.key, %error, "a record can't be read"))
             .ok()
     };
-    let reports = whole_reports(pages.into_iter().filter_map(parse), lease.term);
+    let heartbeats = whole_heartbeats(pages.into_iter().filter_map(parse), lease.term);
     node.with_shard(lease, "delegations", |shard, now| {
-        for report in &reports {
-            shard.relayed(report, now);
+        for heartbeat in &heartbeats {
+            shard.relayed(heartbeat, now);
         }
     });
 }
@@ -191,7 +191,7 @@
             page += 1;
             let txn = Txn::default().change(Change::put(key, value));
             if let Err(error) = node.state.txn(&txn, STATE_DEADLINE).await {
-                inventory_refused(node, batch.reports, &error);
+                inventory_refused(node, batch.heartbeats, &error);
                 return page;
             }
         }
@@ -205,15 +205,15 @@
     let most = inner.delegate.inventory_bytes.unwrap_or(node.value_bytes());
     inner
         .delegate
-        .unwritten_reports
+        .unwritten_heartbeats
         .next_batch(term, most, group)
 }
 
-/// Reports that could not be written are laid out again, in smaller pages if these
+/// Heartbeats that could not be written are laid out again, in smaller pages if these
 /// were too large.
-fn inventory_refused(node: &Node, reports: Vec<Report>, error: &StateError) {
+fn inventory_refused(node: &Node, heartbeats: Vec<WorkerHeartbeat>, error: &StateError) {
     let mut inner = node.lock();
-    inner.delegate.unwritten_reports.put_back(reports);
+    inner.delegate.unwritten_heartbeats.put_back(heartbeats);
     if let StateError::TooLarge(why) = error {
         let most = inner.delegate.inventory_bytes.unwrap_or(node.value_bytes());
         inner.delegate.inventory_bytes = Some((most / 2).max(LEAST_INVENTORY));
@@ -243,7 +243,7 @@
     let mut inner = node.lock();
     let changed = term(inner.delegate.delegation) != term(delegation);
     if changed {
-        inner.delegate.unwritten_reports.clear();
+        inner.delegate.unwritten_heartbeats.clear();
     }
     inner.delegate.delegation = delegation;
     changed && delegation.is_some()
--- a/src/coordination/peering/handover.rs
+++ b/src/coordination/peering/handover.rs
@@ -43,7 +43,12 @@
         return;
     };
     let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
-    for machine in own.shard.machines().values().filter(|m| m.should_report()) {
+    for machine in own
+        .shard
+        .machines()
+        .values()
+        .filter(|m| m.expects_heartbeats())
+    {
         *zones.entry(&machine.zone).or_default() += 1;
     }
     let main = preferred_zone(node, &zones);
--- a/src/coordination/peering/heartbeat.rs
+++ b/src/coordination/peering/heartbeat.rs
@@ -9,7 +9,7 @@
 use crate::coordination::node_state::{LeaderHeard, PeerView};
 use crate::coordination::shard::TaskCounts;
 use crate::protocol::JobId;
-use crate::protocol::peers::{Heartbeat, PeerAnswer, PeerRequest, Progress};
+use crate::protocol::peers::{PeerAnswer, PeerHeartbeat, PeerRequest, Progress};
 
 /// Jobs whose counts one heartbeat carries: some 1.5 MB, which all versions read.
 const MOST_PROGRESS: usize = 50_000;
@@ -17,7 +17,7 @@
 const HEARD: Duration = Duration::from_secs(8);
 
 /// What this node says of itself.
-pub fn own_heartbeat(node: &Node) -> Heartbeat {
+pub fn own_heartbeat(node: &Node) -> PeerHeartbeat {
     let now = node.now();
     let state_served = !node.state_lost();
     let mut inner = node.lock();
@@ -29,7 +29,7 @@
         .as_ref()
         .filter(|own| own.lease.live(now))
         .map(|own| own.lease.term);
-    Heartbeat {
+    PeerHeartbeat {
         label: node.label().to_owned(),
         zone: node.settings.platform.area.clone(),
         state_served,
@@ -70,8 +70,8 @@
 }
 
 /// What this node says of itself and, if it runs the shard, of the jobs.
-pub fn leader_heartbeat(node: &Node) -> Heartbeat {
-    Heartbeat {
+pub fn leader_heartbeat(node: &Node) -> PeerHeartbeat {
+    PeerHeartbeat {
         progress: progress(node),
         ..own_heartbeat(node)
     }
@@ -94,7 +94,7 @@
 }
 
 /// Answers a heartbeat, which allows its sender in advance to answer workers.
-pub fn answer_heartbeat(node: &Node, heartbeat: Heartbeat) -> Heartbeat {
+pub fn answer_heartbeat(node: &Node, heartbeat: PeerHeartbeat) -> PeerHeartbeat {
     let label = heartbeat.label.clone();
     note_heartbeat(node, heartbeat);
     let answer = own_heartbeat(node);
@@ -110,7 +110,7 @@
 /// Takes in the answer to a heartbeat that was sent at `sent` under the term `told`.
 pub(crate) fn heartbeat_answered(
     node: &Node,
-    heartbeat: Heartbeat,
+    heartbeat: PeerHeartbeat,
     sent: Instant,
     told: Option<u64>,
 ) {
@@ -137,7 +137,7 @@
 }
 
 /// Notes what a peer says of itself.
-pub fn note_heartbeat(node: &Node, mut heartbeat: Heartbeat) {
+pub fn note_heartbeat(node: &Node, mut heartbeat: PeerHeartbeat) {
     let at = node.now();
     let mut inner = node.lock();
     if heartbeat.term.is_some() && !heartbeat.progress.is_empty() {
--- a/src/coordination/peering/mod.rs
+++ b/src/coordination/peering/mod.rs
@@ -22,7 +22,7 @@
 /// Deadline of a question to a peer that the next round asks again.
 const ROUND_DEADLINE: Duration = Duration::from_millis(700);
 /// How long a new leader listens before it may find that it hears too few workers: every
-/// machine was asked for a report at once.
+/// machine was asked for a heartbeat at once.
 const LISTENING: Duration = Duration::from_secs(2);
 /// A peer's heartbeat older than this means that it can't be reached.
 const HEARTBEAT_FRESH: Duration = Duration::from_secs(3);
--- a/src/coordination/peering/reach.rs
+++ b/src/coordination/peering/reach.rs
@@ -38,8 +38,12 @@
     let Some(own) = &inner.leadership else {
         return;
     };
-    let machines = own.shard.machines().values().filter(|m| m.should_report());
-    let silent = machines.filter(|m| m.silence(now) > node.policy.report);
+    let machines = own
+        .shard
+        .machines()
+        .values()
+        .filter(|m| m.expects_heartbeats());
+    let silent = machines.filter(|m| m.silence(now) > node.policy.heartbeat_interval);
     let addresses = silent.filter_map(|m| m.addr.parse().ok()).take(SAMPLE);
     let addresses: Vec<SocketAddr> = addresses.collect();
     inner.candidacy.unfit_until = Some(now + LEAST_UNFIT);
--- a/src/coordination/shard/commands.rs
+++ b/src/coordination/shard/commands.rs
@@ -8,9 +8,9 @@
 use crate::protocol::workers::Command;
 use crate::protocol::{MachineId, TaskId};
 
-/// Pause before commands are sent again by themselves; reports carry them too.
+/// Pause before commands are sent again by themselves; heartbeats carry them too.
 const COMMAND_RETRY: Duration = Duration::from_secs(1);
-/// Silence past the latest usual report after which a worker is asked.
+/// Silence past the latest usual heartbeat after which a worker is asked.
 const PROBE_LATE: Duration = Duration::from_millis(750);
 
 impl Shard {
@@ -53,7 +53,7 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let Some(session) = machine.session else {
+        let Some(agent_epoch) = machine.agent_epoch else {
             return;
         };
         let mut commands = Vec::new();
@@ -81,11 +81,11 @@
                 attempt.in_flight = true;
             }
         }
-        self.issue(id, session, commands);
+        self.issue(id, agent_epoch, commands);
     }
 
     /// Puts a batch under way: the machine's only one until it is answered.
-    fn issue(&mut self, id: &MachineId, session: u64, commands: Vec<Command>) {
+    fn issue(&mut self, id: &MachineId, agent_epoch: u64, commands: Vec<Command>) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -96,21 +96,21 @@
         self.out.push(Action::Command {
             machine: id.clone(),
             addr: machine.addr.clone(),
-            session,
+            agent_epoch,
             number: self.next_command,
             commands,
         });
     }
 
-    /// Sends an empty batch: it raises the worker's term and returns a report.
-    pub(super) fn probe(&mut self, id: &MachineId, session: u64) {
+    /// Sends an empty batch: it raises the worker's term and returns a heartbeat.
+    pub(super) fn probe(&mut self, id: &MachineId, agent_epoch: u64) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
         if machine.command.is_some() || machine.addr.is_empty() {
             return;
         }
-        self.issue(id, session, Vec::new());
+        self.issue(id, agent_epoch, Vec::new());
     }
 
     /// Probes machines that have not shown our term yet, and silent ones.
@@ -119,16 +119,17 @@
             .machines
             .values()
             .filter(|m| {
-                let quiet = m.silence(now) > self.policy.report.mul_f64(1.25) + PROBE_LATE;
+                let quiet =
+                    m.silence(now) > self.policy.heartbeat_interval.mul_f64(1.25) + PROBE_LATE;
                 (!m.synced || quiet || m.commands_fail)
-                    && m.should_report()
+                    && m.expects_heartbeats()
                     && m.command.is_none()
                     && m.command_retry.is_none_or(|at| at <= now)
             })
-            .map(|m| (m.id.clone(), m.session.unwrap_or(1)))
+            .map(|m| (m.id.clone(), m.agent_epoch.unwrap_or(1)))
             .collect();
-        for (id, session) in due {
-            self.probe(&id, session);
+        for (id, agent_epoch) in due {
+            self.probe(&id, agent_epoch);
         }
     }
 
@@ -171,9 +172,9 @@
         }
         let asked_at = machine.asked_at;
         match outcome {
-            CommandOutcome::Executed(report) | CommandOutcome::Refused(report) => {
+            CommandOutcome::Executed(heartbeat) | CommandOutcome::Refused(heartbeat) => {
                 machine.commands_fail = false;
-                if (report.session, report.seq) <= asked_at && last {
+                if (heartbeat.agent_epoch, heartbeat.sequence) <= asked_at && last {
                     // An answer is no copy, and numbers only rise: the machine
                     // came back with a worker that began anew. What it held is
                     // gone, and what is under way to it may land yet; only its
@@ -181,7 +182,7 @@
                     self.begin_deletion(id, now, "its worker has started over");
                     return;
                 }
-                self.apply_report(&report, now);
+                self.apply_heartbeat(&heartbeat, now);
                 if executed {
                     self.settle_launches(id, sent, now);
                 }
@@ -195,8 +196,8 @@
         self.needs_pass = true;
     }
 
-    /// After an executed batch, a launch that its report does not show (and
-    /// that no later report showed) has come and gone.
+    /// After an executed batch, a launch that its heartbeat does not show (and
+    /// that no later heartbeat showed) has come and gone.
     fn settle_launches(&mut self, id: &MachineId, sent: &[Command], now: Instant) {
         let Some(machine) = self.machines.get(id) else {
             return;
@@ -275,7 +276,7 @@
         }
     }
 
-    /// Ends the sessions whose leases are surely over.
+    /// Ends the agent epochs whose leases are surely over.
     pub(super) fn expire_leases(&mut self, now: Instant) {
         if self.others_may_answer() {
             return;
@@ -300,8 +301,8 @@
             .collect();
         for id in over {
             if let Some(machine) = self.machines.get_mut(&id) {
-                if let Some(session) = machine.session {
-                    machine.dead_sessions = machine.dead_sessions.max(session);
+                if let Some(agent_epoch) = machine.agent_epoch {
+                    machine.ended_epochs = machine.ended_epochs.max(agent_epoch);
                 }
                 tracing::info!(machine = %id, "worker lease over");
             }
--- a/src/coordination/shard/delegations.rs
+++ b/src/coordination/shard/delegations.rs
@@ -1,7 +1,7 @@
 //! Workers that this leader can't hear, while another controller does.
 //!
 //! When zones are cut from one another, the leader delegates the answering of silent
-//! workers to a controller that hears them: it may answer their reports with
+//! workers to a controller that hears them: it may answer their heartbeats with
 //! the leader's term, so that their leases go on and what runs there runs on,
 //! and it stops what belongs to jobs that are over. Meanwhile no lease is taken
 //! to be over, and when the delegation ends, leases count from the last moment at
@@ -15,11 +15,11 @@
 use crate::coordination::drift;
 use crate::coordination::lease::DELEGATION_TIME;
 use crate::protocol::state::Change;
-use crate::protocol::workers::{Command, Report, TaskState};
+use crate::protocol::workers::{Command, TaskState, WorkerHeartbeat};
 use crate::storage::keys;
 use crate::storage::records::{DelegateRecord, VERSION};
 
-/// How long delegates have to account for their workers: a report or two, and the
+/// How long delegates have to account for their workers: a heartbeat or two, and the
 /// writing and reading of what they say.
 const INVENTORY_WAIT: Duration = Duration::from_secs(12);
 
@@ -49,11 +49,14 @@
 /// Delegations by the delegate's label.
 pub(super) type Delegations = BTreeMap<String, DelegationState>;
 
-/// What a delegate answers to a report: it starts nothing, but what belongs to a
+/// What a delegate answers to a heartbeat: it starts nothing, but what belongs to a
 /// job that is over must go, since a worker that is answered outlives the time in
 /// which a cancelled job has to end.
-pub fn delegate_commands(report: &Report, is_open: impl Fn(&str) -> bool) -> Vec<Command> {
-    report
+pub fn delegate_commands(
+    heartbeat: &WorkerHeartbeat,
+    is_open: impl Fn(&str) -> bool,
+) -> Vec<Command> {
+    heartbeat
         .tasks
         .iter()
         .filter(|line| line.state != TaskState::Ended && !is_open(&line.task.job))
@@ -108,15 +111,15 @@
         self.others_may_answer() && !self.unresolved.is_empty()
     }
 
-    /// A report that a worker gave to its delegate, perhaps a while ago. It tells
+    /// A heartbeat that a worker gave to its delegate, perhaps a while ago. It tells
     /// what is on the machine, not that the machine can be reached.
-    pub fn relayed(&mut self, report: &Report, now: Instant) {
-        let id = report.machine.as_str();
-        if report.term != self.term || !self.unresolved.contains(id) {
+    pub fn relayed(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) {
+        let id = heartbeat.machine.as_str();
+        if heartbeat.term != self.term || !self.unresolved.contains(id) {
             return;
         }
         let heard = self.machines.get(id).and_then(|machine| machine.heard);
-        self.apply_report(report, now);
+        self.apply_heartbeat(heartbeat, now);
         if let Some(machine) = self.machines.get_mut(id) {
             machine.heard = heard;
         }
--- a/src/coordination/shard/reports.rs
+++ b/src/coordination/shard/heartbeats.rs
@@ -1,4 +1,4 @@
-//! What workers report, and what they are answered.
+//! What workers send in their heartbeats, and what they are answered.
 
 use std::time::{Duration, Instant};
 
@@ -6,15 +6,15 @@
 use super::plan::startup;
 use super::{Action, Attempt, Machine, Phase, Shard};
 use crate::protocol::users::JobKind;
-use crate::protocol::workers::{Command, Ending, Report, TaskReport, TaskState};
+use crate::protocol::workers::{Command, Ending, TaskState, TaskStatus, WorkerHeartbeat};
 use crate::protocol::{MachineId, TaskId};
 
 /// Pause before a machine that sends old numbers is asked again.
 const ASK_AGAIN: Duration = Duration::from_secs(2);
 
-/// What to answer to a report.
+/// What to answer to a heartbeat.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ReportOutcome {
+pub enum HeartbeatOutcome {
     /// 200 with these commands; the worker's lease is renewed.
     Answer(Vec<Command>),
     /// The machine is known to be gone, or a higher term is about.
@@ -22,87 +22,92 @@
 }
 
 impl Shard {
-    /// A worker's own report; the caller answers it at once.
-    pub fn report(&mut self, report: &Report, now: Instant) -> ReportOutcome {
-        if self.gone.contains_key(report.machine.as_str()) {
-            return ReportOutcome::Refuse;
+    /// A worker's own heartbeat; the caller answers it at once.
+    pub fn heartbeat(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) -> HeartbeatOutcome {
+        if self.gone.contains_key(heartbeat.machine.as_str()) {
+            return HeartbeatOutcome::Refuse;
         }
-        if report.term > self.term {
-            self.out.push(Action::Fenced { seen: report.term });
-            return ReportOutcome::Refuse;
+        if heartbeat.term > self.term {
+            self.out.push(Action::Fenced {
+                seen: heartbeat.term,
+            });
+            return HeartbeatOutcome::Refuse;
         }
-        self.apply_report(report, now);
-        let Some(machine) = self.machines.get_mut(report.machine.as_str()) else {
-            return ReportOutcome::Refuse;
+        self.apply_heartbeat(heartbeat, now);
+        let Some(machine) = self.machines.get_mut(heartbeat.machine.as_str()) else {
+            return HeartbeatOutcome::Refuse;
         };
         // Whatever the worker makes of this answer, its lease can't end later
         // than it would if it took it. Nobody takes the answer to a copy.
-        let numbers = (report.session, report.seq);
-        if numbers > machine.reported {
-            machine.reported = numbers;
+        let numbers = (heartbeat.agent_epoch, heartbeat.sequence);
+        if numbers > machine.last_heartbeat {
+            machine.last_heartbeat = numbers;
             machine.renewed = Some(now);
             machine.lease_over = machine
                 .lease_over
                 .max(now + self.policy.lease_surely_over());
         }
-        let current = machine.session == Some(report.session) && machine.seq == report.seq;
+        let current = machine.agent_epoch == Some(heartbeat.agent_epoch)
+            && machine.sequence == heartbeat.sequence;
         let commands = if machine.synced && current {
             answer_commands(machine)
         } else {
             Vec::new()
         };
-        ReportOutcome::Answer(commands)
+        HeartbeatOutcome::Answer(commands)
     }
 
-    /// Takes in a report that came by itself or with a command's answer.
-    pub(super) fn apply_report(&mut self, report: &Report, now: Instant) {
-        if report.term > self.term {
-            self.out.push(Action::Fenced { seen: report.term });
+    /// Takes in a heartbeat that came by itself or with a command's answer.
+    pub(super) fn apply_heartbeat(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) {
+        if heartbeat.term > self.term {
+            self.out.push(Action::Fenced {
+                seen: heartbeat.term,
+            });
             return;
         }
-        if self.gone.contains_key(report.machine.as_str()) {
+        if self.gone.contains_key(heartbeat.machine.as_str()) {
             return;
         }
         let lease_over = now + self.policy.lease_surely_over();
-        let Some(machine) = self.adopt(report, now) else {
+        let Some(machine) = self.adopt(heartbeat, now) else {
             return;
         };
         let id = machine.id.clone();
-        let numbers = (report.session, report.seq);
-        if report.session <= machine.dead_sessions || numbers <= machine.numbers() {
+        let numbers = (heartbeat.agent_epoch, heartbeat.sequence);
+        if heartbeat.agent_epoch <= machine.ended_epochs || numbers <= machine.numbers() {
             // A copy or a late message; or the machine came back with a worker
             // that began anew. The machine itself tells.
             if numbers < machine.numbers() && machine.command_retry.is_none_or(|at| at <= now) {
                 machine.command_retry = Some(now + ASK_AGAIN);
-                self.probe(&id, report.session);
+                self.probe(&id, heartbeat.agent_epoch);
             }
             return;
         }
         machine.heard = Some(now);
         machine.vanished = false;
         machine.unanswered = 0;
-        let new_session = machine.session != Some(report.session);
-        let had_session = machine.session.is_some();
-        if new_session {
+        let new_epoch = machine.agent_epoch != Some(heartbeat.agent_epoch);
+        let had_epoch = machine.agent_epoch.is_some();
+        if new_epoch {
             // Its lease runs from when it began, which was before now; what we
-            // reckoned with so far was an earlier session's.
+            // reckoned with so far was an earlier epoch's.
             machine.lease_over = machine.lease_over.max(lease_over);
         }
-        machine.session = Some(report.session);
-        machine.seq = report.seq;
-        if new_session && had_session {
-            // The worker killed and forgot all that its last session held.
-            machine.dead_sessions = machine.dead_sessions.max(report.session - 1);
+        machine.agent_epoch = Some(heartbeat.agent_epoch);
+        machine.sequence = heartbeat.sequence;
+        if new_epoch && had_epoch {
+            // The worker killed and forgot all that its last agent epoch held.
+            machine.ended_epochs = machine.ended_epochs.max(heartbeat.agent_epoch - 1);
             // We heard it, and still its lease ended: it may not hear us.
             machine.commands_fail = true;
-            tracing::info!(machine = %id, session = report.session, "worker began a new session");
-            // What an earlier leader started in this session is not accounted for.
+            tracing::info!(machine = %id, agent_epoch = heartbeat.agent_epoch, "worker began a new agent epoch");
+            // What an earlier leader started in this agent epoch is not accounted for.
             self.remove_attempts(&id, now);
         }
-        self.take_notice(&id, report.notice_s, now);
-        if report.term < self.term {
+        self.take_notice(&id, heartbeat.notice_s, now);
+        if heartbeat.term < self.term {
             // Its list may change yet by commands of an earlier leader.
-            self.probe(&id, report.session);
+            self.probe(&id, heartbeat.agent_epoch);
             return;
         }
         let Some(machine) = self.machines.get_mut(&id) else {
@@ -112,14 +117,14 @@
             machine.synced = true;
             tracing::debug!(machine = %id, "machine synced");
         }
-        self.take_tasks(&id, &report.tasks, now);
+        self.take_tasks(&id, &heartbeat.tasks, now);
         self.account_for(&id);
         self.admit(&id);
         self.needs_pass = true;
     }
 
-    fn adopt(&mut self, report: &Report, now: Instant) -> Option<&mut Machine> {
-        let id: MachineId = report.machine.as_str().into();
+    fn adopt(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) -> Option<&mut Machine> {
+        let id: MachineId = heartbeat.machine.as_str().into();
         let lease_over = now + self.policy.lease_surely_over();
         if self.machines.contains(&id) {
             self.note_boot(&id, now);
@@ -132,10 +137,10 @@
             machine.idle_since = Some(now);
         }
         machine.describe(
-            &report.addr,
-            &report.machine_type,
-            &report.zone,
-            report.spot,
+            &heartbeat.addr,
+            &heartbeat.machine_type,
+            &heartbeat.zone,
+            heartbeat.spot,
         );
         Some(machine)
     }
@@ -197,8 +202,8 @@
         }
     }
 
-    /// Compares a synced report's list with the books.
-    fn take_tasks(&mut self, id: &MachineId, tasks: &[TaskReport], now: Instant) {
+    /// Compares a synced heartbeat's list with the books.
+    fn take_tasks(&mut self, id: &MachineId, tasks: &[TaskStatus], now: Instant) {
         let mut listed = Vec::with_capacity(tasks.len());
         for line in tasks {
             listed.push((line.task.clone(), line.attempt));
@@ -223,7 +228,7 @@
         }
     }
 
-    fn take_task(&mut self, id: &MachineId, line: &TaskReport, now: Instant) {
+    fn take_task(&mut self, id: &MachineId, line: &TaskStatus, now: Instant) {
         let key = (line.task.clone(), line.attempt);
         let known = self
             .machines
--- a/src/coordination/shard/machines.rs
+++ b/src/coordination/shard/machines.rs
@@ -13,7 +13,7 @@
 /// How far an attempt is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Decided; no report has shown it yet.
+    /// Decided; no heartbeat has shown it yet.
     Launching,
     /// Waiting for its image.
     Fetching,
@@ -43,7 +43,7 @@
     /// Started by an earlier leader: it has run for longer than was seen.
     pub adopted: bool,
     /// A launch was sent to which no answer came: it may land at any time
-    /// until the session ends, so the attempt must never be cleared.
+    /// until the agent epoch ends, so the attempt must never be cleared.
     pub unanswered: bool,
     /// In a batch of commands that is under way.
     pub in_flight: bool,
@@ -196,16 +196,16 @@
     pub zone: Arc<str>,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// The session in which its worker was last heard.
-    pub session: Option<u64>,
-    /// The newest number of that session.
-    pub seq: u64,
-    /// The newest that it reported by itself, as (session, number): what is not
+    /// The agent epoch in which its worker was last heard.
+    pub agent_epoch: Option<u64>,
+    /// The newest number of that agent epoch.
+    pub sequence: u64,
+    /// The newest that it reported by itself, as (agent epoch, number): what is not
     /// newer is a copy that nobody waits for.
-    pub reported: (u64, u64),
-    /// Sessions up to this one are over, whatever late messages say.
-    pub dead_sessions: u64,
-    /// A report has carried our term: no older command can land any more.
+    pub last_heartbeat: (u64, u64),
+    /// Agent epochs up to this one are over, whatever late messages say.
+    pub ended_epochs: u64,
+    /// A heartbeat has carried our term: no older command can land any more.
     pub synced: bool,
     /// Its roster record is written: it may get tasks.
     pub admitted: bool,
@@ -215,7 +215,7 @@
     pub heard: Option<Instant>,
     /// Since when it is on our books.
     pub known: Instant,
-    /// When a report that came by itself last renewed its worker's lease.
+    /// When a heartbeat that came by itself last renewed its worker's lease.
     pub renewed: Option<Instant>,
     /// Its worker's lease has surely ended after this.
     pub lease_over: Instant,
@@ -270,10 +270,10 @@
             machine_type: "".into(),
             zone: "".into(),
             spot: false,
-            session: None,
-            seq: 0,
-            reported: (0, 0),
-            dead_sessions: 0,
+            agent_epoch: None,
+            sequence: 0,
+            last_heartbeat: (0, 0),
+            ended_epochs: 0,
             synced: false,
             admitted: false,
             admission_asked: false,
@@ -303,7 +303,7 @@
         }
     }
 
-    /// What a report, the list or the roster says of it.
+    /// What a heartbeat, the list or the roster says of it.
     pub fn describe(&mut self, addr: &str, machine_type: &str, zone: &str, spot: bool) {
         if self.addr != addr {
             addr.clone_into(&mut self.addr);
@@ -319,11 +319,11 @@
 
     /// The newest numbers that came from its worker.
     pub fn numbers(&self) -> (u64, u64) {
-        (self.session.unwrap_or(0), self.seq)
+        (self.agent_epoch.unwrap_or(0), self.sequence)
     }
 
-    /// Whether its worker has ever been expected to report to us.
-    pub fn should_report(&self) -> bool {
+    /// Whether its worker has ever been expected to send heartbeats to us.
+    pub fn expects_heartbeats(&self) -> bool {
         !self.deleting && (self.heard.is_some() || self.admitted)
     }
 
@@ -336,8 +336,8 @@
     }
 
     /// For how long its worker has not reported by itself. It may still answer
-    /// what it is asked, but only its reports renew its lease.
-    pub fn unreported_for(&self, now: Instant) -> Duration {
+    /// what it is asked, but only its heartbeats renew its lease.
+    pub fn since_own_heartbeat(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.renewed.unwrap_or(self.known))
     }
 
@@ -346,8 +346,8 @@
         self.synced
             && self.admitted
             && self
-                .session
-                .is_some_and(|session| session > self.dead_sessions)
+                .agent_epoch
+                .is_some_and(|agent_epoch| agent_epoch > self.ended_epochs)
             && !self.commands_fail
             && !self.deleting
             && !self.cordoned
@@ -356,7 +356,7 @@
             && self.notice.is_none()
             && !self.vanished
             && self.silence(now) < policy.suspect
-            && self.unreported_for(now) < policy.report_overdue()
+            && self.since_own_heartbeat(now) < policy.heartbeat_overdue()
             && self.load.unknown == 0
     }
 
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -11,6 +11,7 @@
 mod failures;
 mod fleet;
 mod gang;
+mod heartbeats;
 mod jobs;
 mod machine_set;
 mod machines;
@@ -18,7 +19,6 @@
 mod plan;
 mod policy;
 mod preemption;
-mod reports;
 mod returns;
 mod slowness;
 mod snapshots;
@@ -30,11 +30,11 @@
 pub use failures::{FailureEvidence, FailureHistory};
 pub use fleet::RentalOutcome;
 pub use gang::GangAttempt;
+pub use heartbeats::HeartbeatOutcome;
 pub use jobs::{Job, TaskCounts};
 pub use machine_set::{MachineLoad, Machines};
 pub use machines::{Attempt, Machine, Phase};
 pub use policy::{Policy, TeamPolicy};
-pub use reports::ReportOutcome;
 pub use writes::{Fact, ShardWrite};
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -42,7 +42,7 @@
 use std::time::{Duration, Instant};
 
 use crate::protocol::cloud::{MachineType, Rental};
-use crate::protocol::workers::{Command, Report};
+use crate::protocol::workers::{Command, WorkerHeartbeat};
 use crate::protocol::{JobId, MachineId};
 
 /// What the leader wants done outside. Each is answered by an event.
@@ -54,11 +54,11 @@
         machine: MachineId,
         /// Its worker's address.
         addr: String,
-        /// The session in which they are to be executed.
-        session: u64,
+        /// The agent epoch in which they are to be executed.
+        agent_epoch: u64,
         /// Tells this batch from others of the machine.
         number: u64,
-        /// What the worker is to do; none only asks for a report.
+        /// What the worker is to do; none only asks for a heartbeat.
         commands: Vec<Command>,
     },
     /// Write to the shard's keys; answered by [`Shard::shard_written`].
@@ -89,10 +89,10 @@
 /// How a batch of commands went.
 #[derive(Debug, Clone)]
 pub enum CommandOutcome {
-    /// 200: executed, with the report after it.
-    Executed(Report),
-    /// 409: not executed, with the report.
-    Refused(Report),
+    /// 200: executed, with the heartbeat after it.
+    Executed(WorkerHeartbeat),
+    /// 409: not executed, with the heartbeat.
+    Refused(WorkerHeartbeat),
     /// It surely never left.
     NotSent,
     /// It may have been executed, or may still be.
@@ -102,7 +102,7 @@
 /// How many machines a leader hears.
 #[derive(Debug, Clone, Copy)]
 pub struct MachinesHeard {
-    /// Within the time of a report or two.
+    /// Within the time of a heartbeat or two.
     pub heard: usize,
     /// All that should be heard.
     pub expected: usize,
@@ -252,8 +252,8 @@
 
     /// How many machines are heard.
     pub fn hearing(&self, now: Instant) -> MachinesHeard {
-        let expected = self.machines.values().filter(|m| m.should_report());
-        let recent = self.policy.report.mul_f64(1.6);
+        let expected = self.machines.values().filter(|m| m.expects_heartbeats());
+        let recent = self.policy.heartbeat_interval.mul_f64(1.6);
         let heard = expected.clone().filter(|m| m.silence(now) < recent).count();
         MachinesHeard {
             heard,
--- a/src/coordination/shard/placement/mod.rs
+++ b/src/coordination/shard/placement/mod.rs
@@ -88,7 +88,7 @@
             let queues = self.queues(teams, wall);
             self.place_level(queues, &mut pass, &mut tally, now);
             if tally.placed >= MOST_PLACED {
-                // Reports and renewals come first; the next pass goes on.
+                // Heartbeats and renewals come first; the next pass goes on.
                 self.needs_pass = true;
                 return;
             }
--- a/src/coordination/shard/policy.rs
+++ b/src/coordination/shard/policy.rs
@@ -44,8 +44,8 @@
     /// The multiples of their deadlines by which jobs of a class had better be
     /// done, rising.
     pub deadline_times: HashMap<String, Vec<f64>>,
-    /// The usual pause between two reports of a worker.
-    pub report: Duration,
+    /// The usual pause between two heartbeats of a worker.
+    pub heartbeat_interval: Duration,
     /// How long a worker's lease lasts.
     pub worker_lease: Duration,
     /// How long a gang's task waits for the others.
@@ -102,7 +102,7 @@
             wait_within: within(&given.objectives, "wait"),
             finish_within: within(&given.objectives, "finished"),
             deadline_times: deadline_times(&given.objectives),
-            report: given.workers.report(),
+            heartbeat_interval: given.workers.heartbeat_interval(),
             worker_lease: given.workers.lease(),
             gang_wait: given.workers.gang_wait(),
             alone: advance_delegation::longest(settings),
@@ -112,8 +112,8 @@
             staleness: operator.staleness(),
             snapshot_writes_per_s: state.write_rps * operator.snapshot_write_share,
             fact_writes_per_s: state.write_rps * FACT_WRITE_SHARE,
-            suspect: given.workers.latest_report() + operator.suspect_late(),
-            abandon: given.workers.latest_report() + operator.abandon_late(),
+            suspect: given.workers.latest_heartbeat() + operator.suspect_late(),
+            abandon: given.workers.latest_heartbeat() + operator.abandon_late(),
             headroom: operator.headroom,
             idle: operator.idle(),
             guarantee_hold: operator.guarantee_hold(),
@@ -139,9 +139,9 @@
         smallest.unwrap_or(LEAST_SHARE).max(LEAST_SHARE)
     }
 
-    /// How long a worker that answers may go without a report of its own. One whose
+    /// How long a worker that answers may go without a heartbeat of its own. One whose
     /// leader has just ended takes its time to find the next.
-    pub fn report_overdue(&self) -> Duration {
+    pub fn heartbeat_overdue(&self) -> Duration {
         self.suspect.max(self.worker_lease / 2)
     }
 
--- a/src/coordination/shard/returns.rs
+++ b/src/coordination/shard/returns.rs
@@ -23,7 +23,7 @@
 const ZONE_SILENT_SHARE: f64 = 0.9;
 const LEAST_ZONE: usize = 3;
 
-/// Times of a usual report after which a machine that was taken is given up.
+/// Times of a usual heartbeat after which a machine that was taken is given up.
 const SOON: f64 = 1.4;
 
 /// Times of a usual boot, and some more, after which a machine that is not up is given
@@ -43,8 +43,8 @@
     silent_zones: HashSet<Arc<str>>,
     /// New machines take much longer than usual: silent ones may be back sooner.
     late_boots: bool,
-    /// The same for machines that answer, but whose own reports don't come.
-    many_unreported: bool,
+    /// The same for machines that answer, but whose own heartbeats don't come.
+    many_without_own_heartbeats: bool,
     few_unaccounted: bool,
 }
 
@@ -73,7 +73,7 @@
     /// Gives back machines that are silent, so that their tasks can move.
     pub(super) fn abandon_lost(&mut self, now: Instant) {
         let overview = self.silence_overview(now);
-        let expected = self.machines.values().filter(|m| m.should_report());
+        let expected = self.machines.values().filter(|m| m.expects_heartbeats());
         let lost: Vec<(MachineId, &str)> = expected
             .filter_map(|m| Some((m.id.clone(), self.why_lost(m, &overview, now)?)))
             .collect();
@@ -88,31 +88,32 @@
         now.saturating_duration_since(heard.max(self.acquired))
     }
 
-    /// Whether a machine answers, but its own reports don't come.
-    fn reports_missing(&self, machine: &Machine, now: Instant) -> bool {
-        machine.heard.is_some() && machine.unreported_for(now) >= self.policy.report_overdue()
+    /// Whether a machine answers, but its own heartbeats don't come.
+    fn heartbeats_missing(&self, machine: &Machine, now: Instant) -> bool {
+        machine.heard.is_some()
+            && machine.since_own_heartbeat(now) >= self.policy.heartbeat_overdue()
     }
 
     /// The zones of which next to nothing is heard.
     pub(super) fn silent_zones(&self, now: Instant) -> HashSet<Arc<str>> {
-        let expected = self.machines.values().filter(|m| m.should_report());
+        let expected = self.machines.values().filter(|m| m.expects_heartbeats());
         let is_silent = |m: &&Machine| self.silence_under_us(m, now) >= self.policy.suspect;
         silent_zones(expected.clone(), expected.filter(is_silent))
     }
 
     /// How much is silent at once: when it is much, the trouble is more likely ours.
     fn silence_overview(&self, now: Instant) -> SilenceOverview {
-        let expected = self.machines.values().filter(|m| m.should_report());
+        let expected = self.machines.values().filter(|m| m.expects_heartbeats());
         let total = expected.clone().count();
         let much = |count: usize| count > 1 && count * 3 > total;
         let silent = expected.clone();
         let silent = silent.filter(|m| self.silence_under_us(m, now) >= self.policy.suspect);
-        let unreported = expected.filter(|m| self.reports_missing(m, now));
+        let without_own_heartbeats = expected.filter(|m| self.heartbeats_missing(m, now));
         SilenceOverview {
             many_silent: much(silent.count()),
             silent_zones: self.silent_zones(now),
             late_boots: self.fleet.boot_times.in_trouble(now),
-            many_unreported: much(unreported.count()),
+            many_without_own_heartbeats: much(without_own_heartbeats.count()),
             // The last few that nobody can account for hold up all that waits; when
             // most are accounted for, the trouble is not ours.
             few_unaccounted: self.unresolved.len() * FEW_LEFT <= total.max(FEW_LEFT * 2),
@@ -130,7 +131,7 @@
         let unanswered = machine.unanswered >= PROBES_TO_ABANDON;
         let in_silent_zone = overview.silent_zones.contains(&machine.zone);
         let taken = machine.vanished || machine.notice.is_some_and(|at| at <= now);
-        if taken && silence >= self.policy.report.mul_f64(SOON) {
+        if taken && silence >= self.policy.heartbeat_interval.mul_f64(SOON) {
             return Some("the cloud has taken it");
         }
         if unanswered && !self.left_to_delegates(machine, now) {
@@ -149,11 +150,12 @@
         if silence >= self.patience(machine, many_silent) {
             return Some("its worker's lease is over");
         }
-        let unreported = machine.unreported_for(now);
-        let missing = self.reports_missing(machine, now);
-        let many_unreported = overview.many_unreported || in_silent_zone;
-        if missing && unreported >= self.patience(machine, many_unreported) {
-            return Some("its worker's reports don't come");
+        let without_own_heartbeats = machine.since_own_heartbeat(now);
+        let missing = self.heartbeats_missing(machine, now);
+        let many_without_own_heartbeats = overview.many_without_own_heartbeats || in_silent_zone;
+        if missing && without_own_heartbeats >= self.patience(machine, many_without_own_heartbeats)
+        {
+            return Some("its worker's heartbeats don't come");
         }
         None
     }
--- a/src/coordination/shard/snapshots.rs
+++ b/src/coordination/shard/snapshots.rs
@@ -78,7 +78,7 @@
 
     /// Whether a snapshot that tells where all tasks are can be written soon enough. What
     /// is done has to be in it; placements are only a hint to the next leader, which
-    /// rebuilds them from the reports, and must not hold up the starts.
+    /// rebuilds them from the heartbeats, and must not hold up the starts.
     fn placements_fit(&self) -> bool {
         let bytes_of = |job: &Job| match job.live().len() {
             0 => 0,
--- a/src/coordination/shard/tests/failures.rs
+++ b/src/coordination/shard/tests/failures.rs
@@ -6,7 +6,7 @@
 use super::world::{self, policy, record};
 use crate::coordination::shard::{CommandOutcome, Loaded, Policy};
 use crate::protocol::users::{JobKind, JobSpec, Stage};
-use crate::protocol::workers::{Command, Ending, Report, TaskReport, TaskState};
+use crate::protocol::workers::{Command, Ending, TaskState, TaskStatus, WorkerHeartbeat};
 
 const MACHINES: [&str; 6] = ["vm-1", "vm-2", "vm-3", "vm-4", "vm-5", "vm-6"];
 
@@ -22,9 +22,9 @@
 fn cluster(machines: &[&str]) -> Script {
     let mut script = Script::without_guarantees();
     script.shard.policy.idle = Duration::from_secs(86_400);
-    // One report admits a machine, the next finds it open.
+    // One heartbeat admits a machine, the next finds it open.
     for id in machines.iter().chain(machines) {
-        script.report(id, Vec::new());
+        script.heartbeat(id, Vec::new());
     }
     script
 }
@@ -32,16 +32,16 @@
 /// How the tasks of a job go.
 type Outcome = dyn Fn(&str, &str) -> TaskState;
 
-/// A report in which each attempt on the machine has come to what a rule says.
-fn report_by(script: &mut Script, id: &str, rule: &Outcome) -> Report {
-    // What has ended and may be cleared is cleared before the next report.
+/// A heartbeat in which each attempt on the machine has come to what a rule says.
+fn heartbeat_by(script: &mut Script, id: &str, rule: &Outcome) -> WorkerHeartbeat {
+    // What has ended and may be cleared is cleared before the next heartbeat.
     let listed_still = script
         .machine(id)
         .attempts
         .iter()
         .filter(|(_, a)| !a.ended());
     let keys: Vec<_> = listed_still.map(|(key, _)| key.clone()).collect();
-    let tasks: Vec<TaskReport> = keys
+    let tasks: Vec<TaskStatus> = keys
         .into_iter()
         .map(|(task, take)| {
             let state = rule(&task.job, id);
@@ -49,23 +49,23 @@
             listed(&task.to_string(), take, state, ending)
         })
         .collect();
-    script.report_of(id, TERM, tasks)
+    script.heartbeat_of(id, TERM, tasks)
 }
 
-/// Lets a second pass in which all commands are executed, and every machine reports;
+/// Lets a second pass in which all commands are executed, and every machine heartbeats;
 /// returns the launches.
 fn second(script: &mut Script, machines: &[&str], rule: &Outcome) -> usize {
     let mut launched = 0;
     for batch in script.batches() {
         let launch = |command: &&Command| matches!(command, Command::Launch { .. });
         launched += batch.2.iter().filter(launch).count();
-        let report = report_by(script, &batch.0, rule);
-        script.answered(&batch, CommandOutcome::Executed(report));
+        let heartbeat = heartbeat_by(script, &batch.0, rule);
+        script.answered(&batch, CommandOutcome::Executed(heartbeat));
     }
     for id in machines {
         if script.shard.machines().contains(id) && !script.machine(id).deleting {
-            let report = report_by(script, id, rule);
-            script.shard.report(&report, script.now);
+            let heartbeat = heartbeat_by(script, id, rule);
+            script.shard.heartbeat(&heartbeat, script.now);
         }
     }
     script.pass(Duration::from_secs(1));
@@ -89,8 +89,8 @@
             listed(&task.to_string(), take, TaskState::Ended, done)
         })
         .collect();
-    let report = script.report_of(id, TERM, tasks);
-    script.shard.report(&report, script.now);
+    let heartbeat = script.heartbeat_of(id, TERM, tasks);
+    script.shard.heartbeat(&heartbeat, script.now);
     script.settle();
 }
 
@@ -223,7 +223,7 @@
     };
     let mut script = Script::under(policy, Loaded::default());
     for id in MACHINES.iter().chain(&MACHINES) {
-        script.report(id, Vec::new());
+        script.heartbeat(id, Vec::new());
     }
     // Its team is guaranteed eight cores; what waits would take all machines and more.
     script.submit("run-9", spec("red", 4.0, 40));
@@ -262,7 +262,7 @@
         .collect();
     assert!(stops(&told) > 0);
     for id in MACHINES {
-        script.report(id, Vec::new());
+        script.heartbeat(id, Vec::new());
     }
     assert!(!script.shard.jobs().contains_key("run-9"));
 }
@@ -276,7 +276,7 @@
         ..Loaded::default()
     });
     for id in MACHINES.iter().chain(&MACHINES) {
-        script.report(id, Vec::new());
+        script.heartbeat(id, Vec::new());
     }
     for _ in 0..60 {
         second(&mut script, &MACHINES, &fails_everywhere);
--- a/src/coordination/shard/tests/gang_troubles.rs
+++ b/src/coordination/shard/tests/gang_troubles.rs
@@ -90,8 +90,8 @@
     for _ in 0..10 {
         script.pass(second(1));
         for id in ["vm-1", "vm-2"] {
-            let report = as_it_is(&mut script, id);
-            script.shard.report(&report, script.now);
+            let heartbeat = as_it_is(&mut script, id);
+            script.shard.heartbeat(&heartbeat, script.now);
         }
         let started = launched(&mut script);
         assert_eq!(started, [], "half of it has to be in the south");
@@ -109,10 +109,10 @@
     assert_eq!(started[2..], ["vm-3", "vm-3"]);
 }
 
-/// A copy of an old report shows tasks of an earlier attempt as they were: it neither
+/// A copy of an old heartbeat shows tasks of an earlier attempt as they were: it neither
 /// revives that attempt nor stops the present one.
 #[test]
-fn a_late_report_of_an_earlier_attempt_changes_nothing() {
+fn a_late_heartbeat_of_an_earlier_attempt_changes_nothing() {
     for (state, ending) in [
         (TaskState::Waiting, None),
         (TaskState::Ended, Some(Ending::Peers)),
@@ -131,7 +131,7 @@
             all_are(&mut script, id, TaskState::Running, None);
         }
         launched(&mut script);
-        script.shard.report(&old, script.now);
+        script.shard.heartbeat(&old, script.now);
         script.pass(second(1));
         assert_eq!(launched(&mut script), []);
         assert_eq!(stopped(&mut script), []);
@@ -174,25 +174,25 @@
         });
         north(&mut script, &["vm-3", "vm-4"]);
         let saved = listed("run-1/0", 7, TaskState::Ended, Some(Ending::Stopped));
-        script.report("vm-1", vec![saved]);
+        script.heartbeat("vm-1", vec![saved]);
         for _ in 0..3 {
             script.pass(second(1));
             assert!(script.launches().is_empty(), "run-1/1 may run on vm-2");
         }
         if reached {
             let runs = || vec![listed("run-1/1", 7, TaskState::Running, None)];
-            script.report("vm-2", runs());
-            let answer = script.report("vm-2", runs());
+            script.heartbeat("vm-2", runs());
+            let answer = script.heartbeat("vm-2", runs());
             let stops = |c: &Command| matches!(c, Command::Stop { .. });
             assert!(answer.iter().any(stops), "it can't go on alone");
             assert!(script.launches().is_empty());
             let ended = listed("run-1/1", 7, TaskState::Ended, Some(Ending::Peers));
-            script.report("vm-2", vec![ended]);
+            script.heartbeat("vm-2", vec![ended]);
         } else {
             let over = script.machine("vm-2").lease_over;
             while script.now <= over {
                 for id in ["vm-1", "vm-3", "vm-4"] {
-                    script.report(id, Vec::new());
+                    script.heartbeat(id, Vec::new());
                 }
                 assert!(script.shard.jobs()["run-1"].live().is_empty());
                 script.pass(second(1));
@@ -226,8 +226,8 @@
         assert_eq!(script.shard.jobs()["run-1"].live().len(), 1);
     }
     // It goes on, and says that its task runs.
-    let report = lines(&mut script, &hangs, TaskState::Running, None);
-    script.shard.report(&report, script.now);
+    let heartbeat = lines(&mut script, &hangs, TaskState::Running, None);
+    script.shard.heartbeat(&heartbeat, script.now);
     script.settle();
     let stop = script.machine(&hangs).attempts.values().next();
     assert_eq!(stop.and_then(|attempt| attempt.stop), Some(Duration::ZERO));
@@ -276,11 +276,11 @@
     for _ in 0..40 {
         script.pass(second(1));
         for id in &stays {
-            let report = as_it_is(&mut script, id);
-            script.shard.report(&report, script.now);
+            let heartbeat = as_it_is(&mut script, id);
+            script.shard.heartbeat(&heartbeat, script.now);
         }
-        let report = as_it_is(&mut script, "vm-5");
-        script.shard.report(&report, script.now);
+        let heartbeat = as_it_is(&mut script, "vm-5");
+        script.shard.heartbeat(&heartbeat, script.now);
         stopped(&mut script);
     }
     let held = |id: &&&String| {
--- a/src/coordination/shard/tests/gangs.rs
+++ b/src/coordination/shard/tests/gangs.rs
@@ -8,7 +8,7 @@
 use crate::coordination::shard::{Action, Attempt, CommandOutcome, Loaded, Phase};
 use crate::protocol::TaskId;
 use crate::protocol::users::{JobKind, JobSpec, Priority, Stage};
-use crate::protocol::workers::{Command, Ending, Report, TaskReport, TaskState};
+use crate::protocol::workers::{Command, Ending, TaskState, TaskStatus, WorkerHeartbeat};
 
 fn second(n: u64) -> Duration {
     Duration::from_secs(n)
@@ -26,9 +26,9 @@
 /// Machines of eight cores that have reported, in this order, north unless said.
 pub(super) fn machines(script: &mut Script, ids: &[(&str, &str)]) {
     for (id, zone) in ids {
-        let mut report = script.report_of(id, TERM, Vec::new());
-        report.zone = (*zone).into();
-        script.shard.report(&report, script.now);
+        let mut heartbeat = script.heartbeat_of(id, TERM, Vec::new());
+        heartbeat.zone = (*zone).into();
+        script.shard.heartbeat(&heartbeat, script.now);
         // Once for its admission, and once for what that allows.
         script.settle();
         script.settle();
@@ -46,55 +46,55 @@
     // What waits for the answer to another batch comes in the next round.
     for _ in 0..3 {
         for batch in script.batches() {
-            let mut report = as_it_is(script, &batch.0);
+            let mut heartbeat = as_it_is(script, &batch.0);
             for command in &batch.2 {
                 match command {
                     Command::Launch { task, attempt } => {
                         launches.push((batch.0.to_string(), task.index, *attempt));
                     }
                     Command::Clear { task, attempt } => {
-                        report
+                        heartbeat
                             .tasks
                             .retain(|line| (&line.task, line.attempt) != (task, *attempt));
                     }
                     Command::Stop { .. } => {}
                 }
             }
-            script.answered(&batch, CommandOutcome::Executed(report));
+            script.answered(&batch, CommandOutcome::Executed(heartbeat));
         }
     }
     launches
 }
 
-/// A report of a machine on which all attempts on its books are in one state.
+/// A heartbeat of a machine on which all attempts on its books are in one state.
 pub(super) fn lines(
     script: &mut Script,
     id: &str,
     state: TaskState,
     ending: Option<Ending>,
-) -> Report {
+) -> WorkerHeartbeat {
     let keys: Vec<(TaskId, u64)> = script.machine(id).attempts.keys().cloned().collect();
-    let line = |(task, take): &(TaskId, u64)| TaskReport {
+    let line = |(task, take): &(TaskId, u64)| TaskStatus {
         task: task.clone(),
         attempt: *take,
         state,
         ending,
     };
     let zone = script.machine(id).zone.to_string();
-    let mut report = script.report_of(id, TERM, keys.iter().map(line).collect());
-    report.zone = zone;
-    report
+    let mut heartbeat = script.heartbeat_of(id, TERM, keys.iter().map(line).collect());
+    heartbeat.zone = zone;
+    heartbeat
 }
 
 /// All that is on a machine's books is reported in one state.
 pub(super) fn all_are(script: &mut Script, id: &str, state: TaskState, ending: Option<Ending>) {
-    let report = lines(script, id, state, ending);
-    script.shard.report(&report, script.now);
+    let heartbeat = lines(script, id, state, ending);
+    script.shard.heartbeat(&heartbeat, script.now);
     script.settle();
 }
 
-/// A report of a machine that shows what its books say.
-pub(super) fn as_it_is(script: &mut Script, id: &str) -> Report {
+/// A heartbeat of a machine that shows what its books say.
+pub(super) fn as_it_is(script: &mut Script, id: &str) -> WorkerHeartbeat {
     let line = |((task, take), attempt): (&(TaskId, u64), &Attempt)| {
         let (state, ending) = match attempt.phase {
             Phase::Launching | Phase::Fetching => (TaskState::Fetching, None),
@@ -107,11 +107,11 @@
     };
     let machine = script.machine(id);
     let tasks = machine.attempts.iter().map(line).collect();
-    let (zone, session) = (machine.zone.to_string(), machine.session);
-    let mut report = script.report_of(id, TERM, tasks);
-    report.zone = zone;
-    report.session = session.unwrap_or(1);
-    report
+    let (zone, agent_epoch) = (machine.zone.to_string(), machine.agent_epoch);
+    let mut heartbeat = script.heartbeat_of(id, TERM, tasks);
+    heartbeat.zone = zone;
+    heartbeat.agent_epoch = agent_epoch.unwrap_or(1);
+    heartbeat
 }
 
 /// The stops decided since the last call, by machine, with their graces.
@@ -123,8 +123,8 @@
                 stops.push((batch.0.to_string(), *grace_s));
             }
         }
-        let report = as_it_is(script, &batch.0);
-        script.answered(&batch, CommandOutcome::Executed(report));
+        let heartbeat = as_it_is(script, &batch.0);
+        script.answered(&batch, CommandOutcome::Executed(heartbeat));
     }
     stops.sort_by(|a, b| a.0.cmp(&b.0));
     stops
@@ -241,14 +241,14 @@
         assert_eq!(stopped(&mut script), []);
         let mut notice = lines(&mut script, "vm-1", TaskState::Running, None);
         notice.notice_s = Some(left);
-        script.shard.report(&notice, script.now);
+        script.shard.heartbeat(&notice, script.now);
         script.settle();
         let both = [("vm-1".to_owned(), grace), ("vm-2".to_owned(), grace)];
         assert_eq!(stopped(&mut script), both);
         // While they save, the notice grows shorter: nothing cuts them off.
         let mut later = lines(&mut script, "vm-1", TaskState::Saving, None);
         later.notice_s = Some(1.0);
-        script.shard.report(&later, script.now);
+        script.shard.heartbeat(&later, script.now);
         script.settle();
         assert_eq!(stopped(&mut script), []);
     }
@@ -308,9 +308,9 @@
         all_are(&mut script, id, TaskState::Running, None);
     }
     // Its worker began anew: the task is gone.
-    let mut anew = script.report_of(&lost, TERM, Vec::new());
-    anew.session = 2;
-    script.shard.report(&anew, script.now);
+    let mut anew = script.heartbeat_of(&lost, TERM, Vec::new());
+    anew.agent_epoch = 2;
+    script.shard.heartbeat(&anew, script.now);
     script.settle();
     assert_eq!(launched(&mut script), [], "the other may be running yet");
     let stop = script.machine(&left).attempts.values().next();
@@ -337,9 +337,9 @@
     }
     all_are(&mut script, &told, TaskState::Ended, Some(Ending::Done));
     assert!(script.shard.jobs()["run-1"].all_done());
-    let mut anew = script.report_of(&lost, TERM, Vec::new());
-    anew.session = 2;
-    script.shard.report(&anew, script.now);
+    let mut anew = script.heartbeat_of(&lost, TERM, Vec::new());
+    anew.agent_epoch = 2;
+    script.shard.heartbeat(&anew, script.now);
     script.pass(second(1));
     assert_eq!(launched(&mut script), []);
     let finish = |action: &Action| matches!(action, Action::Finish { .. });
@@ -358,7 +358,7 @@
     }
     assert_eq!(launched(&mut script), []);
     for id in ["vm-1", "vm-2"] {
-        script.report(id, Vec::new());
+        script.heartbeat(id, Vec::new());
     }
     script.pass(second(4));
     assert_eq!(launched(&mut script).len(), 2);
@@ -381,13 +381,13 @@
         } else {
             TaskState::Waiting
         };
-        script.report("vm-1", old(state));
+        script.heartbeat("vm-1", old(state));
         script.pass(second(1));
         assert!(script.launches().is_empty(), "run-1/1 may be on vm-2");
         let attempt = script.machine("vm-1").attempts.values().next();
         assert_eq!(attempt.and_then(|a| a.stop), None);
         // It isn't there.
-        script.report("vm-2", Vec::new());
+        script.heartbeat("vm-2", Vec::new());
         script.batches();
         script.pass(second(1));
         let attempt = script.machine("vm-1").attempts.values().next();
@@ -435,7 +435,7 @@
         }
         assert!(script.shard.jobs()["run-1"].live().is_empty());
         for id in ["vm-2", "vm-3"] {
-            script.report(id, Vec::new());
+            script.heartbeat(id, Vec::new());
         }
         script.pass(second(1));
     }
@@ -478,15 +478,15 @@
     });
     north(&mut script, &["vm-3", "vm-4"]);
     let line = |state, ending| vec![listed("run-1/0", 7, state, ending)];
-    script.report("vm-1", line(TaskState::Waiting, None));
+    script.heartbeat("vm-1", line(TaskState::Waiting, None));
     let ended = Some(Ending::Error);
-    script.report("vm-1", line(TaskState::Ended, ended));
+    script.heartbeat("vm-1", line(TaskState::Ended, ended));
     for _ in 0..3 {
         script.pass(second(1));
         assert!(script.launches().is_empty(), "run-1/1 may be on vm-2");
         assert!(script.shard.jobs()["run-1"].live().is_empty());
     }
-    script.report("vm-2", Vec::new());
+    script.heartbeat("vm-2", Vec::new());
     script.pass(second(1));
     assert_eq!(script.shard.jobs()["run-1"].live().len(), 2);
 }
--- a/src/coordination/shard/tests/guests.rs
+++ b/src/coordination/shard/tests/guests.rs
@@ -27,8 +27,8 @@
     script.submit("run-1", spec("red", 1.0, 100));
     script.submit("run-2", spec("blue", 1.0, 100));
     for id in ["vm-1", "vm-2", "vm-3", "vm-4"] {
-        let report = script.report_of(id, super::script::TERM, Vec::new());
-        script.shard.report(&report, script.now);
+        let heartbeat = script.heartbeat_of(id, super::script::TERM, Vec::new());
+        script.shard.heartbeat(&heartbeat, script.now);
     }
     script.settle();
     script.settle();
@@ -42,7 +42,7 @@
     let mut script = Script::new(Loaded::default());
     script.submit("run-1", spec("blue", 1.0, 100));
     script.submit("run-2", spec("red", 1.0, 8));
-    script.report("vm-1", Vec::new());
+    script.heartbeat("vm-1", Vec::new());
     script.settle();
     assert_eq!(script.shard.jobs()["run-2"].live().len(), 8);
 }
--- a/src/coordination/shard/tests/idle.rs
+++ b/src/coordination/shard/tests/idle.rs
@@ -13,12 +13,12 @@
     all - script.actions.len()
 }
 
-/// Time passes, in which the machine reports that nothing is on it.
+/// Time passes, in which the machine heartbeats that nothing is on it.
 fn idle_for(script: &mut Script, seconds: u64) {
     for _ in 0..seconds {
         script.pass(Duration::from_secs(1));
         if !script.machine("vm-1").deleting {
-            script.report("vm-1", Vec::new());
+            script.heartbeat("vm-1", Vec::new());
         }
     }
 }
@@ -30,17 +30,17 @@
         ..policy()
     };
     let mut script = Script::under(policy, Loaded::default());
-    script.report("vm-1", Vec::new());
+    script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", job);
     obey(&mut script, "vm-1");
     for _ in 0..60 {
         script.pass(Duration::from_secs(1));
-        let report = script.running("vm-1");
-        script.shard.report(&report, script.now);
+        let heartbeat = script.running("vm-1");
+        script.shard.heartbeat(&heartbeat, script.now);
     }
     assert_eq!(deletions(&mut script), 0, "it has work");
     script.shard.job_gone("run-1", Some(Stage::Cancelled));
-    script.report("vm-1", Vec::new());
+    script.heartbeat("vm-1", Vec::new());
     script
 }
 
@@ -74,7 +74,7 @@
     let mut script = Script::without_guarantees();
     let class = spec("red", 1.0, 1).class;
     script.shard.policy.wait_within = [(class, Duration::from_secs(1))].into();
-    script.report("vm-1", Vec::new());
+    script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("red", 1.0, 1));
     obey(&mut script, "vm-1");
     script.shard.job_gone("run-1", Some(Stage::Cancelled));
--- a/src/coordination/shard/tests/late_machines.rs
+++ b/src/coordination/shard/tests/late_machines.rs
@@ -63,7 +63,7 @@
         self.script.settle();
     }
 
-    /// A machine comes up; its worker reports.
+    /// A machine comes up; its worker heartbeats.
     fn come_up(&mut self, name: &str) {
         let (_, rental) = self
             .machines
@@ -71,10 +71,10 @@
             .find(|(id, _)| id == name)
             .expect("rented");
         let (zone, spot) = (rental.zone.clone(), rental.spot);
-        let mut report = self.script.report_of(name, TERM, Vec::new());
-        report.zone = zone;
-        report.spot = spot;
-        self.script.shard.report(&report, self.script.now);
+        let mut heartbeat = self.script.heartbeat_of(name, TERM, Vec::new());
+        heartbeat.zone = zone;
+        heartbeat.spot = spot;
+        self.script.shard.heartbeat(&heartbeat, self.script.now);
         self.script.settle();
     }
 }
@@ -132,11 +132,11 @@
     rented.pass(2 * USUAL_S);
     assert_eq!(rented.machines.len(), 11, "one in its place");
     assert!(rented.script.machine(&names[0]).heard.is_none());
-    // Reports of the others go on, so that only the one is silent.
+    // Heartbeats of the others go on, so that only the one is silent.
     for _ in 0..5 * USUAL_S {
         for name in &names[1..] {
-            let report = rented.script.running(name);
-            rented.script.shard.report(&report, rented.script.now);
+            let heartbeat = rented.script.running(name);
+            rented.script.shard.heartbeat(&heartbeat, rented.script.now);
         }
         rented.pass(1);
     }
@@ -153,20 +153,20 @@
         priority: Priority::BestEffort,
         ..spec("blue", 8.0, 10)
     };
-    script.report("vm-1", Vec::new());
-    script.report("vm-1", Vec::new());
+    script.heartbeat("vm-1", Vec::new());
+    script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", idle_time);
     let mut ordinary = 0;
     for _ in 0..1000 {
         for batch in script.batches() {
-            let report = script.running(&batch.0);
+            let heartbeat = script.running(&batch.0);
             script.answered(
                 &batch,
-                crate::coordination::shard::CommandOutcome::Executed(report),
+                crate::coordination::shard::CommandOutcome::Executed(heartbeat),
             );
         }
-        let report = script.running("vm-1");
-        script.shard.report(&report, script.now);
+        let heartbeat = script.running("vm-1");
+        script.shard.heartbeat(&heartbeat, script.now);
         script.pass(Duration::from_secs(1));
         for rental in script.rentals() {
             ordinary += u32::from(!rental.spot);
@@ -203,9 +203,9 @@
         let heard = machines.filter(|machine| machine.zone != zone);
         let heard: Vec<String> = heard.map(|machine| machine.id.to_string()).collect();
         for name in heard {
-            let mut report = rented.script.running(&name);
-            report.zone = rented.script.machine(&name).zone.to_string();
-            rented.script.shard.report(&report, rented.script.now);
+            let mut heartbeat = rented.script.running(&name);
+            heartbeat.zone = rented.script.machine(&name).zone.to_string();
+            rented.script.shard.heartbeat(&heartbeat, rented.script.now);
         }
     }
     let now = rented.script.now;
--- a/src/coordination/shard/tests/limits.rs
+++ b/src/coordination/shard/tests/limits.rs
@@ -118,8 +118,8 @@
                 listed(&task, 7, state, done)
             })
             .collect();
-        let report = script.report_of(&id, TERM, tasks);
-        script.shard.report(&report, script.now);
+        let heartbeat = script.heartbeat_of(&id, TERM, tasks);
+        script.shard.heartbeat(&heartbeat, script.now);
     }
 }
 
@@ -174,8 +174,8 @@
                     listed(&task, 7, state, done)
                 })
                 .collect();
-            let report = script.report_of(&format!("vm-{n:06}"), TERM, tasks);
-            script.shard.report(&report, script.now);
+            let heartbeat = script.heartbeat_of(&format!("vm-{n:06}"), TERM, tasks);
+            script.shard.heartbeat(&heartbeat, script.now);
         }
         if step % 10 == 0 {
             script.shard.delegate(&format!("peer-{step}"), script.now);
--- a/src/coordination/shard/tests/meetings.rs
+++ b/src/coordination/shard/tests/meetings.rs
@@ -4,7 +4,7 @@
 
 use super::script::{Script, TERM, listed, obey, one_old_job, roster, stops};
 use super::world::{record, spec};
-use crate::coordination::shard::{CommandOutcome, Loaded, ReportOutcome};
+use crate::coordination::shard::{CommandOutcome, HeartbeatOutcome, Loaded};
 use crate::protocol::cloud::{Listed, ListedState};
 use crate::protocol::users::{JobSpec, Stage};
 use crate::protocol::workers::{Command, Ending, TaskState};
@@ -25,7 +25,7 @@
         ..Loaded::default()
     });
     for id in ["vm-2", "vm-3"] {
-        script.report(id, Vec::new());
+        script.heartbeat(id, Vec::new());
     }
     script.shard.job_gone("run-1", Some(Stage::Cancelled));
     script.submit("run-2", spec("red", 8.0, 2));
@@ -45,7 +45,7 @@
         }
         for id in ["vm-2", "vm-3"] {
             let tasks = script.running(id).tasks;
-            script.report(id, tasks);
+            script.heartbeat(id, tasks);
         }
         script.pass(second(1));
         if script.shard.jobs()["run-2"].live().len() == 2 {
@@ -60,20 +60,20 @@
 /// them: what they answer is news, but renews no lease. Found by reading: such a
 /// machine went on getting work, which it lost again and again.
 #[test]
-fn a_machine_whose_reports_do_not_come_gets_no_work_and_goes_back() {
+fn a_machine_whose_heartbeats_do_not_come_gets_no_work_and_goes_back() {
     let mut script = Script::new(Loaded::default());
     for id in ["vm-1", "vm-2", "vm-3", "vm-4"] {
-        script.report(id, Vec::new());
+        script.heartbeat(id, Vec::new());
     }
-    let silence = script.shard.policy.report_overdue();
+    let silence = script.shard.policy.heartbeat_overdue();
     let lease = script.shard.policy.lease_surely_over();
     let answers = |script: &mut Script| {
         for id in ["vm-2", "vm-3", "vm-4"] {
-            script.report(id, Vec::new());
+            script.heartbeat(id, Vec::new());
         }
         for batch in script.probes() {
-            let report = script.report_of(&batch.0, TERM, Vec::new());
-            script.answered(&batch, CommandOutcome::Executed(report));
+            let heartbeat = script.heartbeat_of(&batch.0, TERM, Vec::new());
+            script.answered(&batch, CommandOutcome::Executed(heartbeat));
         }
         script.pass(second(1));
     };
@@ -85,8 +85,8 @@
     assert!(!script.machine("vm-1").open(script.now, &policy));
     assert!(!script.machine("vm-1").deleting, "it may be heard again");
     assert!(script.machine("vm-2").open(script.now, &policy));
-    // A report of its own, and it is as good as before.
-    script.report("vm-1", Vec::new());
+    // A heartbeat of its own, and it is as good as before.
+    script.heartbeat("vm-1", Vec::new());
     assert!(script.machine("vm-1").open(script.now, &policy));
     let start = script.now;
     while script.now - start <= lease + second(1) {
@@ -102,7 +102,7 @@
 /// After a take-over a machine that answers gets work at once: its worker takes a while
 /// to find the new leader, however long ago the cloud says that it was rented.
 #[test]
-fn a_new_leader_does_not_wait_for_the_reports_of_machines_that_answer() {
+fn a_new_leader_does_not_wait_for_the_heartbeats_of_machines_that_answer() {
     let mut script = Script::new(one_old_job(1, &["vm-1"]));
     let listed = Listed {
         id: "vm-1".into(),
@@ -115,24 +115,24 @@
     };
     script.shard.listed(&[listed], script.now);
     for batch in script.batches() {
-        let report = script.report_of(&batch.0, TERM, Vec::new());
-        script.answered(&batch, CommandOutcome::Executed(report));
+        let heartbeat = script.heartbeat_of(&batch.0, TERM, Vec::new());
+        script.answered(&batch, CommandOutcome::Executed(heartbeat));
     }
     assert_eq!(script.launches().len(), 1);
 }
 
 /// The same with a task on it: it counts until the worker's lease is over, counted
-/// from the last report that was answered, whatever direct answers show since.
+/// from the last heartbeat that was answered, whatever direct answers show since.
 #[test]
 fn an_answer_to_a_command_renews_no_lease() {
     let mut script = Script::new(Loaded::default());
-    script.report("vm-1", Vec::new());
+    script.heartbeat("vm-1", Vec::new());
     let lease_over = script.machine("vm-1").lease_over;
     for _ in 0..10 {
         script.pass(second(2));
         for batch in script.probes() {
-            let report = script.report_of(&batch.0, TERM, Vec::new());
-            script.answered(&batch, CommandOutcome::Executed(report));
+            let heartbeat = script.heartbeat_of(&batch.0, TERM, Vec::new());
+            script.answered(&batch, CommandOutcome::Executed(heartbeat));
         }
     }
     assert_eq!(script.machine("vm-1").lease_over, lease_over);
@@ -149,7 +149,7 @@
 #[test]
 fn a_stop_that_is_under_way_is_repeated_with_the_answer() {
     let mut script = Script::new(Loaded::default());
-    script.report("vm-1", Vec::new());
+    script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
     obey(&mut script, "vm-1");
     script.shard.job_gone("run-1", Some(Stage::Cancelled));
@@ -164,23 +164,23 @@
         .next()
         .map(|(_, take)| *take);
     let line = listed("run-1/0", take.expect("it runs"), TaskState::Running, None);
-    let commands = script.report("vm-1", vec![line]);
+    let commands = script.heartbeat("vm-1", vec![line]);
     assert_eq!(stops(&commands), 1);
 }
 
-/// A report is held back until a new leader has acted, and arrives there: it shows
+/// A heartbeat is held back until a new leader has acted, and arrives there: it shows
 /// what was, even under the new term, and neither frees nor brings back a task.
 #[test]
-fn a_report_held_back_until_a_new_leader_has_acted_changes_nothing() {
+fn a_heartbeat_held_back_until_a_new_leader_has_acted_changes_nothing() {
     let mut script = Script::new(one_old_job(1, &["vm-1"]));
     let runs = |take| vec![listed("run-1/0", take, TaskState::Running, None)];
-    let before = script.report_of("vm-1", TERM - 1, Vec::new());
-    let mut session = script.report_of("vm-1", TERM - 1, runs(3));
-    session.session = 0;
-    let under_ours = script.report_of("vm-1", TERM, Vec::new());
-    script.report("vm-1", runs(7));
-    for held_back in [before, session, under_ours] {
-        script.shard.report(&held_back, script.now);
+    let before = script.heartbeat_of("vm-1", TERM - 1, Vec::new());
+    let mut agent_epoch = script.heartbeat_of("vm-1", TERM - 1, runs(3));
+    agent_epoch.agent_epoch = 0;
+    let under_ours = script.heartbeat_of("vm-1", TERM, Vec::new());
+    script.heartbeat("vm-1", runs(7));
+    for held_back in [before, agent_epoch, under_ours] {
+        script.shard.heartbeat(&held_back, script.now);
         script.settle();
         assert!(script.launches().is_empty(), "run-1/0 runs on vm-1");
         assert_eq!(script.shard.view("run-1").map(|view| view.running), Some(1));
@@ -193,7 +193,7 @@
 #[test]
 fn tasks_that_end_far_apart_are_each_counted_once_across_a_take_over() {
     let mut script = Script::new(Loaded::default());
-    script.report("vm-1", Vec::new());
+    script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 3));
     obey(&mut script, "vm-1");
     let takes: Vec<u64> = script
@@ -207,12 +207,12 @@
         listed(&format!("run-1/{n}"), takes[n], state, ending)
     };
     let done = Some(Ending::Done);
-    script.report("vm-1", vec![line(0, done), line(1, None), line(2, None)]);
+    script.heartbeat("vm-1", vec![line(0, done), line(1, None), line(2, None)]);
     // The snapshot holds the first; the second ends after it.
     script.pass(second(4));
     let chunks = script.written.clone();
     assert!(!chunks.is_empty(), "a snapshot was written");
-    let commands = script.report("vm-1", vec![line(0, done), line(1, done), line(2, None)]);
+    let commands = script.heartbeat("vm-1", vec![line(0, done), line(1, done), line(2, None)]);
     let clears = |commands: &[Command], n: u32| {
         let clear = |c: &Command| matches!(c, Command::Clear { task, .. } if task.index == n);
         commands.iter().any(clear)
@@ -224,11 +224,11 @@
         chunks,
         ..Loaded::default()
     });
-    next.seq = script.seq;
-    next.report("vm-1", vec![line(1, done), line(2, None)]);
+    next.sequence = script.sequence;
+    next.heartbeat("vm-1", vec![line(1, done), line(2, None)]);
     assert!(next.launches().is_empty());
     assert_eq!(next.shard.jobs()["run-1"].done().len(), 2);
-    next.report("vm-1", vec![line(1, done), line(2, done)]);
+    next.heartbeat("vm-1", vec![line(1, done), line(2, done)]);
     assert!(next.shard.jobs()["run-1"].all_done());
 }
 
@@ -241,8 +241,8 @@
         one_zone: true,
         ..spec("blue", 4.0, 3)
     };
-    script.report("vm-1", Vec::new());
-    script.report("vm-2", Vec::new());
+    script.heartbeat("vm-1", Vec::new());
+    script.heartbeat("vm-2", Vec::new());
     script.submit("run-1", bound);
     obey(&mut script, "vm-1");
     let on = |script: &Script, id: &str| script.machine(id).attempts.len();
@@ -253,26 +253,26 @@
     };
     let other = if first == "vm-1" { "vm-2" } else { "vm-1" };
     assert_eq!((on(&script, first), on(&script, other)), (1, 2));
-    // The machine with one task begins a new session; the south has room.
-    let south = |script: &mut Script, report: &crate::protocol::workers::Report| {
-        let mut report = report.clone();
-        script.seq += 1;
-        report.seq = script.seq;
-        let outcome = script.shard.report(&report, script.now);
-        assert!(matches!(outcome, ReportOutcome::Answer(_)));
+    // The machine with one task begins a new agent epoch; the south has room.
+    let south = |script: &mut Script, heartbeat: &crate::protocol::workers::WorkerHeartbeat| {
+        let mut heartbeat = heartbeat.clone();
+        script.sequence += 1;
+        heartbeat.sequence = script.sequence;
+        let outcome = script.shard.heartbeat(&heartbeat, script.now);
+        assert!(matches!(outcome, HeartbeatOutcome::Answer(_)));
         script.settle();
     };
-    let report = {
-        let mut report = script.report_of("vm-9", TERM, Vec::new());
-        report.zone = "south".into();
-        report
+    let heartbeat = {
+        let mut heartbeat = script.heartbeat_of("vm-9", TERM, Vec::new());
+        heartbeat.zone = "south".into();
+        heartbeat
     };
-    south(&mut script, &report);
+    south(&mut script, &heartbeat);
     let runs = script.running(other).tasks;
-    script.report(other, runs);
-    let mut anew = script.report_of(first, TERM, Vec::new());
-    anew.session = 2;
-    script.shard.report(&anew, script.now);
+    script.heartbeat(other, runs);
+    let mut anew = script.heartbeat_of(first, TERM, Vec::new());
+    anew.agent_epoch = 2;
+    script.shard.heartbeat(&anew, script.now);
     script.settle();
     let launches = script.launches();
     assert!(
@@ -280,42 +280,42 @@
         "two of its tasks run in the north"
     );
     for batch in &launches {
-        let report = script.report_of(&batch.0, TERM, Vec::new());
-        script.answered(batch, CommandOutcome::Refused(report));
+        let heartbeat = script.heartbeat_of(&batch.0, TERM, Vec::new());
+        script.answered(batch, CommandOutcome::Refused(heartbeat));
     }
     script.pass(second(1));
-    south(&mut script, &report);
+    south(&mut script, &heartbeat);
     assert_eq!(on(&script, "vm-9"), 0);
 }
 
 /// A leader ends while a machine with a long task can't be reached, and then hears
-/// the new one only by its reports: the task isn't started twice, and once the
+/// the new one only by its heartbeats: the task isn't started twice, and once the
 /// machine is known to be gone it isn't left waiting.
 #[test]
 fn a_long_task_behind_a_cut_is_neither_doubled_nor_forgotten() {
     let mut script = Script::new(one_old_job(1, &["vm-1"]));
-    script.report("vm-2", Vec::new());
+    script.heartbeat("vm-2", Vec::new());
     let lease = script.shard.policy.lease_surely_over();
-    // Its reports come, under the earlier leader's term; our answers don't arrive.
+    // Its heartbeats come, under the earlier leader's term; our answers don't arrive.
     let begun = script.now;
-    let mut seq = script.seq;
+    let mut sequence = script.sequence;
     while script.now - begun < lease / 2 {
         for batch in script.batches() {
             script.answered(&batch, CommandOutcome::NoAnswer);
         }
         let runs = vec![listed("run-1/0", 7, TaskState::Running, None)];
-        let report = script.report_of("vm-1", TERM - 1, runs);
-        script.shard.report(&report, script.now);
-        script.report("vm-2", Vec::new());
+        let heartbeat = script.heartbeat_of("vm-1", TERM - 1, runs);
+        script.shard.heartbeat(&heartbeat, script.now);
+        script.heartbeat("vm-2", Vec::new());
         script.pass(second(2));
         assert!(script.launches().is_empty(), "it runs on vm-1");
-        seq = script.seq;
+        sequence = script.sequence;
     }
-    // Its session ends, as its worker tells us under our term at last.
-    let mut anew = script.report_of("vm-1", TERM, Vec::new());
-    assert!(anew.seq > seq);
-    anew.session = 2;
-    script.shard.report(&anew, script.now);
+    // Its agent epoch ends, as its worker tells us under our term at last.
+    let mut anew = script.heartbeat_of("vm-1", TERM, Vec::new());
+    assert!(anew.sequence > sequence);
+    anew.agent_epoch = 2;
+    script.shard.heartbeat(&anew, script.now);
     script.pass(second(1));
     assert_eq!(script.launches().len(), 1, "it is nowhere now");
 }
--- a/src/coordination/shard/tests/scale.rs
+++ b/src/coordination/shard/tests/scale.rs
@@ -10,7 +10,7 @@
 use crate::coordination::shard::{Action, CommandOutcome, Loaded, LoadedMachine, Policy, Shard};
 use crate::protocol::state::Change;
 use crate::protocol::users::JobSpec;
-use crate::protocol::workers::{Command, Report, TaskState};
+use crate::protocol::workers::{Command, TaskState, WorkerHeartbeat};
 use crate::protocol::{MachineId, TaskId};
 use crate::storage::keys;
 use crate::storage::records::RosterRecord;
@@ -76,22 +76,22 @@
         }
     }
 
-    fn report_of(&mut self, n: usize) -> Report {
+    fn heartbeat_of(&mut self, n: usize) -> WorkerHeartbeat {
         let term = self.script.shard.term;
         let tasks = self.running.get(&n).into_iter().flatten();
         let tasks =
             tasks.map(|(task, take)| listed(&task.to_string(), *take, TaskState::Running, None));
         let tasks = tasks.collect();
-        let mut report = self.script.report_of(&name(n), term, tasks);
-        report.zone = zone(n).into();
-        report.addr = format!("10.0.{}.{}:9000", n / 250, n % 250);
-        report
+        let mut heartbeat = self.script.heartbeat_of(&name(n), term, tasks);
+        heartbeat.zone = zone(n).into();
+        heartbeat.addr = format!("10.0.{}.{}:9000", n / 250, n % 250);
+        heartbeat
     }
 
-    fn report_all(&mut self, which: impl Fn(usize) -> bool) {
+    fn heartbeat_all(&mut self, which: impl Fn(usize) -> bool) {
         for n in (0..MACHINES).filter(|n| which(*n)) {
-            let report = self.report_of(n);
-            self.script.shard.report(&report, self.script.now);
+            let heartbeat = self.heartbeat_of(n);
+            self.script.shard.heartbeat(&heartbeat, self.script.now);
         }
         self.act();
     }
@@ -169,8 +169,8 @@
             } => {
                 let n = number_of(&machine);
                 self.execute(n, &commands);
-                let report = self.report_of(n);
-                let outcome = CommandOutcome::Executed(report);
+                let heartbeat = self.heartbeat_of(n);
+                let outcome = CommandOutcome::Executed(heartbeat);
                 self.script.shard.command_answered(
                     &machine,
                     number,
@@ -266,7 +266,7 @@
 #[test]
 fn four_thousand_machines_change_their_leader() {
     let mut cluster = Cluster::new();
-    cluster.report_all(|_| true);
+    cluster.heartbeat_all(|_| true);
     cluster.pass(40);
     let admitted = cluster
         .script
@@ -278,7 +278,7 @@
     assert_eq!(admitted, MACHINES);
     // Pages of some seventy entries, each written a few times at the most.
     assert!(cluster.changes < 300, "{} changes", cluster.changes);
-    cluster.report_all(|_| true);
+    cluster.heartbeat_all(|_| true);
     cluster.script.shard.job_put(
         "run-1",
         TERM + 1,
@@ -286,7 +286,7 @@
         cluster.script.now,
     );
     for _ in 0..5 {
-        cluster.report_all(|_| true);
+        cluster.heartbeat_all(|_| true);
         cluster.pass(1);
     }
     assert_eq!(cluster.tasks_running(), TASKS as usize);
@@ -311,16 +311,16 @@
 #[test]
 fn four_thousand_machines_lose_a_zone_and_get_it_back() {
     let mut cluster = Cluster::new();
-    cluster.report_all(|_| true);
+    cluster.heartbeat_all(|_| true);
     cluster.pass(40);
-    cluster.report_all(|_| true);
+    cluster.heartbeat_all(|_| true);
     let job = record(spec("blue", 8.0, TASKS));
     cluster
         .script
         .shard
         .job_put("run-1", TERM + 1, job, cluster.script.now);
     for _ in 0..5 {
-        cluster.report_all(|_| true);
+        cluster.heartbeat_all(|_| true);
         cluster.pass(1);
     }
     let north = |n: usize| zone(n) == "north";
@@ -340,14 +340,17 @@
         cluster.script.now += Duration::from_secs(1);
         cluster.script.shard.tick(cluster.script.now);
         if second == 25 {
-            // 27 s after their last report, the leases of the others have ended.
+            // 27 s after their last heartbeat, the leases of the others have ended.
             cluster.running.retain(|n, _| north(*n));
         }
         deleted += cluster.act_with(north);
         if second % 4 == 0 {
             for n in (0..MACHINES).filter(|n| north(*n)) {
-                let report = cluster.report_of(n);
-                cluster.script.shard.report(&report, cluster.script.now);
+                let heartbeat = cluster.heartbeat_of(n);
+                cluster
+                    .script
+                    .shard
+                    .heartbeat(&heartbeat, cluster.script.now);
             }
         }
     }
@@ -358,13 +361,16 @@
     );
     assert_eq!(deleted, 0, "the zone may come back");
     for n in (0..MACHINES).filter(|n| !north(*n)) {
-        let mut report = cluster.report_of(n);
-        report.session = 2;
-        cluster.script.shard.report(&report, cluster.script.now);
+        let mut heartbeat = cluster.heartbeat_of(n);
+        heartbeat.agent_epoch = 2;
+        cluster
+            .script
+            .shard
+            .heartbeat(&heartbeat, cluster.script.now);
     }
     let open = cluster.script.shard.machines().values();
     let open = open
-        .filter(|m| m.session == Some(2) && m.synced && !m.deleting)
+        .filter(|m| m.agent_epoch == Some(2) && m.synced && !m.deleting)
         .count();
     assert_eq!(open, MACHINES / 4);
 }
@@ -444,8 +450,8 @@
             let task = format!("run-{:06}/0", n * 30 + k);
             listed(&task, 7, TaskState::Running, None)
         });
-        let report = script.report_of(&name(n), TERM, tasks.collect());
-        script.shard.report(&report, script.now);
+        let heartbeat = script.heartbeat_of(&name(n), TERM, tasks.collect());
+        script.shard.heartbeat(&heartbeat, script.now);
     }
     let mut written = 0.0;
     let mut stale = 0;
--- a/src/coordination/shard/tests/script.rs
+++ b/src/coordination/shard/tests/script.rs
@@ -5,12 +5,12 @@
 
 use super::world::{machine_types, policy, record, spec};
 use crate::coordination::shard::{
-    Action, CommandOutcome, Loaded, LoadedMachine, Machine, Policy, ReportOutcome, Shard,
+    Action, CommandOutcome, HeartbeatOutcome, Loaded, LoadedMachine, Machine, Policy, Shard,
 };
 use crate::protocol::cloud::Rental;
 use crate::protocol::state::Change;
 use crate::protocol::users::JobSpec;
-use crate::protocol::workers::{Command, Ending, Report, TaskReport, TaskState};
+use crate::protocol::workers::{Command, Ending, TaskState, TaskStatus, WorkerHeartbeat};
 use crate::protocol::{MachineId, TaskId};
 use crate::storage::keys;
 use crate::storage::records::RosterRecord;
@@ -20,7 +20,7 @@
 pub(super) struct Script {
     pub(super) shard: Shard,
     pub(super) now: Instant,
-    pub(super) seq: u64,
+    pub(super) sequence: u64,
     pub(super) actions: Vec<Action>,
     /// The chunks of the snapshot.
     pub(super) written: BTreeMap<String, serde_json::Value>,
@@ -45,8 +45,8 @@
     take: u64,
     state: TaskState,
     ending: Option<Ending>,
-) -> TaskReport {
-    TaskReport {
+) -> TaskStatus {
+    TaskStatus {
         task: TaskId::parse(task).expect("task id"),
         attempt: take,
         state,
@@ -84,7 +84,7 @@
         let mut script = Self {
             shard,
             now,
-            seq: 0,
+            sequence: 0,
             actions: Vec::new(),
             written: BTreeMap::new(),
         };
@@ -128,35 +128,40 @@
         self.settle();
     }
 
-    pub(super) fn report_of(&mut self, id: &str, term: u64, tasks: Vec<TaskReport>) -> Report {
-        self.seq += 1;
-        Report {
+    pub(super) fn heartbeat_of(
+        &mut self,
+        id: &str,
+        term: u64,
+        tasks: Vec<TaskStatus>,
+    ) -> WorkerHeartbeat {
+        self.sequence += 1;
+        WorkerHeartbeat {
             machine: id.into(),
             addr: "10.0.0.1:9000".into(),
             machine_type: "m8".into(),
             zone: "north".into(),
             spot: false,
-            session: 1,
-            seq: self.seq,
+            agent_epoch: 1,
+            sequence: self.sequence,
             term,
             notice_s: None,
             tasks,
         }
     }
 
-    pub(super) fn report(&mut self, id: &str, tasks: Vec<TaskReport>) -> Vec<Command> {
-        let report = self.report_of(id, TERM, tasks);
-        let outcome = self.shard.report(&report, self.now);
+    pub(super) fn heartbeat(&mut self, id: &str, tasks: Vec<TaskStatus>) -> Vec<Command> {
+        let heartbeat = self.heartbeat_of(id, TERM, tasks);
+        let outcome = self.shard.heartbeat(&heartbeat, self.now);
         self.settle();
         match outcome {
-            ReportOutcome::Answer(commands) => commands,
-            ReportOutcome::Refuse => panic!("report refused"),
+            HeartbeatOutcome::Answer(commands) => commands,
+            HeartbeatOutcome::Refuse => panic!("heartbeat refused"),
         }
     }
 
     pub(super) fn submit(&mut self, id: &str, spec: JobSpec) {
         self.shard
-            .job_put(id, TERM + 1 + self.seq, record(spec), self.now);
+            .job_put(id, TERM + 1 + self.sequence, record(spec), self.now);
         self.settle();
     }
 
@@ -191,7 +196,7 @@
         rentals
     }
 
-    /// The empty batches, which only ask for a report.
+    /// The empty batches, which only ask for a heartbeat.
     pub(super) fn probes(&mut self) -> Vec<(MachineId, u64, Vec<Command>)> {
         let mut batches = self.batches();
         batches.retain(|(_, _, commands)| commands.is_empty());
@@ -240,25 +245,25 @@
 }
 
 impl Script {
-    /// A report of a machine on which all runs that is on its books.
-    pub(super) fn running(&mut self, id: &str) -> Report {
+    /// A heartbeat of a machine on which all runs that is on its books.
+    pub(super) fn running(&mut self, id: &str) -> WorkerHeartbeat {
         let tasks = self.machine(id).attempts.keys().cloned();
         let running =
             |(task, take): (TaskId, u64)| listed(&task.to_string(), take, TaskState::Running, None);
         let tasks = tasks.map(running).collect();
-        self.report_of(id, TERM, tasks)
+        self.heartbeat_of(id, TERM, tasks)
     }
 }
 
-/// Runs all that is decided on a machine: it answers and reports as told.
+/// Runs all that is decided on a machine: it answers and heartbeats as told.
 pub(super) fn obey(script: &mut Script, id: &str) -> Vec<Command> {
     let mut told = Vec::new();
     for batch in script.batches() {
         if *batch.0 == *id {
             told.extend(batch.2.iter().cloned());
         }
-        let report = script.running(&batch.0);
-        script.answered(&batch, CommandOutcome::Executed(report));
+        let heartbeat = script.running(&batch.0);
+        script.answered(&batch, CommandOutcome::Executed(heartbeat));
     }
     told
 }
--- a/src/coordination/shard/tests/scripted.rs
+++ b/src/coordination/shard/tests/scripted.rs
@@ -5,7 +5,7 @@
 use super::script::{Script, TERM, listed, obey, one_old_job, roster, stops, take_of};
 use super::world::{ALONE, machine_types, policy, record, spec};
 use crate::coordination::shard::{
-    Action, CommandOutcome, Fact, Loaded, RentalOutcome, ReportOutcome, Shard, ShardWrite,
+    Action, CommandOutcome, Fact, HeartbeatOutcome, Loaded, RentalOutcome, Shard, ShardWrite,
     delegate_commands,
 };
 use crate::protocol::users::{JobKind, JobSpec, Priority};
@@ -16,8 +16,8 @@
 fn a_machine_is_on_the_roster_before_it_gets_a_task() {
     let mut script = Script::new(Loaded::default());
     script.submit("run-1", spec("blue", 1.0, 1));
-    let report = script.report_of("vm-1", TERM, Vec::new());
-    script.shard.report(&report, script.now);
+    let heartbeat = script.heartbeat_of("vm-1", TERM, Vec::new());
+    script.shard.heartbeat(&heartbeat, script.now);
     script.shard.settle(script.now);
     let actions = script.shard.take_actions();
     let admit = actions
@@ -38,24 +38,24 @@
 fn an_unanswered_launch_is_pinned_and_never_cleared() {
     for (outcome_known, cleared) in [(true, true), (false, false)] {
         let mut script = Script::new(Loaded::default());
-        script.report("vm-1", Vec::new());
+        script.heartbeat("vm-1", Vec::new());
         script.submit("run-1", spec("blue", 1.0, 1));
         let batch = script.launches().remove(0);
         let take = take_of(&batch.2);
         if outcome_known {
             let line = listed("run-1/0", take, TaskState::Fetching, None);
-            let report = script.report_of("vm-1", TERM, vec![line]);
-            script.answered(&batch, CommandOutcome::Executed(report));
+            let heartbeat = script.heartbeat_of("vm-1", TERM, vec![line]);
+            script.answered(&batch, CommandOutcome::Executed(heartbeat));
         } else {
             script.answered(&batch, CommandOutcome::NoAnswer);
-            // The next report is answered with the same launch.
-            let commands = script.report("vm-1", Vec::new());
+            // The next heartbeat is answered with the same launch.
+            let commands = script.heartbeat("vm-1", Vec::new());
             assert_eq!(take_of(&commands), take);
         }
         let line = listed("run-1/0", take, TaskState::Ended, Some(Ending::Error));
-        script.report("vm-1", vec![line.clone()]);
+        script.heartbeat("vm-1", vec![line.clone()]);
         script.batches();
-        let commands = script.report("vm-1", vec![line]);
+        let commands = script.heartbeat("vm-1", vec![line]);
         let clears = commands
             .iter()
             .any(|c| matches!(c, Command::Clear { attempt, .. } if *attempt == take));
@@ -73,12 +73,12 @@
         let mut script = Script {
             shard,
             now,
-            seq: 0,
+            sequence: 0,
             actions: Vec::new(),
             written: Default::default(),
         };
-        let report = script.report_of("vm-1", term, Vec::new());
-        script.shard.report(&report, now);
+        let heartbeat = script.heartbeat_of("vm-1", term, Vec::new());
+        script.shard.heartbeat(&heartbeat, now);
         script.settle();
         script
             .shard
@@ -108,20 +108,20 @@
         ..Loaded::default()
     });
     let probes = script.batches();
-    let report = script.report_of("vm-1", TERM, Vec::new());
-    script.answered(&probes[0], CommandOutcome::Executed(report));
+    let heartbeat = script.heartbeat_of("vm-1", TERM, Vec::new());
+    script.answered(&probes[0], CommandOutcome::Executed(heartbeat));
     assert!(script.launches().is_empty(), "vm-2 may hold the task");
     // A job that no earlier leader can have known starts at once.
     script.submit("run-2", spec("blue", 1.0, 1));
     assert_eq!(script.launches().len(), 1);
     let line = listed("run-1/0", 9, TaskState::Running, None);
-    script.report("vm-2", vec![line]);
+    script.heartbeat("vm-2", vec![line]);
     assert!(script.launches().is_empty(), "the task runs on vm-2");
     assert_eq!(script.shard.view("run-1").map(|v| v.running), Some(1));
 }
 
 #[test]
-fn a_report_under_an_older_term_proves_nothing() {
+fn a_heartbeat_under_an_older_term_proves_nothing() {
     let mut script = Script::new(Loaded {
         jobs: vec![("run-1".into(), 50, record(spec("blue", 1.0, 1)))],
         roster: vec![roster("vm-1")],
@@ -133,31 +133,31 @@
         1,
         "every machine is sent the new term at once"
     );
-    let report = script.report_of("vm-1", TERM - 1, Vec::new());
-    script.shard.report(&report, script.now);
+    let heartbeat = script.heartbeat_of("vm-1", TERM - 1, Vec::new());
+    script.shard.heartbeat(&heartbeat, script.now);
     script.settle();
     assert!(script.launches().is_empty(), "an older launch may land yet");
     assert!(
         script.shard.jobs()["run-1"].live().is_empty(),
         "nor decided"
     );
-    let report = script.report_of("vm-1", TERM, Vec::new());
-    script.answered(&probes[0], CommandOutcome::Executed(report));
+    let heartbeat = script.heartbeat_of("vm-1", TERM, Vec::new());
+    script.answered(&probes[0], CommandOutcome::Executed(heartbeat));
     assert_eq!(script.launches().len(), 1);
 }
 
 #[test]
-fn a_late_report_is_not_believed() {
+fn a_late_heartbeat_is_not_believed() {
     let mut script = Script::new(Loaded::default());
-    let late = script.report_of("vm-1", TERM, Vec::new());
-    script.report("vm-1", Vec::new());
+    let late = script.heartbeat_of("vm-1", TERM, Vec::new());
+    script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
     let batch = script.launches().remove(0);
     let line = listed("run-1/0", take_of(&batch.2), TaskState::Running, None);
-    let report = script.report_of("vm-1", TERM, vec![line]);
-    script.answered(&batch, CommandOutcome::Executed(report));
+    let heartbeat = script.heartbeat_of("vm-1", TERM, vec![line]);
+    script.answered(&batch, CommandOutcome::Executed(heartbeat));
     // It is as old as its number says: the task is still there.
-    script.shard.report(&late, script.now);
+    script.shard.heartbeat(&late, script.now);
     script.settle();
     assert!(script.launches().is_empty());
     assert_eq!(script.shard.view("run-1").map(|v| v.running), Some(1));
@@ -166,14 +166,14 @@
 #[test]
 fn a_cancel_stops_a_launch_that_may_still_land() {
     let mut script = Script::new(Loaded::default());
-    script.report("vm-1", Vec::new());
+    script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
     let batch = script.launches().remove(0);
     let take = take_of(&batch.2);
     script.shard.job_gone("run-1", None);
     script.settle();
     script.answered(&batch, CommandOutcome::NoAnswer);
-    let commands = script.report("vm-1", Vec::new());
+    let commands = script.heartbeat("vm-1", Vec::new());
     assert_eq!(
         take_of(&commands),
         take,
@@ -188,22 +188,22 @@
 #[test]
 fn only_a_deletion_that_was_answered_frees_a_machines_tasks() {
     let mut script = Script::new(Loaded::default());
-    script.report("vm-1", Vec::new());
+    script.heartbeat("vm-1", Vec::new());
     let mut job = spec("blue", 1.0, 1);
     job.kind = JobKind::Service;
     script.submit("run-1", job);
     let batch = script.launches().remove(0);
     let line = listed("run-1/0", take_of(&batch.2), TaskState::Running, None);
-    let report = script.report_of("vm-1", TERM, vec![line]);
-    script.answered(&batch, CommandOutcome::Executed(report));
-    script.report("vm-2", Vec::new());
+    let heartbeat = script.heartbeat_of("vm-1", TERM, vec![line]);
+    script.answered(&batch, CommandOutcome::Executed(heartbeat));
+    script.heartbeat("vm-2", Vec::new());
     // vm-1 falls silent; its probes stay unanswered.
     for _ in 0..12 {
         script.pass(Duration::from_secs(1));
         for probe in script.batches() {
             script.answered(&probe, CommandOutcome::NoAnswer);
         }
-        script.report("vm-2", Vec::new());
+        script.heartbeat("vm-2", Vec::new());
     }
     let machine = MachineId::from("vm-1");
     let delete = Action::Delete(vec![machine.clone()]);
@@ -221,15 +221,15 @@
 #[test]
 fn nothing_starts_while_changes_go_unrecorded_for_too_long() {
     let mut script = Script::new(Loaded::default());
-    script.report("vm-1", Vec::new());
+    script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
     assert_eq!(script.launches().len(), 1);
     // From here on no write is applied.
     for _ in 0..18 {
         script.now += Duration::from_secs(1);
         script.shard.tick(script.now);
-        let report = script.report_of("vm-1", TERM, Vec::new());
-        script.shard.report(&report, script.now);
+        let heartbeat = script.heartbeat_of("vm-1", TERM, Vec::new());
+        script.shard.heartbeat(&heartbeat, script.now);
         script.shard.take_actions();
     }
     let late = record(spec("blue", 1.0, 1));
@@ -245,10 +245,10 @@
 }
 
 /// Found on a random day: a machine that was out of reach at a take-over came
-/// back in a new session, was heard through a probe's answer only, and its
-/// tasks were taken for gone because its former session's lease was over.
+/// back in a new agent epoch, was heard through a probe's answer only, and its
+/// tasks were taken for gone because its former agent epoch's lease was over.
 #[test]
-fn a_new_sessions_lease_is_its_own() {
+fn a_new_agent_epoch_has_its_own_lease() {
     // Two silent machines: much is silent, so that none is given back.
     let mut script = Script::new(one_old_job(1, &["vm-1", "vm-2"]));
     for probe in script.batches() {
@@ -260,29 +260,29 @@
     script.shard.tick(script.now);
     script.settle();
     let line = listed("run-1/0", 7, TaskState::Running, None);
-    let mut report = script.report_of("vm-1", TERM, vec![line]);
-    report.session = 2;
-    script.answered(&probe, CommandOutcome::Executed(report));
-    script.report("vm-3", Vec::new());
+    let mut heartbeat = script.heartbeat_of("vm-1", TERM, vec![line]);
+    heartbeat.agent_epoch = 2;
+    script.answered(&probe, CommandOutcome::Executed(heartbeat));
+    script.heartbeat("vm-3", Vec::new());
     let lease_over = script.machine("vm-2").lease_over;
     script.pass(Duration::from_secs(3));
-    assert!(script.now > lease_over, "its former session's is");
+    assert!(script.now > lease_over, "its former agent epoch's is");
     assert!(script.launches().is_empty(), "the task is still there");
     assert_eq!(script.shard.view("run-1").map(|v| v.running), Some(1));
 }
 
-/// A session whose lease is over gets nothing more: only a later one may.
+/// An agent epoch whose lease is over gets nothing more: only a later one may.
 #[test]
-fn a_dead_session_gets_no_tasks() {
+fn an_ended_agent_epoch_gets_no_tasks() {
     let mut script = Script::new(Loaded::default());
-    script.report("vm-1", Vec::new());
+    script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
     assert_eq!(script.launches().len(), 1);
-    // Silent until its lease is over. Its late report changes nothing.
+    // Silent until its lease is over. Its late heartbeat changes nothing.
     script.pass(Duration::from_secs(28));
     script.batches();
-    let late = script.report_of("vm-1", TERM, Vec::new());
-    script.shard.report(&late, script.now);
+    let late = script.heartbeat_of("vm-1", TERM, Vec::new());
+    script.shard.heartbeat(&late, script.now);
     script.settle();
     assert!(script.launches().is_empty());
 }
@@ -297,16 +297,16 @@
     });
     // The probe is under way, so that launches have to wait.
     let probe = script.batches().remove(0);
-    let sync = script.report_of("vm-1", TERM, Vec::new());
-    script.shard.report(&sync, script.now);
+    let sync = script.heartbeat_of("vm-1", TERM, Vec::new());
+    script.shard.heartbeat(&sync, script.now);
     script.settle();
     script.submit("run-1", spec("blue", 8.0, 1));
     assert!(script.launches().is_empty());
     let mut first = spec("blue", 8.0, 1);
     first.priority = Priority::Prod;
     script.submit("run-2", first);
-    let report = script.report_of("vm-1", TERM, Vec::new());
-    script.answered(&probe, CommandOutcome::Executed(report));
+    let heartbeat = script.heartbeat_of("vm-1", TERM, Vec::new());
+    script.answered(&probe, CommandOutcome::Executed(heartbeat));
     let batches = script.launches();
     assert_eq!(batches.len(), 1);
     assert!(matches!(
@@ -318,8 +318,8 @@
 #[test]
 fn a_machine_far_slower_than_others_is_given_up() {
     let mut script = Script::new(Loaded::default());
-    script.report("vm-1", Vec::new());
-    script.report("vm-2", Vec::new());
+    script.heartbeat("vm-1", Vec::new());
+    script.heartbeat("vm-2", Vec::new());
     // Eight tasks fill vm-1, two go to vm-2.
     script.submit("run-1", spec("blue", 1.0, 10));
     let batches = script.launches();
@@ -337,17 +337,17 @@
     };
     for batch in &batches {
         let running = lines(batch, TaskState::Running, None);
-        let report = script.report_of(&batch.0, TERM, running);
-        script.answered(batch, CommandOutcome::Executed(report));
+        let heartbeat = script.heartbeat_of(&batch.0, TERM, running);
+        script.answered(batch, CommandOutcome::Executed(heartbeat));
     }
     let (quick, slow) = (&batches[0], &batches[1]);
     script.now += Duration::from_secs(10);
     let done = lines(quick, TaskState::Ended, Some(Ending::Done));
     assert!(done.len() >= 3, "enough tasks to compare with");
-    script.report(&quick.0, done);
+    script.heartbeat(&quick.0, done);
     for _ in 0..21 {
         script.now += Duration::from_secs(1);
-        script.report(&slow.0, lines(slow, TaskState::Running, None));
+        script.heartbeat(&slow.0, lines(slow, TaskState::Running, None));
         script.pass(Duration::ZERO);
     }
     let stopped = script.batches().iter().any(|(machine, _, commands)| {
@@ -369,7 +369,7 @@
     });
     let line = |n: u64, state, ending| listed(&format!("run-1/{n}"), 7 + n, state, ending);
     let running: Vec<_> = (0..8).map(|n| line(n, TaskState::Running, None)).collect();
-    script.report("vm-1", running);
+    script.heartbeat("vm-1", running);
     // Five end right after the take-over, the others run on.
     let later = |ended: u64| {
         (0..8)
@@ -381,7 +381,7 @@
     };
     for _ in 0..20 {
         script.now += Duration::from_secs(1);
-        script.report("vm-1", later(5));
+        script.heartbeat("vm-1", later(5));
         script.pass(Duration::ZERO);
     }
     assert!(!script.machine("vm-1").cordoned);
@@ -390,9 +390,9 @@
 #[test]
 fn a_team_limit_counts_what_may_exist() {
     let mut script = Script::new(Loaded::default());
-    script.report("vm-1", Vec::new());
-    script.report("vm-2", Vec::new());
-    script.report("vm-3", Vec::new());
+    script.heartbeat("vm-1", Vec::new());
+    script.heartbeat("vm-2", Vec::new());
+    script.heartbeat("vm-3", Vec::new());
     // Red may use 16 cores; 5 tasks of 4 want 20.
     script.submit("run-1", spec("red", 4.0, 5));
     let launched: usize = script.launches().iter().map(|batch| batch.2.len()).sum();
@@ -426,13 +426,13 @@
 #[test]
 fn a_finish_is_cleared_only_after_a_snapshot_holds_it() {
     let mut script = Script::new(Loaded::default());
-    script.report("vm-1", Vec::new());
+    script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 2));
     let batch = script.launches().remove(0);
     let take = take_of(&batch.2);
     let running = |n: u64| listed(&format!("run-1/{n}"), take + n, TaskState::Running, None);
-    let report = script.report_of("vm-1", TERM, vec![running(0), running(1)]);
-    script.answered(&batch, CommandOutcome::Executed(report));
+    let heartbeat = script.heartbeat_of("vm-1", TERM, vec![running(0), running(1)]);
+    script.answered(&batch, CommandOutcome::Executed(heartbeat));
     let done = listed("run-1/0", take, TaskState::Ended, Some(Ending::Done));
     let clears = |commands: &[Command]| {
         commands
@@ -441,8 +441,8 @@
     };
     // The snapshot is taken, but not written yet.
     script.now += Duration::from_secs(4);
-    let report = script.report_of("vm-1", TERM, vec![done.clone(), running(1)]);
-    script.shard.report(&report, script.now);
+    let heartbeat = script.heartbeat_of("vm-1", TERM, vec![done.clone(), running(1)]);
+    script.shard.heartbeat(&heartbeat, script.now);
     script.shard.tick(script.now);
     let write: ShardWrite = script
         .shard
@@ -453,15 +453,15 @@
             _ => None,
         })
         .expect("a snapshot is due");
-    let report = script.report_of("vm-1", TERM, vec![done.clone(), running(1)]);
-    match script.shard.report(&report, script.now) {
-        ReportOutcome::Answer(commands) => assert!(!clears(&commands)),
-        ReportOutcome::Refuse => panic!("refused"),
+    let heartbeat = script.heartbeat_of("vm-1", TERM, vec![done.clone(), running(1)]);
+    match script.shard.heartbeat(&heartbeat, script.now) {
+        HeartbeatOutcome::Answer(commands) => assert!(!clears(&commands)),
+        HeartbeatOutcome::Refuse => panic!("refused"),
     }
     script.shard.shard_written(&write, script.now);
     script.settle();
     script.pass(Duration::from_secs(4));
-    let commands = script.report("vm-1", vec![done, running(1)]);
+    let commands = script.heartbeat("vm-1", vec![done, running(1)]);
     assert!(clears(&commands));
 }
 
@@ -471,7 +471,7 @@
     let mut script = Script::new(Loaded::default());
     // The other machine stays, for what may start again there.
     script.shard.policy.guarantee_hold = Duration::from_secs(3600);
-    script.report("vm-1", Vec::new());
+    script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
     let batch = script.launches().remove(0);
     let (_, _, commands) = &batch;
@@ -479,14 +479,14 @@
         panic!("not a launch");
     };
     let runs = vec![listed(&task.to_string(), attempt, TaskState::Running, None)];
-    let report = script.report_of("vm-1", TERM, runs.clone());
-    script.answered(&batch, CommandOutcome::Executed(report));
-    script.report("vm-1", runs);
+    let heartbeat = script.heartbeat_of("vm-1", TERM, runs.clone());
+    script.answered(&batch, CommandOutcome::Executed(heartbeat));
+    script.heartbeat("vm-1", runs);
     script.shard.delegate("beta", script.now);
     script.settle();
     for _ in 0..120 {
         script.pass(Duration::from_secs(1));
-        script.report("vm-2", Vec::new());
+        script.heartbeat("vm-2", Vec::new());
     }
     assert!(script.launches().is_empty(), "it may still run there");
     assert!(!script.machine("vm-1").deleting);
@@ -496,16 +496,16 @@
     script.settle();
     for _ in 0..26 {
         script.pass(Duration::from_secs(1));
-        script.report("vm-2", Vec::new());
+        script.heartbeat("vm-2", Vec::new());
         let at_once = script.machine("vm-1").deleting;
         assert!(script.launches().is_empty() || at_once);
     }
-    assert_eq!(script.machine("vm-1").dead_sessions, 0, "its lease may run");
+    assert_eq!(script.machine("vm-1").ended_epochs, 0, "its lease may run");
     for _ in 0..6 {
         script.pass(Duration::from_secs(1));
-        script.report("vm-2", Vec::new());
+        script.heartbeat("vm-2", Vec::new());
     }
-    assert!(script.machine("vm-1").dead_sessions > 0);
+    assert!(script.machine("vm-1").ended_epochs > 0);
     assert_eq!(script.launches().len(), 1, "it starts again elsewhere");
 }
 
@@ -518,20 +518,20 @@
         roster: vec![roster("vm-1")],
         ..Loaded::default()
     });
-    script.report("vm-2", Vec::new());
+    script.heartbeat("vm-2", Vec::new());
     script.shard.delegate("beta", script.now);
     script.settle();
     assert!(script.shard.wants_inventories());
     assert!(script.launches().is_empty(), "both tasks may run on vm-1");
     let runs = vec![listed("run-1/0", 7, TaskState::Running, None)];
-    let older = script.report_of("vm-1", TERM - 1, runs.clone());
+    let older = script.heartbeat_of("vm-1", TERM - 1, runs.clone());
     script.shard.relayed(&older, script.now);
     assert!(
         script.shard.wants_inventories(),
         "commands may land there yet"
     );
-    let report = script.report_of("vm-1", TERM, runs);
-    script.shard.relayed(&report, script.now);
+    let heartbeat = script.heartbeat_of("vm-1", TERM, runs);
+    script.shard.relayed(&heartbeat, script.now);
     script.settle();
     assert!(!script.shard.wants_inventories());
     let launches = script.launches();
@@ -541,21 +541,21 @@
     assert!(!script.machine("vm-1").open(script.now, &policy));
 }
 
-/// Reports arrive, but answers and commands don't reach the machine: its
-/// sessions rise although we hear it. Its work moves, and nothing new goes there
+/// Heartbeats arrive, but answers and commands don't reach the machine: its
+/// agent epochs rise although we hear it. Its work moves, and nothing new goes there
 /// until it has answered.
 #[test]
 fn a_machine_that_does_not_hear_us_gets_no_work_until_it_answers() {
     let mut script = Script::new(Loaded::default());
-    script.report("vm-1", Vec::new());
+    script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
     let batch = script.launches().remove(0);
     script.answered(&batch, CommandOutcome::NoAnswer);
-    script.report("vm-2", Vec::new());
+    script.heartbeat("vm-2", Vec::new());
     assert!(script.launches().is_empty(), "it may still land on vm-1");
-    let mut report = script.report_of("vm-1", TERM, Vec::new());
-    report.session = 2;
-    script.shard.report(&report, script.now);
+    let mut heartbeat = script.heartbeat_of("vm-1", TERM, Vec::new());
+    heartbeat.agent_epoch = 2;
+    script.shard.heartbeat(&heartbeat, script.now);
     script.settle();
     let moved = script.launches();
     assert_eq!(moved.len(), 1);
@@ -569,24 +569,24 @@
         .into_iter()
         .find(|(id, ..)| &**id == "vm-1")
         .expect("it is asked");
-    let mut answer = script.report_of("vm-1", TERM, Vec::new());
-    answer.session = 2;
+    let mut answer = script.heartbeat_of("vm-1", TERM, Vec::new());
+    answer.agent_epoch = 2;
     script.answered(&probe, CommandOutcome::Executed(answer));
     assert_eq!(script.launches().len(), 1);
 }
 
-/// A copy of a report, however late, is answered to nobody: it must not make a
+/// A copy of a heartbeat, however late, is answered to nobody: it must not make a
 /// lease look longer, or lost tasks would wait for as long as copies come.
 #[test]
-fn a_copy_of_a_report_renews_no_lease() {
+fn a_duplicated_heartbeat_renews_no_lease() {
     let mut script = Script::new(Loaded::default());
-    let first = script.report_of("vm-1", TERM, Vec::new());
-    script.shard.report(&first, script.now);
-    script.report("vm-1", Vec::new());
+    let first = script.heartbeat_of("vm-1", TERM, Vec::new());
+    script.shard.heartbeat(&first, script.now);
+    script.heartbeat("vm-1", Vec::new());
     let lease_over = script.machine("vm-1").lease_over;
     for _ in 0..40 {
         script.now += Duration::from_secs(1);
-        script.shard.report(&first, script.now);
+        script.shard.heartbeat(&first, script.now);
         script.settle();
     }
     assert_eq!(script.machine("vm-1").lease_over, lease_over);
@@ -597,43 +597,43 @@
     );
 }
 
-/// An answer to a command may overtake the report that was on its way: that
-/// report is no copy, and its worker takes our answer to it.
+/// An answer to a command may overtake the heartbeat that was on its way: that
+/// heartbeat is no copy, and its worker takes our answer to it.
 #[test]
-fn a_report_that_an_answer_overtook_renews_the_lease() {
+fn a_heartbeat_that_an_answer_overtook_renews_the_lease() {
     let mut script = Script::new(Loaded::default());
-    script.report("vm-1", Vec::new());
-    let report = script.report_of("vm-1", TERM, Vec::new());
+    script.heartbeat("vm-1", Vec::new());
+    let heartbeat = script.heartbeat_of("vm-1", TERM, Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
     let batch = script.launches().remove(0);
-    let answer = script.report_of("vm-1", TERM, Vec::new());
+    let answer = script.heartbeat_of("vm-1", TERM, Vec::new());
     script.answered(&batch, CommandOutcome::Executed(answer));
     script.now += Duration::from_secs(10);
-    script.shard.report(&report, script.now);
+    script.shard.heartbeat(&heartbeat, script.now);
     assert!(script.machine("vm-1").lease_over > script.now + Duration::from_secs(26));
 }
 
 /// A machine may be back within a fraction of a second, with numbers that begin
-/// anew. A report with old numbers may be a copy; only the machine's own answer
+/// anew. A heartbeat with old numbers may be a copy; only the machine's own answer
 /// proves it, and its deletion proves that nothing lands there any more.
 #[test]
 fn a_worker_that_starts_over_is_asked_and_its_machine_given_back() {
     let mut script = Script::new(Loaded::default());
     for _ in 0..5 {
-        script.report("vm-1", Vec::new());
+        script.heartbeat("vm-1", Vec::new());
     }
-    let mut old = script.report_of("vm-1", TERM, Vec::new());
-    old.seq = 1;
-    script.shard.report(&old, script.now);
+    let mut old = script.heartbeat_of("vm-1", TERM, Vec::new());
+    old.sequence = 1;
+    script.shard.heartbeat(&old, script.now);
     script.settle();
     let probe = script.probes().remove(0);
     assert!(!script.machine("vm-1").deleting, "it may be a copy");
     // The answer of a worker that went on has newer numbers.
-    let newer = script.report_of("vm-1", TERM, Vec::new());
+    let newer = script.heartbeat_of("vm-1", TERM, Vec::new());
     script.answered(&probe, CommandOutcome::Executed(newer));
     assert!(!script.machine("vm-1").deleting);
     script.now += Duration::from_secs(3);
-    script.shard.report(&old, script.now);
+    script.shard.heartbeat(&old, script.now);
     script.settle();
     let probe = script.probes().remove(0);
     script.answered(&probe, CommandOutcome::Refused(old));
@@ -645,7 +645,7 @@
 #[test]
 fn a_delegate_stops_what_belongs_to_jobs_that_are_over() {
     let mut script = Script::new(Loaded::default());
-    let report = script.report_of(
+    let heartbeat = script.heartbeat_of(
         "vm-1",
         TERM,
         vec![
@@ -654,7 +654,7 @@
             listed("run-2/1", 3, TaskState::Ended, Some(Ending::Done)),
         ],
     );
-    let commands = delegate_commands(&report, |job| job == "run-1");
+    let commands = delegate_commands(&heartbeat, |job| job == "run-1");
     let stop = Command::Stop {
         task: TaskId::parse("run-2/0").expect("task id"),
         attempt: 2,
@@ -675,9 +675,9 @@
     for step in 0..4 {
         for probe in script.probes() {
             let answered = &*probe.0 != "vm-00" && (step > 0 || &*probe.0 < "vm-15");
-            let report = script.report_of(&probe.0, TERM, Vec::new());
+            let heartbeat = script.heartbeat_of(&probe.0, TERM, Vec::new());
             let outcome = if answered {
-                CommandOutcome::Executed(report)
+                CommandOutcome::Executed(heartbeat)
             } else {
                 CommandOutcome::NoAnswer
             };
@@ -703,8 +703,8 @@
     // Their delegate keeps vm-0 and vm-3 alive, but says nothing of them.
     script.shard.delegate("beta", script.now);
     for _ in 0..80 {
-        script.report("vm-1", Vec::new());
-        script.report("vm-2", Vec::new());
+        script.heartbeat("vm-1", Vec::new());
+        script.heartbeat("vm-2", Vec::new());
         script.pass(Duration::from_secs(1));
     }
     assert!(script.shard.wants_inventories(), "two are unaccounted for");
@@ -712,12 +712,12 @@
     assert_eq!(kept, [true, true], "run-1 may need both");
 }
 
-/// Neither a copy of a report nor a list that lags brings a deleted machine back.
+/// Neither a copy of a heartbeat nor a list that lags brings a deleted machine back.
 #[test]
 fn a_copy_does_not_revive_a_deleted_machine() {
     let mut script = Script::new(Loaded::default());
-    let copy = script.report_of("vm-1", TERM, Vec::new());
-    script.shard.report(&copy, script.now);
+    let copy = script.heartbeat_of("vm-1", TERM, Vec::new());
+    script.shard.heartbeat(&copy, script.now);
     script.settle();
     let gone: MachineId = "vm-1".into();
     script
@@ -726,8 +726,8 @@
     script.submit("run-1", spec("blue", 1.0, 1));
     for _ in 0..60 {
         script.pass(Duration::from_secs(1));
-        let outcome = script.shard.report(&copy, script.now);
-        assert_eq!(outcome, ReportOutcome::Refuse);
+        let outcome = script.shard.heartbeat(&copy, script.now);
+        assert_eq!(outcome, HeartbeatOutcome::Refuse);
         script.settle();
     }
     assert!(script.shard.machines().get("vm-1").is_none());
@@ -735,27 +735,30 @@
 }
 
 /// Found on a random day with copies: the first thing heard of a machine was a
-/// copy from an earlier session. The new session then looked like the end of all
+/// copy from an earlier agent epoch. The new agent epoch then looked like the end of all
 /// that might be there, but an earlier leader had started work in it.
 #[test]
-fn a_new_session_does_not_account_for_what_an_earlier_leader_started_in_it() {
+fn a_new_agent_epoch_does_not_account_for_what_an_earlier_leader_started_in_it() {
     let mut script = Script::new(Loaded {
         jobs: vec![("run-1".into(), TERM - 1, record(spec("blue", 1.0, 1)))],
         roster: vec![roster("vm-1")],
         ..Loaded::default()
     });
-    script.report("vm-2", Vec::new());
-    let copy = script.report_of("vm-1", TERM - 1, Vec::new());
-    script.shard.report(&copy, script.now);
-    let mut real = script.report_of("vm-1", TERM - 1, Vec::new());
-    real.session = 2;
-    script.shard.report(&real, script.now);
+    script.heartbeat("vm-2", Vec::new());
+    let copy = script.heartbeat_of("vm-1", TERM - 1, Vec::new());
+    script.shard.heartbeat(&copy, script.now);
+    let mut real = script.heartbeat_of("vm-1", TERM - 1, Vec::new());
+    real.agent_epoch = 2;
+    script.shard.heartbeat(&real, script.now);
     script.settle();
-    assert!(script.launches().is_empty(), "run-1 may run in session 2");
+    assert!(
+        script.launches().is_empty(),
+        "run-1 may run in agent epoch 2"
+    );
     let runs = vec![listed("run-1/0", 7, TaskState::Running, None)];
-    let mut synced = script.report_of("vm-1", TERM, runs);
-    synced.session = 2;
-    script.shard.report(&synced, script.now);
+    let mut synced = script.heartbeat_of("vm-1", TERM, runs);
+    synced.agent_epoch = 2;
+    script.shard.heartbeat(&synced, script.now);
     script.pass(Duration::from_secs(1));
     assert!(script.launches().is_empty(), "it does");
 }
@@ -799,14 +802,14 @@
     let mut script = Script::new(one_old_job(2, &["vm-1", "vm-2"]));
     let running = listed("run-1/0", 7, TaskState::Running, None);
     let probe = script.probes().remove(0);
-    let report = script.report_of("vm-1", TERM, vec![running]);
-    script.answered(&probe, CommandOutcome::Executed(report));
+    let heartbeat = script.heartbeat_of("vm-1", TERM, vec![running]);
+    script.answered(&probe, CommandOutcome::Executed(heartbeat));
     script.pass(Duration::from_millis(300));
     assert!(
         script.launches().is_empty(),
         "the other task may be on vm-2"
     );
-    script.report("vm-1", Vec::new());
+    script.heartbeat("vm-1", Vec::new());
     script.pass(Duration::from_millis(300));
     let launches = script.launches();
     assert_eq!(launches.len(), 1);
@@ -823,9 +826,9 @@
     let mut script = Script::new(loaded);
     let running = |n| listed(&format!("run-1/{n}"), 7, TaskState::Running, None);
     let probe = script.probes().remove(0);
-    let report = script.report_of("vm-1", TERM, vec![running(0), running(1)]);
-    script.answered(&probe, CommandOutcome::Executed(report));
-    script.report("vm-1", vec![running(0)]);
+    let heartbeat = script.heartbeat_of("vm-1", TERM, vec![running(0), running(1)]);
+    script.answered(&probe, CommandOutcome::Executed(heartbeat));
+    script.heartbeat("vm-1", vec![running(0)]);
     script.pass(Duration::from_millis(300));
     // Two others may be on vm-2, in the same zone.
     assert!(script.launches().is_empty());
@@ -836,7 +839,7 @@
 #[test]
 fn room_is_made_for_as_many_tasks_as_wait() {
     let mut script = Script::new(Loaded::default());
-    script.report("vm-1", Vec::new());
+    script.heartbeat("vm-1", Vec::new());
     let lesser = JobSpec {
         priority: Priority::BestEffort,
         ..spec("blue", 1.0, 8)
@@ -864,14 +867,14 @@
         duration_s: 0.0,
         ..spec("red", 1.0, tasks)
     };
-    script.report("vm-1", Vec::new());
+    script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", service(1));
     obey(&mut script, "vm-1");
     script.submit("run-2", spec("blue", 1.0, 7));
     obey(&mut script, "vm-1");
     assert!(script.machine("vm-1").load.tasks.len() == 2, "full");
     // Another machine has room, but no services.
-    script.report("vm-2", Vec::new());
+    script.heartbeat("vm-2", Vec::new());
     script.pass(Duration::from_secs(1));
     script.submit("run-3", service(1));
     assert_eq!(stops(&obey(&mut script, "vm-1")), 1);
--- a/src/coordination/shard/tests/standstill.rs
+++ b/src/coordination/shard/tests/standstill.rs
@@ -14,7 +14,7 @@
 fn busy() -> Script {
     let mut script = Script::new(Loaded::default());
     for id in MACHINES.iter().chain(&MACHINES) {
-        script.report(id, Vec::new());
+        script.heartbeat(id, Vec::new());
     }
     script.submit("run-1", spec("blue", 8.0, MACHINES.len() as u32));
     execute(&mut script);
@@ -27,8 +27,8 @@
     for batch in script.batches() {
         let launch = |command: &&Command| matches!(command, Command::Launch { .. });
         launches += batch.2.iter().filter(launch).count();
-        let report = script.running(&batch.0);
-        script.answered(&batch, CommandOutcome::Executed(report));
+        let heartbeat = script.running(&batch.0);
+        script.answered(&batch, CommandOutcome::Executed(heartbeat));
     }
     launches
 }
@@ -41,7 +41,7 @@
 /// It was the controller that slept, not the machines: none is given back for its silence,
 /// and none of their tasks starts anew.
 #[test]
-fn an_leader_that_stood_still_takes_no_machine_for_silent() {
+fn a_leader_that_stood_still_takes_no_machine_for_silent() {
     for seconds in [3, 14, 20] {
         let mut script = busy();
         script.pass(Duration::from_secs(seconds));
@@ -50,12 +50,12 @@
             script.pass(Duration::from_millis(200));
         }
         assert_eq!(deletions(&script), 0, "after {seconds} s");
-        // Probes are answered, and reports come again one by one.
+        // Probes are answered, and heartbeats come again one by one.
         let mut launches = execute(&mut script);
         for id in MACHINES {
             script.pass(Duration::from_millis(800));
-            let report = script.running(id);
-            script.shard.report(&report, script.now);
+            let heartbeat = script.running(id);
+            script.shard.heartbeat(&heartbeat, script.now);
             launches += execute(&mut script);
         }
         assert_eq!(deletions(&script), 0, "after {seconds} s");
@@ -80,14 +80,14 @@
     script.pass(Duration::from_secs(40));
     script.batches();
     // Their workers began anew, all but one that another controller had answered: its
-    // session is taken for over, and gets no more work.
+    // agent epoch is taken for over, and gets no more work.
     for id in &MACHINES[1..] {
-        let mut report = script.report_of(id, super::script::TERM, Vec::new());
-        report.session = 2;
-        script.shard.report(&report, script.now);
+        let mut heartbeat = script.heartbeat_of(id, super::script::TERM, Vec::new());
+        heartbeat.agent_epoch = 2;
+        script.shard.heartbeat(&heartbeat, script.now);
     }
-    let late = script.report_of(MACHINES[0], super::script::TERM, vec![lines[0].clone()]);
-    script.shard.report(&late, script.now);
+    let late = script.heartbeat_of(MACHINES[0], super::script::TERM, vec![lines[0].clone()]);
+    script.shard.heartbeat(&late, script.now);
     script.settle();
     let launched = script.launches();
     assert!(
--- a/src/coordination/shard/tests/world.rs
+++ b/src/coordination/shard/tests/world.rs
@@ -11,12 +11,12 @@
 use serde_json::Value;
 
 use crate::coordination::shard::{
-    Action, CommandOutcome, Job, Loaded, LoadedMachine, Policy, RentalOutcome, ReportOutcome,
+    Action, CommandOutcome, HeartbeatOutcome, Job, Loaded, LoadedMachine, Policy, RentalOutcome,
     Shard, ShardWrite, TeamPolicy,
 };
 use crate::protocol::cloud::{Listed, ListedState, MachineType, Rental};
 use crate::protocol::users::{JobKind, JobSpec, Priority, Stage};
-use crate::protocol::workers::{Command, Ending, Report, TaskReport, TaskState};
+use crate::protocol::workers::{Command, Ending, TaskState, TaskStatus, WorkerHeartbeat};
 use crate::protocol::{MachineId, TaskId};
 use crate::storage::keys;
 use crate::storage::records::{FinalRecord, JobRecord, VERSION};
@@ -30,7 +30,7 @@
 /// is gone.
 pub const GANG_WAIT: Duration = Duration::from_secs(30);
 const GANG_PEER: Duration = Duration::from_secs(3);
-/// Share of the reports that come a second time.
+/// Share of the heartbeats that come a second time.
 const COPIES: f64 = 0.1;
 pub const STEP: Duration = Duration::from_millis(100);
 
@@ -97,7 +97,7 @@
         wait_within: HashMap::new(),
         finish_within: HashMap::new(),
         deadline_times: HashMap::new(),
-        report: Duration::from_secs(3),
+        heartbeat_interval: Duration::from_secs(3),
         worker_lease: LEASE,
         gang_wait: GANG_WAIT,
         alone: ALONE,
@@ -131,12 +131,12 @@
     id: String,
     zone: String,
     spot: bool,
-    session: u64,
-    seq: u64,
+    agent_epoch: u64,
+    sequence: u64,
     term: u64,
-    /// When the last report that was answered left, or the session began.
+    /// When the last heartbeat that was answered left, or the agent epoch began.
     answered_sent: Instant,
-    next_report: Instant,
+    next_heartbeat: Instant,
     tasks: BTreeMap<(TaskId, u64), WorkerTask>,
     /// Everything to and from it is held until then.
     cut_until: Option<Instant>,
@@ -147,7 +147,7 @@
     hang_until: Option<Instant>,
     /// Neither answers nor commands reach it until then.
     deaf_until: Option<Instant>,
-    /// None of its reports reaches a controller until then.
+    /// None of its heartbeats reaches a controller until then.
     mute_until: Option<Instant>,
     dead: bool,
 }
@@ -158,22 +158,22 @@
 }
 
 impl Worker {
-    fn report(&mut self) -> Report {
-        self.seq += 1;
-        Report {
+    fn heartbeat(&mut self) -> WorkerHeartbeat {
+        self.sequence += 1;
+        WorkerHeartbeat {
             machine: self.id.clone(),
             addr: "10.0.0.1:9000".into(),
             machine_type: "m8".into(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
+            agent_epoch: self.agent_epoch,
+            sequence: self.sequence,
             term: self.term,
             notice_s: None,
             tasks: self
                 .tasks
                 .iter()
-                .map(|((task, take), state)| TaskReport {
+                .map(|((task, take), state)| TaskStatus {
                     task: task.clone(),
                     attempt: *take,
                     state: state.state,
@@ -186,19 +186,19 @@
 
 #[derive(Debug, Clone)]
 enum Message {
-    Report {
+    WorkerHeartbeat {
         sent: Instant,
-        report: Report,
+        heartbeat: WorkerHeartbeat,
     },
-    /// A report once more, seconds to well over a lease late; nobody waits for
+    /// A heartbeat once more, seconds to well over a lease late; nobody waits for
     /// its answer.
     Copy {
-        report: Report,
+        heartbeat: WorkerHeartbeat,
     },
     Answer {
         machine: String,
         sent: Instant,
-        session: u64,
+        agent_epoch: u64,
         term: u64,
         commands: Vec<Command>,
     },
@@ -208,7 +208,7 @@
         machine: String,
         number: u64,
         term: u64,
-        session: u64,
+        agent_epoch: u64,
         commands: Vec<Command>,
     },
     CommandAnswer {
@@ -273,7 +273,7 @@
     /// Odds of trouble for each message.
     pub loss: f64,
     pub late: f64,
-    /// Odds that a report goes to a controller that isn't the leader.
+    /// Odds that a heartbeat goes to a controller that isn't the leader.
     pub astray: f64,
     queue: BTreeMap<(Instant, u64), Message>,
     next_message: u64,
@@ -463,7 +463,7 @@
             match action {
                 Action::Command {
                     machine,
-                    session,
+                    agent_epoch,
                     number,
                     commands,
                     ..
@@ -488,7 +488,7 @@
                         machine,
                         number,
                         term,
-                        session,
+                        agent_epoch,
                         commands,
                     });
                 }
@@ -543,7 +543,7 @@
         }
         let machine = match &message {
             Message::Commands { machine, .. } | Message::Answer { machine, .. } => Some(machine),
-            Message::Report { report, .. } => Some(&report.machine),
+            Message::WorkerHeartbeat { heartbeat, .. } => Some(&heartbeat.machine),
             _ => None,
         };
         if let Some(until) = machine
@@ -590,20 +590,20 @@
     fn deliver(&mut self, message: Message) {
         let now = self.now;
         match message {
-            Message::Report { sent, report } => {
+            Message::WorkerHeartbeat { sent, heartbeat } => {
                 // Some go to another controller first, which sends them on.
                 if self.rng.random_bool(self.astray) {
                     return;
                 }
-                let worker = self.workers.get(&report.machine);
+                let worker = self.workers.get(&heartbeat.machine);
                 if worker.is_some_and(|worker| lasts(worker.mute_until, sent)) {
                     return;
                 }
-                let machine = report.machine.clone();
-                let session = report.session;
+                let machine = heartbeat.machine.clone();
+                let agent_epoch = heartbeat.agent_epoch;
                 let mut answer = None;
                 self.tell(|shard| {
-                    if let ReportOutcome::Answer(commands) = shard.report(&report, now) {
+                    if let HeartbeatOutcome::Answer(commands) = shard.heartbeat(&heartbeat, now) {
                         answer = Some((shard.term, commands));
                     }
                 });
@@ -611,19 +611,19 @@
                     self.send(Message::Answer {
                         machine,
                         sent,
-                        session,
+                        agent_epoch,
                         term,
                         commands,
                     });
                 }
             }
-            Message::Copy { report } => self.tell(|shard| {
-                shard.report(&report, now);
+            Message::Copy { heartbeat } => self.tell(|shard| {
+                shard.heartbeat(&heartbeat, now);
             }),
             Message::Answer {
                 machine,
                 sent,
-                session,
+                agent_epoch,
                 term,
                 commands,
             } => {
@@ -634,7 +634,7 @@
                 if worker.dead
                     || late
                     || lasts(worker.deaf_until, now)
-                    || worker.session != session
+                    || worker.agent_epoch != agent_epoch
                     || term < worker.term
                 {
                     return;
@@ -648,7 +648,7 @@
                 machine,
                 number,
                 term,
-                session,
+                agent_epoch,
                 commands,
             } => {
                 let Some(worker) = self.workers.get_mut(&machine) else {
@@ -678,13 +678,13 @@
                             machine,
                             number,
                             term,
-                            session,
+                            agent_epoch,
                             commands,
                         },
                     );
                     return;
                 }
-                let taken = term >= worker.term && session == worker.session;
+                let taken = term >= worker.term && agent_epoch == worker.agent_epoch;
                 if taken {
                     worker.term = term;
                     self.execute(&machine, &commands);
@@ -692,11 +692,11 @@
                 let Some(worker) = self.workers.get_mut(&machine) else {
                     return;
                 };
-                let report = worker.report();
+                let heartbeat = worker.heartbeat();
                 let outcome = if taken {
-                    CommandOutcome::Executed(report)
+                    CommandOutcome::Executed(heartbeat)
                 } else {
-                    CommandOutcome::Refused(report)
+                    CommandOutcome::Refused(heartbeat)
                 };
                 if !self.rng.random_bool(self.loss) {
                     self.send(Message::CommandAnswer {
@@ -903,11 +903,11 @@
                 id: id.to_owned(),
                 zone: zone.to_owned(),
                 spot,
-                session: 1,
-                seq: 0,
+                agent_epoch: 1,
+                sequence: 0,
                 term: 0,
                 answered_sent: self.now,
-                next_report: self.now,
+                next_heartbeat: self.now,
                 tasks: BTreeMap::new(),
                 cut_until: None,
                 kept: None,
@@ -1042,7 +1042,7 @@
                         since: now,
                     };
                     worker.tasks.insert(key, state);
-                    worker.next_report = now;
+                    worker.next_heartbeat = now;
                 }
                 Command::Stop { task, attempt, .. } => {
                     if let Some(state) = worker.tasks.get_mut(&(task.clone(), *attempt))
@@ -1050,7 +1050,7 @@
                     {
                         state.state = TaskState::Ended;
                         state.ending = Some(Ending::Stopped);
-                        worker.next_report = now;
+                        worker.next_heartbeat = now;
                     }
                 }
                 Command::Clear { task, attempt } => {
@@ -1082,11 +1082,11 @@
             worker.kept = worker.kept.filter(|(_, until)| cut && *until > now);
             // A hanging machine can continue only within its lease.
             if now - worker.answered_sent > LEASE {
-                worker.session += 1;
-                worker.seq = 0;
+                worker.agent_epoch += 1;
+                worker.sequence = 0;
                 worker.answered_sent = now;
                 worker.tasks.clear();
-                worker.next_report = now;
+                worker.next_heartbeat = now;
             }
             if worker.hang_until.is_some_and(|until| until > now) {
                 continue;
@@ -1107,7 +1107,7 @@
                         state.state = TaskState::Running;
                         started.push(task.clone());
                     }
-                    worker.next_report = now;
+                    worker.next_heartbeat = now;
                 } else if state.state == TaskState::Running && state.ends <= now {
                     let batch = self
                         .specs
@@ -1117,14 +1117,15 @@
                         state.state = TaskState::Ended;
                         state.ending = Some(Ending::Done);
                         self.done.insert(task.clone());
-                        worker.next_report = now;
+                        worker.next_heartbeat = now;
                     }
                 }
             }
-            let due = worker.next_report <= now;
-            let report = due.then(|| worker.report());
+            let due = worker.next_heartbeat <= now;
+            let heartbeat = due.then(|| worker.heartbeat());
             if due {
-                worker.next_report = now + Duration::from_millis(self.rng.random_range(2250..3750));
+                worker.next_heartbeat =
+                    now + Duration::from_millis(self.rng.random_range(2250..3750));
             }
             if let Some((term, until)) = worker.kept.filter(|(term, _)| due && *term >= worker.term)
             {
@@ -1140,13 +1141,16 @@
                 }
                 self.kept.insert(term, now);
             }
-            if let Some(report) = report {
+            if let Some(heartbeat) = heartbeat {
                 if self.rng.random_bool(COPIES) {
                     let late = Duration::from_millis(self.rng.random_range(1_000..60_000));
-                    let report = report.clone();
-                    self.later(late, Message::Copy { report });
+                    let heartbeat = heartbeat.clone();
+                    self.later(late, Message::Copy { heartbeat });
                 }
-                self.send(Message::Report { sent: now, report });
+                self.send(Message::WorkerHeartbeat {
+                    sent: now,
+                    heartbeat,
+                });
             }
             for task in started {
                 self.check_start(&task, &id);
@@ -1207,7 +1211,7 @@
                         self.done.insert(task.clone());
                     }
                     (state.state, state.ending) = (next, ending);
-                    worker.next_report = now;
+                    worker.next_heartbeat = now;
                 }
             }
         }
--- a/src/coordination/shard/tests/zones.rs
+++ b/src/coordination/shard/tests/zones.rs
@@ -10,9 +10,9 @@
 
 /// A machine of eight cores that is up.
 fn machine(script: &mut Script, id: &str, zone: &str) {
-    let mut report = script.report_of(id, super::script::TERM, Vec::new());
-    report.zone = zone.into();
-    script.shard.report(&report, script.now);
+    let mut heartbeat = script.heartbeat_of(id, super::script::TERM, Vec::new());
+    heartbeat.zone = zone.into();
+    script.shard.heartbeat(&heartbeat, script.now);
     script.settle();
     script.settle();
 }
@@ -38,9 +38,9 @@
         }
         for id in ["vm-1", "vm-2"] {
             if script.shard.machines().contains(id) {
-                let mut report = script.running(id);
-                report.zone = script.machine(id).zone.to_string();
-                script.shard.report(&report, script.now);
+                let mut heartbeat = script.running(id);
+                heartbeat.zone = script.machine(id).zone.to_string();
+                script.shard.heartbeat(&heartbeat, script.now);
             }
         }
     }
--- a/src/coordination/tests/cancellation_knowledge.rs
+++ b/src/coordination/tests/cancellation_knowledge.rs
@@ -5,10 +5,9 @@
 
 use serde_json::json;
 
-use super::{node, peer, report};
+use super::{heartbeat, node, peer};
 use crate::clock::FakeClock;
 use crate::coordination::advance_delegation::AdvanceGrants;
-use crate::coordination::answering::{ReportReply, answer_report};
 use crate::coordination::cancellation_knowledge::{CancellationKnowledge, bound};
 use crate::coordination::lease::ShardLease;
 use crate::coordination::node::{Node, STATE_DEADLINE};
@@ -17,11 +16,12 @@
     confirmed_cancellations, note_peer_cancellations,
 };
 use crate::coordination::shard::{Loaded, Shard};
+use crate::coordination::worker_heartbeats::{HeartbeatDecision, handle_heartbeat};
 use crate::protocol::TaskId;
 use crate::protocol::peer_messages::{CancellationsRequest, ConfirmedCancellations};
 use crate::protocol::state::News;
 use crate::protocol::users::{JobSpec, Stage, parse_submission};
-use crate::protocol::workers::{Command, TaskReport, TaskState};
+use crate::protocol::workers::{Command, TaskState, TaskStatus};
 use crate::storage::keys;
 use crate::storage::records::{FinalRecord, JobRecord, VERSION};
 
@@ -52,7 +52,7 @@
     leader: Arc<Node>,
     peer: Arc<Node>,
     lease: Arc<ShardLease>,
-    seq: u64,
+    sequence: u64,
 }
 
 impl Gap {
@@ -94,7 +94,7 @@
             leader,
             peer,
             lease,
-            seq: 1,
+            sequence: 1,
         }
     }
 
@@ -124,20 +124,20 @@
         note_peer_cancellations(&self.leader, "n1", self.leader.now(), self.told_by(peer));
     }
 
-    /// The worker that runs the job's task reports to the leader: the commands
+    /// The worker that runs the job's task heartbeats to the leader: the commands
     /// that it is answered, if its lease goes on.
-    fn report(&mut self) -> Option<Vec<Command>> {
-        self.seq += 1;
-        let mut report = report(TERM);
-        report.seq = self.seq;
-        report.tasks = vec![TaskReport {
+    fn heartbeat(&mut self) -> Option<Vec<Command>> {
+        self.sequence += 1;
+        let mut heartbeat = heartbeat(TERM);
+        heartbeat.sequence = self.sequence;
+        heartbeat.tasks = vec![TaskStatus {
             task: TaskId::parse("run-000001/0").expect("a task"),
             attempt: 1,
             state: TaskState::Running,
             ending: None,
         }];
-        match answer_report(&self.leader, &report) {
-            ReportReply::Renewed(answer) => Some(answer.commands),
+        match handle_heartbeat(&self.leader, &heartbeat) {
+            HeartbeatDecision::Renewed(answer) => Some(answer.commands),
             _ => None,
         }
     }
@@ -152,40 +152,46 @@
 /// an outage for all: the leader learns of the cancellation from that controller,
 /// and no worker loses its lease however long the outage takes.
 #[tokio::test]
-async fn an_leader_learns_from_its_peers_what_they_cancelled_before_an_outage() {
+async fn a_leader_learns_from_its_peers_what_they_cancelled_before_an_outage() {
     let mut gap = Gap::new().await;
-    assert!(!stops(gap.report()));
+    assert!(!stops(gap.heartbeat()));
     gap.pass(second(1));
     gap.peer_cancels();
     gap.pass(second(1));
-    assert!(!stops(gap.report()), "nobody has told it yet");
+    assert!(!stops(gap.heartbeat()), "nobody has told it yet");
     gap.ask(&gap.peer.clone());
-    assert!(stops(gap.report()), "the task is stopped within a report");
+    assert!(
+        stops(gap.heartbeat()),
+        "the task is stopped within a heartbeat"
+    );
     for _ in 0..100 {
         gap.pass(second(1));
         gap.ask(&gap.peer.clone());
-        assert!(gap.report().is_some(), "a word a second keeps all leases");
+        assert!(
+            gap.heartbeat().is_some(),
+            "a word a second keeps all leases"
+        );
     }
 }
 
 /// The same beside a controller that says nothing of what it told: an older
 /// version, or one that can't be reached. The promise alone must not be enough.
 #[tokio::test]
-async fn an_leader_that_can_not_know_of_cancellations_lets_leases_end() {
+async fn a_leader_that_can_not_know_of_cancellations_lets_leases_end() {
     let mut gap = Gap::new().await;
     let bound = bound(&gap.leader.settings);
     let workers = &gap.leader.settings.platform.settings.workers;
     let latest = gap.leader.now() + workers.cancel() - workers.lease();
     gap.peer_cancels();
     gap.pass(bound - second(1));
-    assert!(gap.report().is_some());
+    assert!(gap.heartbeat().is_some());
     gap.pass(second(1));
     assert!(gap.leader.now() < latest);
     assert!(gap.lease.live(gap.leader.now()), "the promises still come");
-    assert_eq!(gap.report(), None);
+    assert_eq!(gap.heartbeat(), None);
     // The state service answers again: a look, and all is as before.
     gap.leader.lock().cancellations.caught_up(gap.leader.now());
-    assert!(gap.report().is_some());
+    assert!(gap.heartbeat().is_some());
 }
 
 /// The controller that cancelled has ended since: its next run remembers nothing,
@@ -201,7 +207,7 @@
         gap.pass(second(1));
         gap.ask(&restarted);
     }
-    assert_eq!(gap.report(), None);
+    assert_eq!(gap.heartbeat(), None);
 }
 
 /// Neither does the word of one that doesn't remember all.
@@ -218,7 +224,7 @@
         gap.pass(second(1));
         gap.ask(&gap.peer.clone());
     }
-    assert_eq!(gap.report(), None);
+    assert_eq!(gap.heartbeat(), None);
 }
 
 /// What a look tells the ledger, the shard is told as well: its own watch may
@@ -232,7 +238,7 @@
     };
     gap.leader.ledger.take(vec![gone], CANCELLED);
     gap.leader.tell_finished_jobs();
-    assert!(stops(gap.report()));
+    assert!(stops(gap.heartbeat()));
     // The watch, far behind, still tells of its acceptance.
     let lease = gap.lease.clone();
     let record = JobRecord {
--- a/src/coordination/tests/mod.rs
+++ b/src/coordination/tests/mod.rs
@@ -9,7 +9,7 @@
 
 use super::node::Node;
 use crate::clock::FakeClock;
-use crate::protocol::workers::Report;
+use crate::protocol::workers::WorkerHeartbeat;
 use crate::settings::platform::tests::EXAMPLE;
 use crate::settings::{Operator, Platform, Settings};
 
@@ -36,15 +36,15 @@
     Node::new(settings, clock)
 }
 
-fn report(term: u64) -> Report {
-    Report {
+fn heartbeat(term: u64) -> WorkerHeartbeat {
+    WorkerHeartbeat {
         machine: "vm-1".into(),
         addr: "10.0.0.1:9000".into(),
         machine_type: "m8".into(),
         zone: "north".into(),
         spot: false,
-        session: 1,
-        seq: 1,
+        agent_epoch: 1,
+        sequence: 1,
         term,
         notice_s: None,
         tasks: Vec::new(),
--- a/src/coordination/tests/peering.rs
+++ b/src/coordination/tests/peering.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{node, report};
+use super::{heartbeat, node};
 use crate::clock::FakeClock;
 use crate::coordination::advance_delegation::{self, AdvanceGrants};
 use crate::coordination::lease::ShardLease;
@@ -14,7 +14,7 @@
 use crate::coordination::peering::heartbeat::{heartbeat_answered, note_heartbeat, own_heartbeat};
 use crate::coordination::shard::{Loaded, Shard};
 use crate::protocol::peer_messages::{RevivalVote, ReviveLease};
-use crate::protocol::peers::Heartbeat;
+use crate::protocol::peers::PeerHeartbeat;
 
 /// Has a controller own an empty shard.
 pub(super) fn own(node: &Node, term: u64) -> Arc<ShardLease> {
@@ -71,9 +71,9 @@
     let node = node(clock.clone());
     node.lock().types = Some(Vec::new());
     let _ = node.state.get("o/0/owner", STATE_DEADLINE).await;
-    let peer = Heartbeat {
+    let peer = PeerHeartbeat {
         label: "beta".into(),
-        ..Heartbeat::default()
+        ..PeerHeartbeat::default()
     };
     note_heartbeat(&node, peer.clone());
     assert!(node.ready(), "an outage for all: nobody is served anyway");
@@ -92,50 +92,50 @@
 async fn a_controller_cut_from_store_and_leader_keeps_workers_for_a_while() {
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
-    let mut report = report(5);
+    let mut heartbeat = heartbeat(5);
     node.lock().cancellations.caught_up(node.now());
-    let leader = Heartbeat {
+    let leader = PeerHeartbeat {
         label: "beta".into(),
         term: Some(7),
-        ..Heartbeat::default()
+        ..PeerHeartbeat::default()
     };
     heartbeat_answered(&node, leader, node.now(), None);
     clock.advance(advance_delegation::LEADER_SILENT);
     assert_eq!(
-        node.delegated_term(&report),
+        node.delegated_term(&heartbeat),
         None,
         "the state service may answer"
     );
     let _ = node.state.get("o/0/owner", STATE_DEADLINE).await;
-    assert_eq!(node.delegated_term(&report), Some(7));
+    assert_eq!(node.delegated_term(&heartbeat), Some(7));
     assert_eq!(own_heartbeat(&node).answered_alone_ago_ms, 0);
-    report.term = 8;
+    heartbeat.term = 8;
     assert_eq!(
-        node.delegated_term(&report),
+        node.delegated_term(&heartbeat),
         None,
         "the worker obeys another"
     );
-    report.term = 7;
+    heartbeat.term = 7;
     // The leader heard again, even by an old message: it answers, not we.
-    let heartbeat = Heartbeat {
+    let from_leader = PeerHeartbeat {
         label: "beta".into(),
         term: Some(7),
-        ..Heartbeat::default()
+        ..PeerHeartbeat::default()
     };
-    note_heartbeat(&node, heartbeat);
+    note_heartbeat(&node, from_leader);
     // An older one without a term, which comes late, takes nothing back.
-    let before = Heartbeat {
+    let before = PeerHeartbeat {
         label: "beta".into(),
-        ..Heartbeat::default()
+        ..PeerHeartbeat::default()
     };
     note_heartbeat(&node, before);
-    assert_eq!(node.delegated_term(&report), None);
+    assert_eq!(node.delegated_term(&heartbeat), None);
     clock.advance(advance_delegation::LEADER_SILENT);
-    assert_eq!(node.delegated_term(&report), Some(7));
+    assert_eq!(node.delegated_term(&heartbeat), Some(7));
     let workers = &node.settings.platform.settings.workers;
     clock.advance(workers.cancel() - workers.lease() - advance_delegation::LEADER_SILENT * 2);
     assert_eq!(
-        node.delegated_term(&report),
+        node.delegated_term(&heartbeat),
         None,
         "a job may have been cancelled"
     );
@@ -145,17 +145,17 @@
 /// falls out for all: the new leader needs the promise of the old, which was never
 /// told that its lease has ended. Its term in the new leader's heartbeat tells it.
 #[tokio::test]
-async fn an_leader_that_hears_of_a_later_one_gives_up_and_promises() {
+async fn a_leader_that_hears_of_a_later_one_gives_up_and_promises() {
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
     let now = node.now();
     let lease = own(&node, 9);
     let _ = node.state.get("o/0/owner", STATE_DEADLINE).await;
     clock.advance(Duration::from_secs(4));
-    let heartbeat = |term| Heartbeat {
+    let heartbeat = |term| PeerHeartbeat {
         label: "n1".into(),
         term: Some(term),
-        ..Heartbeat::default()
+        ..PeerHeartbeat::default()
     };
     note_heartbeat(&node, heartbeat(8));
     assert!(
@@ -217,19 +217,19 @@
 
 /// A leader that a cut has taken from the state service and all others.
 #[tokio::test]
-async fn an_leader_past_its_deadline_keeps_its_workers_and_gives_no_commands() {
+async fn a_leader_past_its_deadline_keeps_its_workers_and_gives_no_commands() {
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
     node.lock().cancellations.caught_up(node.now());
     let lease = own(&node, 9);
     let _ = node.state.get("o/0/owner", STATE_DEADLINE).await;
     clock.advance(Duration::from_secs(4));
-    let report = report(9);
+    let heartbeat = heartbeat(9);
     assert!(node.live_lease().is_none());
-    assert_eq!(node.delegated_term(&report), Some(9));
+    assert_eq!(node.delegated_term(&heartbeat), Some(9));
     lease.finish();
     assert_eq!(
-        node.delegated_term(&report),
+        node.delegated_term(&heartbeat),
         None,
         "its lease is known to have ended"
     );
--- a/src/coordination/tests/reach.rs
+++ b/src/coordination/tests/reach.rs
@@ -9,7 +9,7 @@
 use tokio::net::TcpListener;
 
 use super::peering::own;
-use super::{node, report};
+use super::{heartbeat, node};
 use crate::clock::FakeClock;
 use crate::coordination::node::Node;
 use crate::coordination::peering::heartbeat::own_heartbeat;
@@ -20,9 +20,11 @@
 /// A leader that has heard one worker, some time ago.
 fn leader_of_a_silent_worker(clock: &FakeClock, node: &Arc<Node>, addr: SocketAddr) {
     let lease = own(node, TERM);
-    let mut report = report(TERM);
-    report.addr = addr.to_string();
-    node.with_shard(&lease, "reports", |shard, now| shard.report(&report, now));
+    let mut heartbeat = heartbeat(TERM);
+    heartbeat.addr = addr.to_string();
+    node.with_shard(&lease, "reports", |shard, now| {
+        shard.heartbeat(&heartbeat, now)
+    });
     clock.advance(Duration::from_secs(20));
     note_unfit(node);
     node.lock().leadership = None;
@@ -31,7 +33,7 @@
 /// Found by reading: after 30 s a leader that still heard nobody counted as fit, and was
 /// handed the shard again for being nearer to the machines.
 #[tokio::test]
-async fn an_leader_that_heard_too_few_stays_unfit_while_they_do_not_answer() {
+async fn a_leader_that_heard_too_few_stays_unfit_while_they_do_not_answer() {
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
     // Nothing listens on port 1.
@@ -50,7 +52,7 @@
 }
 
 #[tokio::test]
-async fn an_leader_that_heard_too_few_is_fit_again_some_time_after_they_answer() {
+async fn a_leader_that_heard_too_few_is_fit_again_some_time_after_they_answer() {
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
--- a/src/coordination/tests/scale.rs
+++ b/src/coordination/tests/scale.rs
@@ -7,14 +7,14 @@
 use tokio::net::TcpListener;
 
 use super::peering::own;
-use super::{node, peer, report};
+use super::{heartbeat, node, peer};
 use crate::clock::FakeClock;
 use crate::coordination::node::Node;
 use crate::coordination::peering::heartbeat::{leader_heartbeat, note_heartbeat};
 use crate::coordination::shard::TaskCounts;
 use crate::protocol::TaskId;
 use crate::protocol::peers::{PeerRequest, encode_request};
-use crate::protocol::workers::{TaskReport, TaskState};
+use crate::protocol::workers::{TaskState, TaskStatus};
 use crate::storage::records::{JobRecord, VERSION};
 use crate::transport::client::HttpClient;
 use crate::transport::internal;
@@ -44,17 +44,17 @@
             shard.job_put(&format!("run-{n:06}"), TERM + 1, record, now);
         }
         for first in (0..BEGUN).step_by(TASKS_ON_ONE) {
-            let mut running = report(TERM);
+            let mut running = heartbeat(TERM);
             running.machine = format!("vm-{first:06}");
             running.tasks = (first..first + TASKS_ON_ONE as u32)
-                .map(|n| TaskReport {
+                .map(|n| TaskStatus {
                     task: TaskId::parse(&format!("run-{n:06}/0")).expect("a task"),
                     attempt: 9,
                     state: TaskState::Running,
                     ending: None,
                 })
                 .collect();
-            shard.report(&running, now);
+            shard.heartbeat(&running, now);
         }
         shard.tick(now);
     });
@@ -63,7 +63,7 @@
 /// A heartbeat told of every unfinished job: at 75,000 it was larger than what its receiver
 /// reads, and its sender seemed to be gone.
 #[tokio::test]
-async fn the_heartbeat_of_an_leader_of_a_hundred_thousand_jobs_is_read() {
+async fn the_heartbeat_of_a_leader_of_a_hundred_thousand_jobs_is_read() {
     let clock = Arc::new(FakeClock::new());
     let (sender, receiver) = (node(clock.clone()), peer(clock.clone()));
     leader_of_many_jobs(&sender);
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Archive, Serialize, Deserialize)]
 pub enum PeerRequest {
     /// How are you, and whom do you hear? Sent about once a second.
-    Heartbeat(Heartbeat),
+    Heartbeat(PeerHeartbeat),
     /// The leader can't reach the state service: will you leave the shard alone
     /// for this long?
     ExtendLease {
@@ -28,14 +28,14 @@
 
 /// What a controller knows of itself.
 #[derive(Debug, Clone, Default, PartialEq, Archive, Serialize, Deserialize)]
-pub struct Heartbeat {
+pub struct PeerHeartbeat {
     /// Its label.
     pub label: String,
     /// Its zone.
     pub zone: String,
     /// Whether the state service answered it lately.
     pub state_served: bool,
-    /// Machines whose workers tried to report to it lately.
+    /// Machines whose workers tried to send heartbeats to it lately.
     pub workers_heard: u32,
     /// Seconds since it started.
     pub up_s: u64,
@@ -66,7 +66,7 @@
 #[derive(Debug, Clone, Archive, Serialize, Deserialize)]
 pub enum PeerAnswer {
     /// The answering controller's own.
-    Heartbeat(Heartbeat),
+    Heartbeat(PeerHeartbeat),
     /// Whether the promise is given.
     LeaseExtension {
         /// Whether it leaves the shard alone for so long.
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,4 +1,4 @@
-//! What workers report and which commands they take.
+//! What workers heartbeat and which commands they take.
 
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -52,9 +52,9 @@
     Other,
 }
 
-/// One line of a report.
+/// One line of a heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     /// The task.
     #[serde(rename = "Voice", with = "task_id")]
     pub task: TaskId,
@@ -69,9 +69,9 @@
     pub ending: Option<Ending>,
 }
 
-/// A worker's report.
+/// A worker's heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Report {
+pub struct WorkerHeartbeat {
     /// The machine's name.
     #[serde(rename = "Stand")]
     pub machine: String,
@@ -87,12 +87,12 @@
     /// Whether it is a spot machine.
     #[serde(rename = "Borrowed")]
     pub spot: bool,
-    /// The worker's session: one more each time its lease expires.
+    /// The worker's agent epoch: one more each time its lease expires.
     #[serde(rename = "Rehearsal")]
-    pub session: u64,
-    /// Increases with every report and every answer of the session.
+    pub agent_epoch: u64,
+    /// Increases with every heartbeat and every answer of the agent epoch.
     #[serde(rename = "Bar")]
-    pub seq: u64,
+    pub sequence: u64,
     /// The highest term that it has seen.
     #[serde(rename = "Baton")]
     pub term: u64,
@@ -101,7 +101,7 @@
     pub notice_s: Option<f64>,
     /// All tasks on the machine, ended ones too until they are cleared.
     #[serde(rename = "Voices")]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// A command to a worker.
@@ -129,7 +129,7 @@
         #[serde(rename = "RestS")]
         grace_s: f64,
     },
-    /// Removes an ended task from the reports.
+    /// Removes an ended task from the heartbeats.
     Clear {
         /// The task.
         #[serde(rename = "Voice", with = "task_id")]
@@ -140,9 +140,9 @@
     },
 }
 
-/// The answer to a report.
+/// The answer to a heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
-pub struct ReportAnswer {
+pub struct HeartbeatResponse {
     /// The term of the controller that answers.
     #[serde(rename = "Baton")]
     pub term: u64,
@@ -157,18 +157,18 @@
     /// The term of the controller that commands.
     #[serde(rename = "Baton")]
     pub term: u64,
-    /// The session in which they are to be executed.
+    /// The agent epoch in which they are to be executed.
     #[serde(rename = "Rehearsal")]
-    pub session: u64,
+    pub agent_epoch: u64,
     /// What the worker is to do.
     #[serde(rename = "Cues")]
     pub commands: Vec<Command>,
 }
 
-/// Where a worker should report instead.
+/// Where a worker should send heartbeats instead.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Redirect {
-    /// The label of the controller to report to, if it is known.
+    /// The label of the controller to send heartbeats to, if it is known.
     #[serde(rename = "Conductor", skip_serializing_if = "Option::is_none")]
     pub leader: Option<String>,
 }
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -22,10 +22,10 @@
     pub staleness_s: f64,
     /// Share of the state service's writes that snapshots may use.
     pub snapshot_write_share: f64,
-    /// Silence past the latest usual report after which a machine gets no new
+    /// Silence past the latest usual heartbeat after which a machine gets no new
     /// tasks.
     pub suspect_late_s: f64,
-    /// Silence past the latest usual report after which a machine is given back,
+    /// Silence past the latest usual heartbeat after which a machine is given back,
     /// so that its tasks can move.
     pub abandon_late_s: f64,
     /// Capacity held ready, as a multiple of what runs and waits.
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -70,9 +70,9 @@
 /// How workers behave.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Workers {
-    /// The usual pause between two reports.
+    /// The usual pause between two heartbeats.
     #[serde(rename = "report_s")]
-    pub report_s: f64,
+    pub heartbeat_interval_s: f64,
     /// How long a worker's lease lasts.
     pub lease_s: f64,
     /// How long a cancelled job's tasks have to end.
@@ -95,14 +95,14 @@
 }
 
 impl Workers {
-    /// The usual pause between two reports.
-    pub fn report(&self) -> Duration {
-        Duration::from_secs_f64(self.report_s)
+    /// The usual pause between two heartbeats.
+    pub fn heartbeat_interval(&self) -> Duration {
+        Duration::from_secs_f64(self.heartbeat_interval_s)
     }
 
-    /// When the next report is due at the latest: pauses vary by a quarter.
-    pub fn latest_report(&self) -> Duration {
-        Duration::from_secs_f64(self.report_s * 1.25)
+    /// When the next heartbeat is due at the latest: pauses vary by a quarter.
+    pub fn latest_heartbeat(&self) -> Duration {
+        Duration::from_secs_f64(self.heartbeat_interval_s * 1.25)
     }
 
     /// How long a worker's lease lasts.
@@ -289,7 +289,7 @@
         rules.extend([
             named(
                 "settings.workers.lease_s",
-                workers.lease_s > workers.report_s,
+                workers.lease_s > workers.heartbeat_interval_s,
                 "must be above report_s",
             ),
             named(
@@ -345,7 +345,10 @@
     fn positive_numbers(&self) -> impl Iterator<Item = (&'static str, f64)> {
         let next = self.state.next.clone().unwrap_or_default();
         [
-            ("settings.workers.report_s", self.workers.report_s),
+            (
+                "settings.workers.report_s",
+                self.workers.heartbeat_interval_s,
+            ),
             ("settings.workers.lease_s", self.workers.lease_s),
             ("settings.workers.cancel_s", self.workers.cancel_s),
             ("settings.workers.gang_wait_s", self.workers.gang_wait_s),
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -4,7 +4,7 @@
 
 use crate::protocol::cloud::Rental;
 use crate::protocol::users::{JobSpec, Stage};
-use crate::protocol::workers::Report;
+use crate::protocol::workers::WorkerHeartbeat;
 
 /// The only shard so far: keys and interfaces carry it, one leader runs it.
 pub const SHARD: u32 = 0;
@@ -109,27 +109,27 @@
     /// The leader's term under which they reported.
     #[serde(rename = "term")]
     pub term: u64,
-    /// Whole reports.
+    /// Whole heartbeats.
     #[serde(rename = "reports")]
-    pub reports: Vec<Report>,
-    /// Parts of reports that are larger than a value may be. An older version ignores
+    pub heartbeats: Vec<WorkerHeartbeat>,
+    /// Parts of heartbeats that are larger than a value may be. An older version ignores
     /// this field.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub parts: Vec<ReportPart>,
+    pub parts: Vec<HeartbeatPart>,
 }
 
-/// A part of one report.
+/// A part of one heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct ReportPart {
-    /// The same for all parts of the report, and for no others.
+pub struct HeartbeatPart {
+    /// The same for all parts of the heartbeat, and for no others.
     pub group: u64,
-    /// How many tasks the whole report lists.
+    /// How many tasks the whole heartbeat lists.
     pub total: usize,
     /// How many of these come before this part's.
     pub first: usize,
-    /// The report with this part's tasks.
+    /// The heartbeat with this part's tasks.
     #[serde(rename = "report")]
-    pub report: Report,
+    pub heartbeat: WorkerHeartbeat,
 }
 
 /// The shard's sequence number.
--- a/src/transport/front.rs
+++ b/src/transport/front.rs
@@ -10,10 +10,10 @@
 use axum::routing::{get, post};
 use bytes::Bytes;
 
-use crate::coordination::answering::{self, ReportReply};
 use crate::coordination::node::Node;
 use crate::coordination::requests::{self, Ask, Reply};
-use crate::protocol::workers::Report;
+use crate::coordination::worker_heartbeats::{self, HeartbeatDecision};
+use crate::protocol::workers::WorkerHeartbeat;
 
 /// Largest request body.
 const MAX_BODY: usize = 64 * 1024;
@@ -29,7 +29,7 @@
         .route("/v1/jobs", post(submit))
         .route("/v1/jobs/{id}", get(poll))
         .route("/v1/jobs/{id}/cancel", post(cancel))
-        .route("/v1/report", post(report))
+        .route("/v1/report", post(heartbeat))
         .fallback(unknown_path)
         .with_state(node)
 }
@@ -87,8 +87,8 @@
 
 /// Workers come again every few seconds: when connections run short, they are
 /// told not to keep theirs.
-async fn report(State(node): App, body: Body) -> Response {
-    let mut response = answer_report(&node, body).await;
+async fn heartbeat(State(node): App, body: Body) -> Response {
+    let mut response = handle_heartbeat(&node, body).await;
     if node.front_places.crowded() {
         let close = header::HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
@@ -96,17 +96,17 @@
     response
 }
 
-async fn answer_report(node: &Arc<Node>, body: Body) -> Response {
-    let Some(report) = read_body(body)
+async fn handle_heartbeat(node: &Arc<Node>, body: Body) -> Response {
+    let Some(heartbeat) = read_body(body)
         .await
-        .and_then(|body| serde_json::from_slice::<Report>(&body).ok())
+        .and_then(|body| serde_json::from_slice::<WorkerHeartbeat>(&body).ok())
     else {
-        return respond(Reply::malformed("not a report", None));
+        return respond(Reply::malformed("not a heartbeat", None));
     };
-    match answering::answer_report(node, &report) {
-        ReportReply::Renewed(answer) => json(StatusCode::OK, &answer),
-        ReportReply::Refused => respond(Reply::unavailable("this machine is gone")),
-        ReportReply::Elsewhere(redirect) => json(StatusCode::MISDIRECTED_REQUEST, &redirect),
+    match worker_heartbeats::handle_heartbeat(node, &heartbeat) {
+        HeartbeatDecision::Renewed(answer) => json(StatusCode::OK, &answer),
+        HeartbeatDecision::Refused => respond(Reply::unavailable("this machine is gone")),
+        HeartbeatDecision::Elsewhere(redirect) => json(StatusCode::MISDIRECTED_REQUEST, &redirect),
     }
 }
 
--- a/tests/trial/main.rs
+++ b/tests/trial/main.rs
@@ -168,14 +168,14 @@
     answer.status == 201 || answer.status == 200
 }
 
-/// The one that answers a report's address question: the shard's leader.
+/// The one that answers a heartbeat's address question: the shard's leader.
 async fn leader(client: &HttpClient, controllers: &[Controller]) -> usize {
-    let report = json!({ "Stand": "vm-none", "Addr": "", "Instrument": "m4", "Hall": "north",
+    let heartbeat = json!({ "Stand": "vm-none", "Addr": "", "Instrument": "m4", "Hall": "north",
         "Borrowed": false, "Rehearsal": 1, "Bar": 1, "Baton": 0, "CueS": null, "Voices": [] });
     let end = Instant::now() + PATIENCE;
     while Instant::now() < end {
         for (at, controller) in controllers.iter().enumerate() {
-            let body = report.to_string().into_bytes();
+            let body = heartbeat.to_string().into_bytes();
             let answer = ask(client, controller, Method::POST, "/v1/report", body).await;
             if answer.is_some_and(|answer| answer.status == 200) {
                 return at;
--- a/tests/trial/support/cloud.rs
+++ b/tests/trial/support/cloud.rs
@@ -32,7 +32,7 @@
     answers: BTreeMap<String, Vec<String>>,
 }
 
-/// The stand-in's routes; its machines report to these controllers.
+/// The stand-in's routes; its machines heartbeat to these controllers.
 pub fn router(controllers: Vec<(String, SocketAddr)>) -> Router {
     let cloud = Cloud {
         controllers: Arc::new(controllers),
--- a/tests/trial/support/worker.rs
+++ b/tests/trial/support/worker.rs
@@ -1,4 +1,4 @@
-//! A worker: reports to one controller at a time, runs tasks by the clock.
+//! A worker: heartbeats to one controller at a time, runs tasks by the clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,11 +14,12 @@
 use tokio::net::TcpListener;
 use valegap::protocol::TaskId;
 use valegap::protocol::workers::{
-    Command, CommandBatch, Ending, Redirect, Report, ReportAnswer, TaskReport, TaskState,
+    Command, CommandBatch, Ending, HeartbeatResponse, Redirect, TaskState, TaskStatus,
+    WorkerHeartbeat,
 };
 use valegap::transport::client::HttpClient;
 
-const REPORT: Duration = Duration::from_millis(500);
+const HEARTBEAT: Duration = Duration::from_millis(500);
 /// How long every task runs; services in the trial are cancelled.
 const RUN: Duration = Duration::from_millis(1500);
 
@@ -64,34 +65,34 @@
     id: String,
     spot: bool,
     addr: String,
-    seq: u64,
+    sequence: u64,
     term: u64,
     tasks: BTreeMap<(TaskId, u64), (Instant, Option<Ending>)>,
 }
 
 impl Machine {
-    fn report(&mut self) -> Report {
-        self.seq += 1;
+    fn heartbeat(&mut self) -> WorkerHeartbeat {
+        self.sequence += 1;
         for ((task, attempt), (launched, ending)) in &mut self.tasks {
             let started = gang_start(task, *attempt).unwrap_or(Some(*launched));
             if ending.is_none() && started.is_some_and(|at| at.elapsed() >= RUN) {
                 *ending = Some(Ending::Done);
             }
         }
-        Report {
+        WorkerHeartbeat {
             machine: self.id.clone(),
             addr: self.addr.clone(),
             machine_type: "m4".into(),
             zone: "north".into(),
             spot: self.spot,
-            session: 1,
-            seq: self.seq,
+            agent_epoch: 1,
+            sequence: self.sequence,
             term: self.term,
             notice_s: None,
             tasks: self
                 .tasks
                 .iter()
-                .map(|((task, attempt), (_, ending))| TaskReport {
+                .map(|((task, attempt), (_, ending))| TaskStatus {
                     task: task.clone(),
                     attempt: *attempt,
                     state: match ending {
@@ -130,7 +131,7 @@
 
 async fn commands(State(machine): State<Shared>, Json(batch): Json<CommandBatch>) -> Response {
     let mut machine = machine.lock().expect("machine");
-    let taken = batch.term >= machine.term && batch.session == 1;
+    let taken = batch.term >= machine.term && batch.agent_epoch == 1;
     if taken {
         machine.term = batch.term;
         machine.execute(batch.commands);
@@ -140,7 +141,7 @@
     } else {
         StatusCode::CONFLICT
     };
-    (status, Json(machine.report())).into_response()
+    (status, Json(machine.heartbeat())).into_response()
 }
 
 /// Runs a worker until its machine is deleted.
@@ -151,26 +152,26 @@
         id,
         spot,
         addr,
-        seq: 0,
+        sequence: 0,
         term: 0,
         tasks: BTreeMap::new(),
     }));
     let router = Router::new()
         .route("/commands", post(commands))
         .with_state(machine.clone());
-    let reports = report_for_ever(machine, controllers);
+    let heartbeats = heartbeat_for_ever(machine, controllers);
     tokio::select! {
         served = async { axum::serve(listener, router).await } => served.expect("serving"),
-        () = reports => {}
+        () = heartbeats => {}
     }
 }
 
-async fn report_for_ever(machine: Shared, controllers: Arc<Vec<(String, SocketAddr)>>) {
+async fn heartbeat_for_ever(machine: Shared, controllers: Arc<Vec<(String, SocketAddr)>>) {
     let client = HttpClient::new();
     let mut at = 0;
     loop {
-        let report = machine.lock().expect("machine").report();
-        let body = serde_json::to_vec(&report).expect("a report");
+        let heartbeat = machine.lock().expect("machine").heartbeat();
+        let body = serde_json::to_vec(&heartbeat).expect("a heartbeat");
         let answer = client
             .call(
                 Method::POST,
@@ -183,8 +184,8 @@
         let mut next = (at + 1) % controllers.len();
         if let Ok(answer) = answer {
             if answer.status == StatusCode::OK {
-                let answer: ReportAnswer =
-                    serde_json::from_slice(&answer.body).expect("a report's answer");
+                let answer: HeartbeatResponse =
+                    serde_json::from_slice(&answer.body).expect("a heartbeat's answer");
                 let mut machine = machine.lock().expect("machine");
                 if answer.term >= machine.term {
                     machine.term = answer.term;
@@ -200,6 +201,6 @@
             }
         }
         at = next;
-        tokio::time::sleep(REPORT).await;
+        tokio::time::sleep(HEARTBEAT).await;
     }
 }
--- a/tests/upgrade/frames.rs
+++ b/tests/upgrade/frames.rs
@@ -83,7 +83,7 @@
 fn an_inventory_with_a_gang_is_that_of_the_version_in_production() {
     assert_eq!(keys::inventory("cellar-1", 3), "k/0/cellar-1/0003");
     let inventory: InventoryRecord = kept(INVENTORY);
-    let tasks = &inventory.reports[0].tasks;
+    let tasks = &inventory.heartbeats[0].tasks;
     assert_eq!(tasks[0].state, TaskState::Waiting);
     assert_eq!(tasks[1].ending, Some(Ending::Peers));
 }
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -14,13 +14,13 @@
 use serde::Deserialize;
 use serde_json::Value;
 use valegap::protocol::state::Item;
-use valegap::protocol::workers::Report;
+use valegap::protocol::workers::WorkerHeartbeat;
 
 /// A recorded state.
 #[derive(Debug, Clone, Deserialize)]
 struct Recorded {
     keys: Vec<Item>,
-    reports: Vec<Report>,
+    heartbeats: Vec<WorkerHeartbeat>,
 }
 
 impl Recorded {
--- a/tests/upgrade/take_over.rs
+++ b/tests/upgrade/take_over.rs
@@ -6,11 +6,11 @@
 use serde_json::{Value, json};
 use valegap::coordination::loading::StoredShard;
 use valegap::coordination::shard::{
-    Action, CommandOutcome, Policy, RentalOutcome, ReportOutcome, Shard, ShardWrite,
+    Action, CommandOutcome, HeartbeatOutcome, Policy, RentalOutcome, Shard, ShardWrite,
 };
 use valegap::protocol::cloud::MachineType;
 use valegap::protocol::state::{Change, Item};
-use valegap::protocol::workers::{Command, Ending, Report, TaskReport, TaskState};
+use valegap::protocol::workers::{Command, Ending, TaskState, TaskStatus, WorkerHeartbeat};
 use valegap::settings::{Operator, Platform, Settings};
 use valegap::storage::keys;
 
@@ -57,7 +57,7 @@
 /// The state service's keys, the workers, and what leaders asked of the cloud.
 struct World {
     keys: BTreeMap<String, Value>,
-    workers: BTreeMap<String, Report>,
+    workers: BTreeMap<String, WorkerHeartbeat>,
     rentals: Vec<String>,
     term: u64,
     now: Instant,
@@ -68,10 +68,10 @@
         let mut keys = recorded.values();
         // The record of the dead leader goes with its lease.
         keys.remove(&keys::leader());
-        let worker = |report: &Report| (report.machine.clone(), report.clone());
+        let worker = |heartbeat: &WorkerHeartbeat| (heartbeat.machine.clone(), heartbeat.clone());
         Self {
             keys,
-            workers: recorded.reports.iter().map(worker).collect(),
+            workers: recorded.heartbeats.iter().map(worker).collect(),
             rentals: Vec::new(),
             term: 40,
             now: Instant::now(),
@@ -135,8 +135,8 @@
                 commands,
                 ..
             } => {
-                let report = self.execute(&machine, &commands);
-                let outcome = CommandOutcome::Executed(report);
+                let heartbeat = self.execute(&machine, &commands);
+                let outcome = CommandOutcome::Executed(heartbeat);
                 shard.command_answered(&machine, number, &commands, outcome, self.now);
             }
             Action::Rent(rental) => {
@@ -176,21 +176,21 @@
     }
 
     /// A worker carries commands out; no task may start beside itself.
-    fn execute(&mut self, machine: &str, commands: &[Command]) -> Report {
+    fn execute(&mut self, machine: &str, commands: &[Command]) -> WorkerHeartbeat {
         for command in commands {
             if let Command::Launch { task, .. } = command {
-                let runs = |line: &TaskReport| line.task == *task && line.state != TaskState::Ended;
-                let mut reports = self.workers.values();
-                let twice = reports.find(|report| report.tasks.iter().any(runs));
+                let runs = |line: &TaskStatus| line.task == *task && line.state != TaskState::Ended;
+                let mut heartbeats = self.workers.values();
+                let twice = heartbeats.find(|heartbeat| heartbeat.tasks.iter().any(runs));
                 assert!(twice.is_none(), "{task} runs already: {twice:?}");
             }
         }
         let worker = self.workers.get_mut(machine).expect("a worker");
         worker.term = self.term;
-        worker.seq += 1;
+        worker.sequence += 1;
         for command in commands {
             match command {
-                Command::Launch { task, attempt } => worker.tasks.push(TaskReport {
+                Command::Launch { task, attempt } => worker.tasks.push(TaskStatus {
                     task: task.clone(),
                     attempt: *attempt,
                     state: TaskState::Running,
@@ -205,7 +205,7 @@
                     }
                 }
                 Command::Clear { task, attempt } => {
-                    let cleared = |l: &TaskReport| l.task == *task && l.attempt == *attempt;
+                    let cleared = |l: &TaskStatus| l.task == *task && l.attempt == *attempt;
                     worker.tasks.retain(|line| !cleared(line));
                 }
             }
@@ -213,17 +213,17 @@
         worker.clone()
     }
 
-    /// All workers report, and carry out what they are answered.
-    fn report(&mut self, shard: &mut Shard) {
+    /// All workers send heartbeats, and carry out what they are answered.
+    fn heartbeat(&mut self, shard: &mut Shard) {
         let machines: Vec<String> = self.workers.keys().cloned().collect();
         for machine in machines {
             let Some(worker) = self.workers.get_mut(&machine) else {
                 continue;
             };
-            worker.seq += 1;
+            worker.sequence += 1;
             worker.term = self.term;
-            let report = worker.clone();
-            if let ReportOutcome::Answer(commands) = shard.report(&report, self.now) {
+            let heartbeat = worker.clone();
+            if let HeartbeatOutcome::Answer(commands) = shard.heartbeat(&heartbeat, self.now) {
                 self.execute(&machine, &commands);
             }
             self.settle(shard);
@@ -236,7 +236,7 @@
             self.now += Duration::from_secs(1);
             shard.tick(self.now);
             self.settle(shard);
-            self.report(shard);
+            self.heartbeat(shard);
         }
     }
 
@@ -256,8 +256,8 @@
     }
 
     fn running(&self, job: &str) -> usize {
-        let lines = self.workers.values().flat_map(|report| &report.tasks);
-        let runs = |line: &&TaskReport| &*line.task.job == job && line.state == TaskState::Running;
+        let lines = self.workers.values().flat_map(|heartbeat| &heartbeat.tasks);
+        let runs = |line: &&TaskStatus| &*line.task.job == job && line.state == TaskState::Running;
         lines.filter(runs).count()
     }
 
@@ -293,7 +293,7 @@
         if stint == 0 {
             // The rental is asked for again by its name, so that it can't be had twice.
             assert_eq!(world.rentals, unanswered);
-            world.report(&mut shard);
+            world.heartbeat(&mut shard);
             assert_eq!(world.running("run-000001"), running, "none is stopped");
         }
         world.serve(&mut shard);
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use valegap::protocol::peers::{
-    Heartbeat, PeerAnswer, PeerRequest, Progress, decode_answer, decode_request, encode_answer,
+    PeerAnswer, PeerHeartbeat, PeerRequest, Progress, decode_answer, decode_request, encode_answer,
     encode_request,
 };
 use valegap::protocol::users::{JobKind, Stage};
@@ -64,8 +64,8 @@
     (0..text.len()).step_by(2).map(pair).collect()
 }
 
-fn heartbeat() -> Heartbeat {
-    Heartbeat {
+fn heartbeat() -> PeerHeartbeat {
+    PeerHeartbeat {
         label: "cellar-1".into(),
         zone: "gdansk-loft".into(),
         state_served: true,
