--- a/src/coordination/advance_delegation.rs
+++ b/src/coordination/advance_delegation.rs
@@ -3,11 +3,12 @@
 //! A controller that a cut takes from the leader and the state service at once
 //! can't ask for a delegation. So each answer of the leader to a controller's heartbeat
 //! allows it in advance to answer workers: for a while after that heartbeat it
-//! may answer them with the leader's term, but only once it hears neither the
+//! may answer them with the leader's fencing token, but only once it hears neither the
 //! leader nor the service. A leader past its deadline may do the same for its
-//! own term. The time is short enough that no task of a job cancelled meanwhile
+//! own fencing token. The time is short enough that no task of a job cancelled meanwhile
 //! outlives the time in which it has to end.
 
+use crate::protocol::FencingToken;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
@@ -43,8 +44,8 @@
 /// What a leader's answer to a heartbeat entitles to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdvanceDelegation {
-    /// The leader's term.
-    pub term: u64,
+    /// The leader's fencing token.
+    pub fencing_token: FencingToken,
     /// When the heartbeat was sent that the leader answered.
     pub seen: Instant,
 }
@@ -58,14 +59,17 @@
     }
 
     /// Takes in that a leader answered a heartbeat sent then.
-    pub fn renewed(known: Option<Self>, term: u64, sent: Instant) -> Self {
+    pub fn renewed(known: Option<Self>, fencing_token: FencingToken, sent: Instant) -> Self {
         match known {
-            Some(delegation) if delegation.term > term => delegation,
-            Some(delegation) if delegation.term == term => Self {
-                term,
+            Some(delegation) if delegation.fencing_token > fencing_token => delegation,
+            Some(delegation) if delegation.fencing_token == fencing_token => Self {
+                fencing_token,
                 seen: delegation.seen.max(sent),
             },
-            _ => Self { term, seen: sent },
+            _ => Self {
+                fencing_token,
+                seen: sent,
+            },
         }
     }
 }
@@ -75,7 +79,7 @@
 pub struct AdvanceGrants {
     /// By controller: when it last got an answer of ours.
     granted: HashMap<String, Instant>,
-    /// By controller: when we sent the last heartbeat of this term that it answered,
+    /// By controller: when we sent the last heartbeat of this fencing token that it answered,
     /// and a moment after which it had answered no worker then.
     quiet: HashMap<String, (Instant, Instant)>,
 }
@@ -92,7 +96,7 @@
     }
 
     /// The latest moment up to `now` at which one of these controllers may have
-    /// answered workers under our term; None if none ever can have.
+    /// answered workers under our fencing token; None if none ever can have.
     pub fn last_answer<'a>(
         &self,
         labels: impl Iterator<Item = &'a str>,
--- a/src/coordination/advance_delegation/tests.rs
+++ b/src/coordination/advance_delegation/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::protocol::FencingToken;
 
 const LONGEST: Duration = Duration::from_secs(20);
 
@@ -6,22 +7,22 @@
 fn an_advance_delegation_runs_from_the_older_of_heartbeat_and_look() {
     let start = Instant::now();
     let later = start + Duration::from_secs(5);
-    let delegation = AdvanceDelegation::renewed(None, 7, later);
+    let delegation = AdvanceDelegation::renewed(None, FencingToken::new(7), later);
     assert_eq!(delegation.until(None, LONGEST), None, "never looked");
     let until = delegation.until(Some(start), LONGEST).expect("a look");
     assert!(until < start + LONGEST);
     assert!(until > start + LONGEST - Duration::from_millis(300));
     // An older leader's late answer changes nothing, a newer one's does.
     assert_eq!(
-        AdvanceDelegation::renewed(Some(delegation), 6, later),
+        AdvanceDelegation::renewed(Some(delegation), FencingToken::new(6), later),
         delegation
     );
     assert_eq!(
-        AdvanceDelegation::renewed(Some(delegation), 8, later).term,
-        8
+        AdvanceDelegation::renewed(Some(delegation), FencingToken::new(8), later).fencing_token,
+        FencingToken::new(8)
     );
     assert_eq!(
-        AdvanceDelegation::renewed(Some(delegation), 7, start).seen,
+        AdvanceDelegation::renewed(Some(delegation), FencingToken::new(7), start).seen,
         later
     );
 }
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -13,6 +13,7 @@
 use super::peering::extension;
 use super::shard::{Loaded, Shard};
 use super::{drift, io, job_watch};
+use crate::protocol::FencingToken;
 use crate::protocol::state::{Change, News, Txn};
 use crate::storage::client::{StateError, TxnOutcome, backoff};
 use crate::storage::keys;
@@ -146,7 +147,7 @@
     }
 }
 
-/// Raises the term; the lease it returns is being renewed.
+/// Raises the fencing token; the lease it returns is being renewed.
 async fn acquire(node: &Arc<Node>) -> Option<Arc<ShardLease>> {
     {
         if node.campaign_blocked_until().is_some() {
@@ -186,8 +187,8 @@
         value,
         lease: Some(lease_id),
     });
-    let term = match node.state.txn(&txn, STATE_DEADLINE).await {
-        Ok(TxnOutcome::Committed { revision }) => revision,
+    let fencing_token = match node.state.txn(&txn, STATE_DEADLINE).await {
+        Ok(TxnOutcome::Committed { revision }) => FencingToken::new(revision),
         Ok(TxnOutcome::Conflict) => {
             let _ = node.state.end_lease(lease_id, STATE_DEADLINE).await;
             return (None, true);
@@ -201,9 +202,15 @@
         }
     };
     let until = lease::deadline(operator, sent);
-    let lease = Arc::new(ShardLease::new(lease_id, term, sent, until, node.now()));
-    info!(term, lease_id, "shard acquired");
-    node.lock().candidacy.latest_term = term;
+    let lease = Arc::new(ShardLease::new(
+        lease_id,
+        fencing_token,
+        sent,
+        until,
+        node.now(),
+    ));
+    info!(%fencing_token, lease_id, "shard acquired");
+    node.lock().candidacy.latest_fencing_token = fencing_token;
     tokio::spawn(renew(node.clone(), lease.clone()));
     (Some(lease), true)
 }
@@ -242,9 +249,12 @@
         trouble = unrenewed > operator.lease().mul_f64(TROUBLE)
             || (was && unrenewed > operator.renew() * 3);
         if trouble && !was {
-            warn!(term = lease.term, refused, "the lease can't be renewed");
+            warn!(
+                fencing_token = %lease.fencing_token,
+                refused, "the lease can't be renewed"
+            );
         } else if was && !trouble {
-            info!(term = lease.term, "lease renewed again");
+            info!(fencing_token = %lease.fencing_token, "lease renewed again");
         }
         if trouble {
             extend_by_votes(&node, &lease).await;
@@ -262,7 +272,7 @@
     match &result {
         Ok(()) => lease.renewed(sent, lease::deadline(operator, sent)),
         Err(StateError::LeaseEnded) if !lease.ended() => {
-            warn!(term = lease.term, "the lease has ended");
+            warn!(fencing_token = %lease.fencing_token, "the lease has ended");
             lease.finish();
         }
         Err(_) => {}
@@ -300,14 +310,14 @@
             Ok(loaded) => break loaded,
             Err(error) => {
                 attempt += 1;
-                warn!(term = lease.term, %error, "the shard can't be loaded yet");
+                warn!(fencing_token = %lease.fencing_token, %error, "the shard can't be loaded yet");
                 tokio::time::sleep(backoff(attempt)).await;
             }
         }
     };
     let shard = Shard::take_over(
         node.policy.clone(),
-        lease.term,
+        lease.fencing_token,
         loaded,
         node.now(),
         node.clock.wall_ms(),
@@ -337,7 +347,7 @@
     let mut inner = node.lock();
     inner.leadership = None;
     drop(inner);
-    info!(term = lease.term, "shard given up");
+    info!(fencing_token = %lease.fencing_token, "shard given up");
 }
 
 /// Has the shard decide, after events and now and then, until the lease ends.
@@ -375,7 +385,7 @@
             next_summary = ended + SUMMARY;
             if let Some(own) = &node.lock().leadership {
                 info!(
-                    term = lease.term,
+                    fencing_token = %lease.fencing_token,
                     summary = own.shard.summary(),
                     time = %own.activities,
                     "shard"
@@ -388,7 +398,7 @@
 
 /// Ends a lease at once, so that another controller can begin.
 pub async fn step_down(node: &Arc<Node>, lease: &Arc<ShardLease>, why: &str) {
-    info!(term = lease.term, why, "stepping down");
+    info!(fencing_token = %lease.fencing_token, why, "stepping down");
     lease.finish();
     if let Err(error) = node.state.end_lease(lease.id, STATE_DEADLINE).await {
         warn!(%error, "the lease could not be ended; it runs out");
--- a/src/coordination/entitlement.rs
+++ b/src/coordination/entitlement.rs
@@ -1,8 +1,9 @@
 //! What entitles a controller to answer workers' heartbeats.
 //!
 //! An answer renews a worker's lease, so that its tasks live on: it needs the leader's
-//! term, and knowledge of the cancellations that users were told.
+//! fencing token, and knowledge of the cancellations that users were told.
 
+use crate::protocol::FencingToken;
 use std::time::Instant;
 
 use tracing::{info, warn};
@@ -38,26 +39,30 @@
         may
     }
 
-    /// The term under which this node may answer a worker for the leader, if the
+    /// The fencing token under which this node may answer a worker for the leader, if the
     /// worker would take it.
-    pub fn delegated_term(&self, heartbeat: &WorkerHeartbeat) -> Option<u64> {
-        self.term_while_loading(heartbeat)
-            .or_else(|| self.term_by_delegation(heartbeat))
-            .or_else(|| self.term_by_advance_delegation(heartbeat))
+    pub fn delegated_fencing_token(&self, heartbeat: &WorkerHeartbeat) -> Option<FencingToken> {
+        self.fencing_token_while_recovering(heartbeat)
+            .or_else(|| self.fencing_token_by_delegation(heartbeat))
+            .or_else(|| self.fencing_token_by_advance_delegation(heartbeat))
     }
 
     /// A leader that can't load the shard yet, since the state service fell out
     /// for all just then, and that has it by extension votes: workers know no other.
     /// Their leases are counted from when it will have been loaded.
-    fn term_while_loading(&self, heartbeat: &WorkerHeartbeat) -> Option<u64> {
+    fn fencing_token_while_recovering(&self, heartbeat: &WorkerHeartbeat) -> Option<FencingToken> {
         let inner = self.lock();
         let lease = inner.loading.as_ref()?;
-        (lease.live(self.now()) && heartbeat.term <= lease.term).then_some(lease.term)
+        (lease.live(self.now()) && heartbeat.fencing_token <= lease.fencing_token)
+            .then_some(lease.fencing_token)
     }
 
     /// The same without the state service and the leader, by the advance delegation
     /// that the leader's last answer gave, or by this node's own last renewal.
-    fn term_by_advance_delegation(&self, heartbeat: &WorkerHeartbeat) -> Option<u64> {
+    fn fencing_token_by_advance_delegation(
+        &self,
+        heartbeat: &WorkerHeartbeat,
+    ) -> Option<FencingToken> {
         if !self.state_failing() {
             return None;
         }
@@ -66,42 +71,42 @@
         let known = self.known_up_to(&inner, now);
         let own = inner.leadership.as_ref().filter(|own| !own.lease.ended());
         let own = own.map(|own| AdvanceDelegation {
-            term: own.lease.term,
+            fencing_token: own.lease.fencing_token,
             seen: own.lease.last_renewed(),
         });
         let delegation = inner.delegate.advance.into_iter().chain(own);
-        let delegation = delegation.max_by_key(|delegation| delegation.term)?;
+        let delegation = delegation.max_by_key(|delegation| delegation.fencing_token)?;
         let until = delegation.until(known, advance_delegation::longest(&self.settings))?;
         let leader_heard = inner.peers.leader_heard.is_some_and(|heard| {
-            heard.term >= delegation.term
+            heard.fencing_token >= delegation.fencing_token
                 && now.saturating_duration_since(heard.at) < advance_delegation::LEADER_SILENT
         });
-        if now >= until || leader_heard || heartbeat.term > delegation.term {
+        if now >= until || leader_heard || heartbeat.fencing_token > delegation.fencing_token {
             return None;
         }
         if inner.delegate.answered_alone.is_none() {
             info!(
-                term = delegation.term,
+                fencing_token = %delegation.fencing_token,
                 "answering workers without the leader"
             );
         }
         inner.delegate.answered_alone = Some(now);
-        Some(delegation.term)
+        Some(delegation.fencing_token)
     }
 
-    fn term_by_delegation(&self, heartbeat: &WorkerHeartbeat) -> Option<u64> {
+    fn fencing_token_by_delegation(&self, heartbeat: &WorkerHeartbeat) -> Option<FencingToken> {
         let now = self.now();
         let mut inner = self.lock();
         let delegation = inner.delegate.delegation?;
-        if now >= delegation.until || heartbeat.term > delegation.term {
+        if now >= delegation.until || heartbeat.fencing_token > delegation.fencing_token {
             return None;
         }
-        if delegation.inventory && heartbeat.term == delegation.term {
+        if delegation.inventory && heartbeat.fencing_token == delegation.fencing_token {
             inner
                 .delegate
                 .unwritten_heartbeats
                 .insert(heartbeat.clone());
         }
-        Some(delegation.term)
+        Some(delegation.fencing_token)
     }
 }
--- a/src/coordination/io.rs
+++ b/src/coordination/io.rs
@@ -10,11 +10,11 @@
 use super::lease::ShardLease;
 use super::node::{Node, STATE_DEADLINE};
 use super::shard::{Action, CommandOutcome, RentalOutcome, ShardWrite};
-use crate::protocol::MachineId;
 use crate::protocol::cloud::{ListPage, Listed, MachineNames, MachineType, MachineTypes, Rental};
 use crate::protocol::state::{Change, Txn};
 use crate::protocol::users::Stage;
 use crate::protocol::workers::{Command, CommandBatch};
+use crate::protocol::{FencingToken, MachineId};
 use crate::storage::client::{StateError, TxnOutcome, backoff};
 use crate::storage::records::{FinalRecord, JobRecord, SequenceRecord, VERSION};
 use crate::storage::{facts, keys};
@@ -83,7 +83,7 @@
         return CommandOutcome::NotSent;
     };
     let batch = CommandBatch {
-        term: lease.term,
+        fencing_token: lease.fencing_token,
         agent_epoch,
         commands: commands.to_vec(),
     };
@@ -127,14 +127,14 @@
     Ended,
 }
 
-/// Applies one shard write, fenced by the term and ordered by the sequence
+/// Applies one shard write, fenced by the fencing token and ordered by the sequence
 /// number.
 async fn write_shard(node: &Node, lease: &ShardLease, write: &ShardWrite) -> Written {
     let mut sequence = lease.sequence.lock().await;
     let n = sequence.n + 1;
     let record = SequenceRecord {
         v: VERSION,
-        term: lease.term,
+        fencing_token: lease.fencing_token,
         n,
     };
     let Ok(value) = serde_json::to_value(&record) else {
@@ -143,7 +143,7 @@
     let mut attempt = 0;
     while !lease.ended() {
         let mut txn = Txn::default()
-            .guard(keys::leader(), lease.term)
+            .guard(keys::leader(), lease.fencing_token.revision())
             .guard(keys::sequence(), sequence.version)
             .change(Change::put(keys::sequence(), value.clone()));
         txn.changes.extend(write.changes.iter().cloned());
@@ -165,7 +165,10 @@
                     Ok(found) => {
                         let version = found.map_or(0, |(version, _)| version);
                         if version != sequence.version {
-                            warn!(term = lease.term, "the shard was written by another leader");
+                            warn!(
+                                fencing_token = %lease.fencing_token,
+                                "the shard was written by another leader"
+                            );
                             lease.finish();
                             return Written::Ended;
                         }
@@ -203,9 +206,12 @@
 /// surely isn't.
 async fn still_ours(node: &Node, lease: &ShardLease) -> bool {
     match node.state.get(&keys::leader(), STATE_DEADLINE).await {
-        Ok(Some(item)) if item.version == lease.term => true,
+        Ok(Some(item)) if item.version == lease.fencing_token.revision() => true,
         Ok(_) => {
-            warn!(term = lease.term, "the shard is another's");
+            warn!(
+                fencing_token = %lease.fencing_token,
+                "the shard is another's"
+            );
             lease.finish();
             false
         }
@@ -213,9 +219,12 @@
     }
 }
 
-async fn check_fence(node: &Node, lease: &ShardLease, seen: u64) {
+async fn check_fence(node: &Node, lease: &ShardLease, seen: FencingToken) {
     if still_ours(node, lease).await {
-        debug!(seen, term = lease.term, "a worker has seen a higher term");
+        debug!(%seen,
+            fencing_token = %lease.fencing_token,
+            "a worker has seen a higher fencing token"
+        );
     }
 }
 
@@ -244,7 +253,7 @@
         let Ok(txn) = facts::end_job(job, mark, &last) else {
             return;
         };
-        let txn = txn.guard(keys::leader(), lease.term);
+        let txn = txn.guard(keys::leader(), lease.fencing_token.revision());
         match node.state.txn(&txn, STATE_DEADLINE).await {
             Ok(TxnOutcome::Committed { .. }) => {
                 node.with_shard(lease, "jobs", |shard, _| {
--- a/src/coordination/lease.rs
+++ b/src/coordination/lease.rs
@@ -1,5 +1,6 @@
 //! Holding the shard: the lease in the state service, and what it entitles to.
 
+use crate::protocol::FencingToken;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
@@ -13,18 +14,18 @@
 /// whether the leader still delegates that to it.
 pub const DELEGATION_TIME: Duration = Duration::from_secs(2);
 
-/// One term of leadership.
+/// One term of leadership, identified by its fencing token.
 ///
 /// A leader acts only while [`ShardLease::live`]: until its deadline, which runs
 /// from when the last successful renewal was *sent*. Past it the lease may have
 /// ended. If a later renewal succeeds, the lease never did, and the leader goes
-/// on in the same term.
+/// on with the same fencing token.
 #[derive(Debug)]
 pub struct ShardLease {
     /// Its id in the state service.
     pub id: u64,
-    /// The term that it gives: the revision at which the shard was acquired.
-    pub term: u64,
+    /// The fencing token that it gives: the revision at which the shard was acquired.
+    pub fencing_token: FencingToken,
     deadline: Mutex<Instant>,
     /// When the last renewal that succeeded was sent.
     renewed: Mutex<Instant>,
@@ -55,11 +56,17 @@
 }
 
 impl ShardLease {
-    /// A term whose lease was asked for at `sent`, which entitles until `deadline`.
-    pub fn new(id: u64, term: u64, sent: Instant, deadline: Instant, since: Instant) -> Self {
+    /// A fencing token whose lease was asked for at `sent`, which entitles until `deadline`.
+    pub fn new(
+        id: u64,
+        fencing_token: FencingToken,
+        sent: Instant,
+        deadline: Instant,
+        since: Instant,
+    ) -> Self {
         Self {
             id,
-            term,
+            fencing_token,
             deadline: Mutex::new(deadline),
             renewed: Mutex::new(sent),
             ended: AtomicBool::new(false),
--- a/src/coordination/node_state.rs
+++ b/src/coordination/node_state.rs
@@ -1,5 +1,6 @@
 //! What a controller knows, behind the one lock of its [`Node`](super::node::Node).
 
+use crate::protocol::FencingToken;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Instant;
@@ -41,8 +42,8 @@
 /// The right to answer workers that the leader can't hear.
 #[derive(Debug, Clone, Copy)]
 pub struct Delegation {
-    /// The leader's term.
-    pub term: u64,
+    /// The leader's fencing token.
+    pub fencing_token: FencingToken,
     /// When the right ends.
     pub until: Instant,
     /// The leader asks what they hold.
@@ -83,8 +84,8 @@
     pub progress: HashMap<String, TaskCounts>,
     /// The zone that holds most machines, as the leader last said.
     pub main_zone: Option<String>,
-    /// The highest term that a heartbeat named, and when one last did. A heartbeat
-    /// without a term, late or of a leader past its deadline, changes nothing:
+    /// The highest fencing token that a heartbeat named, and when one last did. A heartbeat
+    /// without a fencing token, late or of a leader past its deadline, changes nothing:
     /// the leader counts on its having been heard.
     pub leader_heard: Option<LeaderHeard>,
     /// Controllers of an older version, which know no other frames than their
@@ -95,8 +96,8 @@
 /// That a leader was heard.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaderHeard {
-    /// The leader's term.
-    pub term: u64,
+    /// The leader's fencing token.
+    pub fencing_token: FencingToken,
     /// When it was heard.
     pub at: Instant,
 }
@@ -106,8 +107,8 @@
 pub struct Candidacy {
     /// An attempt to acquire the shard is under way, or its outcome unknown.
     pub acquiring: bool,
-    /// The latest term that this run has acquired.
-    pub latest_term: u64,
+    /// The latest fencing token that this run has acquired.
+    pub latest_fencing_token: FencingToken,
     /// The last leader was an earlier run of this process, which is dead.
     pub previous_run_ended: bool,
     /// Until when this node leaves the shard to its leader, as it granted.
@@ -122,14 +123,14 @@
 /// A controller's part as a delegate of the leader.
 #[derive(Default)]
 pub struct DelegateRole {
-    /// The leader's term under which this node may answer workers that the
+    /// The leader's fencing token under which this node may answer workers that the
     /// leader can't hear, and until when.
     pub delegation: Option<Delegation>,
     /// What the leader's last answer to a heartbeat entitles to.
     pub advance: Option<AdvanceDelegation>,
     /// When a worker was last answered by an advance delegation.
     pub answered_alone: Option<Instant>,
-    /// What delegated workers reported under the leader's term, to be written.
+    /// What delegated workers reported under the leader's fencing token, to be written.
     pub unwritten_heartbeats: PendingHeartbeats,
     /// The largest inventory page that the state service has not refused, if it is
     /// less than its limits say.
--- a/src/coordination/peering/delegation.rs
+++ b/src/coordination/peering/delegation.rs
@@ -1,6 +1,7 @@
 //! Workers that the leader can't hear, while another controller does: delegating the
 //! answering of their heartbeats, revoking it, and what they hold.
 
+use crate::protocol::FencingToken;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -170,7 +171,7 @@
             .inspect_err(|error| tracing::error!(key = item.key, %error, "a record can't be read"))
             .ok()
     };
-    let heartbeats = whole_heartbeats(pages.into_iter().filter_map(parse), lease.term);
+    let heartbeats = whole_heartbeats(pages.into_iter().filter_map(parse), lease.fencing_token);
     node.with_shard(lease, "delegations", |shard, now| {
         for heartbeat in &heartbeats {
             shard.relayed(heartbeat, now);
@@ -180,8 +181,8 @@
 
 /// Writes what delegated workers hold, those that were not written before; returns
 /// the number of the next page.
-async fn write_inventory(node: &Node, term: u64, mut page: u32) -> u32 {
-    while let Some(batch) = next_batch(node, term) {
+async fn write_inventory(node: &Node, fencing_token: FencingToken, mut page: u32) -> u32 {
+    while let Some(batch) = next_batch(node, fencing_token) {
         for record in &batch.pages {
             let Ok(value) = serde_json::to_value(record) else {
                 return page;
@@ -199,14 +200,14 @@
     page
 }
 
-fn next_batch(node: &Node, term: u64) -> Option<Batch> {
+fn next_batch(node: &Node, fencing_token: FencingToken) -> Option<Batch> {
     let group = random_id();
     let mut inner = node.lock();
     let most = inner.delegate.inventory_bytes.unwrap_or(node.value_bytes());
     inner
         .delegate
         .unwritten_heartbeats
-        .next_batch(term, most, group)
+        .next_batch(fencing_token, most, group)
 }
 
 /// Heartbeats that could not be written are laid out again, in smaller pages if these
@@ -239,9 +240,10 @@
 
 /// Notes which delegation holds from now on; true if it is that of another leader.
 fn note_delegation(node: &Node, delegation: Option<Delegation>) -> bool {
-    let term = |delegation: Option<Delegation>| delegation.map(|delegation| delegation.term);
+    let fencing_token =
+        |delegation: Option<Delegation>| delegation.map(|delegation| delegation.fencing_token);
     let mut inner = node.lock();
-    let changed = term(inner.delegate.delegation) != term(delegation);
+    let changed = fencing_token(inner.delegate.delegation) != fencing_token(delegation);
     if changed {
         inner.delegate.unwritten_heartbeats.clear();
     }
@@ -269,29 +271,33 @@
         let find = |key: String| items.iter().find(|item| item.key == key);
         let delegated = find(keys::delegate(node.label()))
             .and_then(|item| serde_json::from_value::<DelegateRecord>(item.value.clone()).ok());
-        // A delegation ends with the term of the leader that gave it.
-        let term = find(keys::leader())
-            .map(|item| item.version)
-            .filter(|term| {
+        // A delegation ends when the leader that gave it is replaced.
+        let fencing_token = find(keys::leader())
+            .map(|item| FencingToken::new(item.version))
+            .filter(|fencing_token| {
                 delegated
                     .as_ref()
-                    .is_some_and(|delegation| delegation.term == *term)
+                    .is_some_and(|delegation| delegation.fencing_token == *fencing_token)
             });
         let until = sent + drift::shortest(DELEGATION_TIME) - DELEGATION_MARGIN;
         let inventory = delegated.is_some_and(|delegation| delegation.inventory);
-        let delegation = term.map(|term| Delegation {
-            term,
+        let delegation = fencing_token.map(|fencing_token| Delegation {
+            fencing_token,
             until,
             inventory,
         });
         let began = note_delegation(&node, delegation);
-        if let Some(term) = term
-            && inventory
-        {
-            page = write_inventory(&node, term, page).await;
+        let Some(fencing_token) = fencing_token else {
+            continue;
+        };
+        if inventory {
+            page = write_inventory(&node, fencing_token, page).await;
         }
         if began {
-            tracing::info!(term, "answering workers that the leader can't hear");
+            tracing::info!(
+                %fencing_token,
+                "answering workers that the leader can't hear"
+            );
         }
     }
 }
--- a/src/coordination/peering/extension.rs
+++ b/src/coordination/peering/extension.rs
@@ -2,7 +2,7 @@
 //! service is out for everybody.
 //!
 //! Before its deadline a leader needs their promises not to campaigns for the shard for a while.
-//! Past it, each must say besides that it has taken no later term.
+//! Past it, each must say besides that it has taken no later fencing token.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,6 +12,7 @@
 use crate::coordination::lease::ShardLease;
 use crate::coordination::node::Node;
 use crate::coordination::node_state::NodeState;
+use crate::protocol::FencingToken;
 use crate::protocol::peer_messages::{REVIVE_LEASE, RevivalVote, ReviveLease};
 use crate::protocol::peers::{PeerAnswer, PeerRequest};
 use crate::settings::platform::Peer;
@@ -71,12 +72,12 @@
 }
 
 /// Answers a leader past its deadline: the same promise, given only by a run that
-/// has taken no later term.
+/// has taken no later fencing token.
 pub fn vote_on_revival(node: &Node, asked: &ReviveLease) -> RevivalVote {
     let later = {
         let inner = node.lock();
-        end_earlier(&inner, asked.term);
-        inner.candidacy.latest_term > asked.term
+        end_earlier(&inner, asked.fencing_token);
+        inner.candidacy.latest_fencing_token > asked.fencing_token
     };
     RevivalVote {
         granted: !later && grant_extension(node, Duration::from_millis(asked.millis)),
@@ -98,7 +99,7 @@
     }
     let renewed = lease.last_renewed();
     let frame = ReviveLease {
-        term: lease.term,
+        fencing_token: lease.fencing_token,
         millis: time.as_millis() as u64,
     };
     let frame = frame.encode();
@@ -113,13 +114,17 @@
     .await
 }
 
-/// A later term than ours means that the record of ours is gone, though the service
+/// A later fencing token than ours means that the record of ours is gone, though the service
 /// may not tell us: the later leader counts on our promise.
-pub(super) fn end_earlier(inner: &NodeState, later: u64) {
+pub(super) fn end_earlier(inner: &NodeState, later: FencingToken) {
     let own = inner.leadership.as_ref().map(|own| &own.lease);
-    let superseded = |lease: &&Arc<ShardLease>| lease.term < later && !lease.ended();
+    let superseded = |lease: &&Arc<ShardLease>| lease.fencing_token < later && !lease.ended();
     for lease in own.into_iter().chain(&inner.loading).filter(superseded) {
-        tracing::warn!(term = lease.term, later, "another owns the shard");
+        tracing::warn!(
+            fencing_token = %lease.fencing_token,
+            %later,
+            "another owns the shard"
+        );
         lease.finish();
     }
 }
--- a/src/coordination/peering/heartbeat.rs
+++ b/src/coordination/peering/heartbeat.rs
@@ -8,8 +8,8 @@
 use crate::coordination::node::Node;
 use crate::coordination::node_state::{LeaderHeard, PeerView};
 use crate::coordination::shard::TaskCounts;
-use crate::protocol::JobId;
 use crate::protocol::peers::{PeerAnswer, PeerHeartbeat, PeerRequest, Progress};
+use crate::protocol::{FencingToken, JobId};
 
 /// Jobs whose counts one heartbeat carries: some 1.5 MB, which all versions read.
 const MOST_PROGRESS: usize = 50_000;
@@ -24,18 +24,18 @@
     inner
         .workers
         .retain(|_, at| now.saturating_duration_since(*at) < HEARD);
-    let term = inner
+    let fencing_token = inner
         .leadership
         .as_ref()
         .filter(|own| own.lease.live(now))
-        .map(|own| own.lease.term);
+        .map(|own| own.lease.fencing_token);
     PeerHeartbeat {
         label: node.label().to_owned(),
         zone: node.settings.platform.area.clone(),
         state_served,
         workers_heard: inner.workers.len() as u32,
         up_s: node.up_time().as_secs(),
-        term,
+        fencing_token,
         main_zone: inner.peers.main_zone.clone(),
         progress: Vec::new(),
         deaf: inner.candidacy.unfit_until.is_some_and(|until| until > now),
@@ -82,7 +82,7 @@
     let own = leader_heartbeat(node);
     for peer in &node.settings.platform.others {
         let (node, peer) = (node.clone(), peer.clone());
-        let (request, told) = (PeerRequest::Heartbeat(own.clone()), own.term);
+        let (request, told) = (PeerRequest::Heartbeat(own.clone()), own.fencing_token);
         tokio::spawn(async move {
             let sent = node.now();
             let answer = ask(&node, &peer, &request, ROUND_DEADLINE).await;
@@ -98,36 +98,36 @@
     let label = heartbeat.label.clone();
     note_heartbeat(node, heartbeat);
     let answer = own_heartbeat(node);
-    if let Some(term) = answer.term
+    if let Some(fencing_token) = answer.fencing_token
         && let Some(own) = &mut node.lock().leadership
-        && own.lease.term == term
+        && own.lease.fencing_token == fencing_token
     {
         own.advance_grants.grant(&label, node.now());
     }
     answer
 }
 
-/// Takes in the answer to a heartbeat that was sent at `sent` under the term `told`.
+/// Takes in the answer to a heartbeat that was sent at `sent` under the fencing token `told`.
 pub(crate) fn heartbeat_answered(
     node: &Node,
     heartbeat: PeerHeartbeat,
     sent: Instant,
-    told: Option<u64>,
+    told: Option<FencingToken>,
 ) {
     let now = node.now();
     let kept = now.checked_sub(Duration::from_millis(heartbeat.answered_alone_ago_ms));
     {
         let mut inner = node.lock();
-        if let Some(term) = heartbeat.term {
+        if let Some(fencing_token) = heartbeat.fencing_token {
             inner.delegate.advance = Some(AdvanceDelegation::renewed(
                 inner.delegate.advance,
-                term,
+                fencing_token,
                 sent,
             ));
         }
-        // Who was told our term keeps nothing for a while.
+        // Who was told our fencing token keeps nothing for a while.
         if let Some(own) = &mut inner.leadership
-            && told == Some(own.lease.term)
+            && told == Some(own.lease.fencing_token)
         {
             let kept = kept.unwrap_or(own.lease.since);
             own.advance_grants.answered(&heartbeat.label, sent, kept);
@@ -140,7 +140,7 @@
 pub fn note_heartbeat(node: &Node, mut heartbeat: PeerHeartbeat) {
     let at = node.now();
     let mut inner = node.lock();
-    if heartbeat.term.is_some() && !heartbeat.progress.is_empty() {
+    if heartbeat.fencing_token.is_some() && !heartbeat.progress.is_empty() {
         inner.peers.progress = std::mem::take(&mut heartbeat.progress)
             .into_iter()
             .map(|row| {
@@ -152,18 +152,18 @@
             })
             .collect();
     }
-    if let Some(term) = heartbeat.term {
-        extension::end_earlier(&inner, term);
+    if let Some(fencing_token) = heartbeat.fencing_token {
+        extension::end_earlier(&inner, fencing_token);
     }
-    if let Some(term) = heartbeat.term
+    if let Some(fencing_token) = heartbeat.fencing_token
         && inner
             .peers
             .leader_heard
-            .is_none_or(|heard| term >= heard.term)
+            .is_none_or(|heard| fencing_token >= heard.fencing_token)
     {
-        inner.peers.leader_heard = Some(LeaderHeard { term, at });
+        inner.peers.leader_heard = Some(LeaderHeard { fencing_token, at });
     }
-    if heartbeat.term.is_some() && heartbeat.main_zone.is_some() {
+    if heartbeat.fencing_token.is_some() && heartbeat.main_zone.is_some() {
         inner.peers.main_zone.clone_from(&heartbeat.main_zone);
     }
     inner
--- a/src/coordination/reachability.rs
+++ b/src/coordination/reachability.rs
@@ -26,7 +26,7 @@
             .views
             .values()
             .filter(|view| now.saturating_duration_since(view.at) < LEADER_HEARD)
-            .filter_map(|view| Some((view.heartbeat.term?, view.heartbeat.label.clone())))
+            .filter_map(|view| Some((view.heartbeat.fencing_token?, view.heartbeat.label.clone())))
             .max();
         match by_heartbeat {
             Some((_, label)) => Some(label),
--- a/src/coordination/shard/cluster.rs
+++ b/src/coordination/shard/cluster.rs
@@ -1,5 +1,6 @@
 //! Take-over: from what is stored to a shard that can act.
 
+use crate::protocol::FencingToken;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
@@ -12,7 +13,7 @@
 use crate::storage::records::{BookingRecord, JobRecord, RosterRecord};
 use crate::storage::snapshot;
 
-/// Bits of a task's attempt number below the term's.
+/// Bits of a task's attempt number below the fencing token's.
 const TAKE_BITS: u32 = 24;
 
 /// A machine of the stored roster.
@@ -26,7 +27,7 @@
     pub record: RosterRecord,
 }
 
-/// What was read after the term was raised.
+/// What was read after the fencing token was raised.
 #[derive(Debug, Default, Clone)]
 pub struct Loaded {
     /// Unfinished jobs: id, version of the record, record.
@@ -44,14 +45,14 @@
     /// leadership record was written.
     pub fn take_over(
         policy: Policy,
-        term: u64,
+        fencing_token: FencingToken,
         loaded: Loaded,
         now: Instant,
         wall_ms: u64,
     ) -> Self {
         let mut shard = Self {
             policy,
-            term,
+            fencing_token,
             acquired: now,
             acquired_wall_ms: wall_ms,
             types: BTreeMap::new(),
@@ -67,8 +68,8 @@
             delegating_since: None,
             cut_off: BTreeSet::new(),
             // A task's attempt number never repeats, whatever was lost: the
-            // term is in it.
-            next_take: term << TAKE_BITS,
+            // fencing token is in it.
+            next_take: fencing_token.revision() << TAKE_BITS,
             next_command: 0,
             main_zone: None,
             needs_pass: true,
@@ -133,7 +134,7 @@
         for id in complete {
             shard.finish_if_done(&id);
         }
-        tracing::info!(term, summary = shard.summary(), "shard taken over");
+        tracing::info!(%fencing_token, summary = shard.summary(), "shard taken over");
         shard
     }
 
--- a/src/coordination/shard/commands.rs
+++ b/src/coordination/shard/commands.rs
@@ -102,7 +102,7 @@
         });
     }
 
-    /// Sends an empty batch: it raises the worker's term and returns a heartbeat.
+    /// Sends an empty batch: it raises the worker's fencing token and returns a heartbeat.
     pub(super) fn probe(&mut self, id: &MachineId, agent_epoch: u64) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -113,7 +113,7 @@
         self.issue(id, agent_epoch, Vec::new());
     }
 
-    /// Probes machines that have not shown our term yet, and silent ones.
+    /// Probes machines that have not shown our fencing token yet, and silent ones.
     pub(super) fn probe_unsynced(&mut self, now: Instant) {
         let due: Vec<(MachineId, u64)> = self
             .machines
@@ -258,7 +258,7 @@
     pub(super) fn account_for(&mut self, id: &MachineId) {
         if self.unresolved.remove(id) && self.unresolved.is_empty() {
             tracing::info!(
-                term = self.term,
+                fencing_token = %self.fencing_token,
                 "every machine of the roster is accounted for"
             );
         }
--- a/src/coordination/shard/delegations.rs
+++ b/src/coordination/shard/delegations.rs
@@ -2,7 +2,7 @@
 //!
 //! When zones are cut from one another, the leader delegates the answering of silent
 //! workers to a controller that hears them: it may answer their heartbeats with
-//! the leader's term, so that their leases go on and what runs there runs on,
+//! the leader's fencing token, so that their leases go on and what runs there runs on,
 //! and it stops what belongs to jobs that are over. Meanwhile no lease is taken
 //! to be over, and when the delegation ends, leases count from the last moment at
 //! which the delegate may have answered.
@@ -87,7 +87,7 @@
         }
         let record = DelegateRecord {
             v: VERSION,
-            term: self.term,
+            fencing_token: self.fencing_token,
             inventory: !self.unresolved.is_empty(),
         };
         self.delegating_since.get_or_insert(now);
@@ -95,7 +95,7 @@
             return;
         };
         tracing::info!(
-            term = self.term,
+            fencing_token = %self.fencing_token,
             delegate = label,
             "answering of silent workers delegated"
         );
@@ -115,7 +115,7 @@
     /// what is on the machine, not that the machine can be reached.
     pub fn relayed(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) {
         let id = heartbeat.machine.as_str();
-        if heartbeat.term != self.term || !self.unresolved.contains(id) {
+        if heartbeat.fencing_token != self.fencing_token || !self.unresolved.contains(id) {
             return;
         }
         let heard = self.machines.get(id).and_then(|machine| machine.heard);
@@ -182,7 +182,7 @@
             return;
         }
         tracing::info!(
-            term = self.term,
+            fencing_token = %self.fencing_token,
             delegate = label,
             "delegation of workers revoked"
         );
--- a/src/coordination/shard/fleet.rs
+++ b/src/coordination/shard/fleet.rs
@@ -356,7 +356,7 @@
         let rental = Rental {
             request: format!(
                 "{}-{}-{}",
-                self.policy.label, self.term, self.fleet.next_booking
+                self.policy.label, self.fencing_token, self.fleet.next_booking
             ),
             machine_type: kind.machine_type,
             zone: kind.zone,
--- a/src/coordination/shard/heartbeats.rs
+++ b/src/coordination/shard/heartbeats.rs
@@ -17,7 +17,7 @@
 pub enum HeartbeatOutcome {
     /// 200 with these commands; the worker's lease is renewed.
     Answer(Vec<Command>),
-    /// The machine is known to be gone, or a higher term is about.
+    /// The machine is known to be gone, or a higher fencing token is about.
     Refuse,
 }
 
@@ -27,9 +27,9 @@
         if self.gone.contains_key(heartbeat.machine.as_str()) {
             return HeartbeatOutcome::Refuse;
         }
-        if heartbeat.term > self.term {
+        if heartbeat.fencing_token > self.fencing_token {
             self.out.push(Action::Fenced {
-                seen: heartbeat.term,
+                seen: heartbeat.fencing_token,
             });
             return HeartbeatOutcome::Refuse;
         }
@@ -59,9 +59,9 @@
 
     /// Takes in a heartbeat that came by itself or with a command's answer.
     pub(super) fn apply_heartbeat(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) {
-        if heartbeat.term > self.term {
+        if heartbeat.fencing_token > self.fencing_token {
             self.out.push(Action::Fenced {
-                seen: heartbeat.term,
+                seen: heartbeat.fencing_token,
             });
             return;
         }
@@ -105,7 +105,7 @@
             self.remove_attempts(&id, now);
         }
         self.take_notice(&id, heartbeat.notice_s, now);
-        if heartbeat.term < self.term {
+        if heartbeat.fencing_token < self.fencing_token {
             // Its list may change yet by commands of an earlier leader.
             self.probe(&id, heartbeat.agent_epoch);
             return;
--- a/src/coordination/shard/jobs.rs
+++ b/src/coordination/shard/jobs.rs
@@ -191,7 +191,7 @@
         }
         self.fleet.note_arrival(&record.spec, now, now);
         tracing::info!(
-            term = self.term,
+            fencing_token = %self.fencing_token,
             job = id,
             class = record.spec.class,
             tasks = record.spec.tasks,
@@ -239,7 +239,7 @@
                 _ => "cancelled",
             });
             tracing::info!(
-                term = self.term,
+                fencing_token = %self.fencing_token,
                 job = id,
                 stage,
                 done = job.done.len(),
--- a/src/coordination/shard/machines.rs
+++ b/src/coordination/shard/machines.rs
@@ -205,7 +205,7 @@
     pub last_heartbeat: (u64, u64),
     /// Agent epochs up to this one are over, whatever late messages say.
     pub ended_epochs: u64,
-    /// A heartbeat has carried our term: no older command can land any more.
+    /// A heartbeat has carried our fencing token: no older command can land any more.
     pub synced: bool,
     /// Its roster record is written: it may get tasks.
     pub admitted: bool,
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -37,6 +37,7 @@
 pub use policy::{Policy, TeamPolicy};
 pub use writes::{Fact, ShardWrite};
 
+use crate::protocol::FencingToken;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -79,10 +80,10 @@
     Rent(Rental),
     /// Give machines back; answered by [`Shard::deletion_answered`].
     Delete(Vec<MachineId>),
-    /// A worker has seen a higher term: someone else may own the shard.
+    /// A worker has seen a higher fencing token: someone else may own the shard.
     Fenced {
-        /// That term.
-        seen: u64,
+        /// That fencing token.
+        seen: FencingToken,
     },
 }
 
@@ -117,7 +118,7 @@
     /// What its decisions depend on besides its state.
     pub policy: Policy,
     /// The number that fences our commands and writes.
-    pub term: u64,
+    pub fencing_token: FencingToken,
     acquired: Instant,
     /// The time of day then, in milliseconds.
     acquired_wall_ms: u64,
@@ -127,7 +128,7 @@
     /// Machines that were deleted, and when.
     gone: HashMap<MachineId, Instant>,
     /// Machines of the roster that we loaded which may hold tasks that we
-    /// don't know of: neither synced under our term, nor proven empty.
+    /// don't know of: neither synced under our fencing token, nor proven empty.
     unresolved: BTreeSet<MachineId>,
     fleet: fleet::Fleet,
     writes: writes::Writer,
--- a/src/coordination/shard/tests/failures.rs
+++ b/src/coordination/shard/tests/failures.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::script::{Script, TERM, listed, stops};
+use super::script::{Script, TOKEN, listed, stops};
 use super::world::{self, policy, record};
 use crate::coordination::shard::{CommandOutcome, Loaded, Policy};
 use crate::protocol::users::{JobKind, JobSpec, Stage};
@@ -49,7 +49,7 @@
             listed(&task.to_string(), take, state, ending)
         })
         .collect();
-    script.heartbeat_of(id, TERM, tasks)
+    script.heartbeat_of(id, TOKEN, tasks)
 }
 
 /// Lets a second pass in which all commands are executed, and every machine heartbeats;
@@ -89,7 +89,7 @@
             listed(&task.to_string(), take, TaskState::Ended, done)
         })
         .collect();
-    let heartbeat = script.heartbeat_of(id, TERM, tasks);
+    let heartbeat = script.heartbeat_of(id, TOKEN, tasks);
     script.shard.heartbeat(&heartbeat, script.now);
     script.settle();
 }
--- a/src/coordination/shard/tests/gangs.rs
+++ b/src/coordination/shard/tests/gangs.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use super::script::{Script, TERM, listed, obey, roster};
+use super::script::{Script, TOKEN, listed, obey, roster};
 use super::world::{GANG_WAIT, record, spec};
 use crate::coordination::shard::{Action, Attempt, CommandOutcome, Loaded, Phase};
 use crate::protocol::TaskId;
@@ -26,7 +26,7 @@
 /// Machines of eight cores that have reported, in this order, north unless said.
 pub(super) fn machines(script: &mut Script, ids: &[(&str, &str)]) {
     for (id, zone) in ids {
-        let mut heartbeat = script.heartbeat_of(id, TERM, Vec::new());
+        let mut heartbeat = script.heartbeat_of(id, TOKEN, Vec::new());
         heartbeat.zone = (*zone).into();
         script.shard.heartbeat(&heartbeat, script.now);
         // Once for its admission, and once for what that allows.
@@ -81,7 +81,7 @@
         ending,
     };
     let zone = script.machine(id).zone.to_string();
-    let mut heartbeat = script.heartbeat_of(id, TERM, keys.iter().map(line).collect());
+    let mut heartbeat = script.heartbeat_of(id, TOKEN, keys.iter().map(line).collect());
     heartbeat.zone = zone;
     heartbeat
 }
@@ -108,7 +108,7 @@
     let machine = script.machine(id);
     let tasks = machine.attempts.iter().map(line).collect();
     let (zone, agent_epoch) = (machine.zone.to_string(), machine.agent_epoch);
-    let mut heartbeat = script.heartbeat_of(id, TERM, tasks);
+    let mut heartbeat = script.heartbeat_of(id, TOKEN, tasks);
     heartbeat.zone = zone;
     heartbeat.agent_epoch = agent_epoch.unwrap_or(1);
     heartbeat
@@ -308,7 +308,7 @@
         all_are(&mut script, id, TaskState::Running, None);
     }
     // Its worker began anew: the task is gone.
-    let mut anew = script.heartbeat_of(&lost, TERM, Vec::new());
+    let mut anew = script.heartbeat_of(&lost, TOKEN, Vec::new());
     anew.agent_epoch = 2;
     script.shard.heartbeat(&anew, script.now);
     script.settle();
@@ -337,7 +337,7 @@
     }
     all_are(&mut script, &told, TaskState::Ended, Some(Ending::Done));
     assert!(script.shard.jobs()["run-1"].all_done());
-    let mut anew = script.heartbeat_of(&lost, TERM, Vec::new());
+    let mut anew = script.heartbeat_of(&lost, TOKEN, Vec::new());
     anew.agent_epoch = 2;
     script.shard.heartbeat(&anew, script.now);
     script.pass(second(1));
--- a/src/coordination/shard/tests/guests.rs
+++ b/src/coordination/shard/tests/guests.rs
@@ -27,7 +27,7 @@
     script.submit("run-1", spec("red", 1.0, 100));
     script.submit("run-2", spec("blue", 1.0, 100));
     for id in ["vm-1", "vm-2", "vm-3", "vm-4"] {
-        let heartbeat = script.heartbeat_of(id, super::script::TERM, Vec::new());
+        let heartbeat = script.heartbeat_of(id, super::script::TOKEN, Vec::new());
         script.shard.heartbeat(&heartbeat, script.now);
     }
     script.settle();
--- a/src/coordination/shard/tests/late_machines.rs
+++ b/src/coordination/shard/tests/late_machines.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::script::{Script, TERM};
+use super::script::{Script, TOKEN};
 use super::world::spec;
 use crate::coordination::shard::{Action, RentalOutcome};
 use crate::protocol::cloud::Rental;
@@ -71,7 +71,7 @@
             .find(|(id, _)| id == name)
             .expect("rented");
         let (zone, spot) = (rental.zone.clone(), rental.spot);
-        let mut heartbeat = self.script.heartbeat_of(name, TERM, Vec::new());
+        let mut heartbeat = self.script.heartbeat_of(name, TOKEN, Vec::new());
         heartbeat.zone = zone;
         heartbeat.spot = spot;
         self.script.shard.heartbeat(&heartbeat, self.script.now);
--- a/src/coordination/shard/tests/limits.rs
+++ b/src/coordination/shard/tests/limits.rs
@@ -5,7 +5,7 @@
 
 use serde_json::Value;
 
-use super::script::{Script, TERM, listed, obey, roster};
+use super::script::{Script, TOKEN, listed, obey, roster};
 use super::world::{policy, record, spec};
 use crate::coordination::shard::{Action, Loaded, LoadedMachine, Policy, ShardWrite};
 use crate::protocol::state::Change;
@@ -118,7 +118,7 @@
                 listed(&task, 7, state, done)
             })
             .collect();
-        let heartbeat = script.heartbeat_of(&id, TERM, tasks);
+        let heartbeat = script.heartbeat_of(&id, TOKEN, tasks);
         script.shard.heartbeat(&heartbeat, script.now);
     }
 }
@@ -174,7 +174,7 @@
                     listed(&task, 7, state, done)
                 })
                 .collect();
-            let heartbeat = script.heartbeat_of(&format!("vm-{n:06}"), TERM, tasks);
+            let heartbeat = script.heartbeat_of(&format!("vm-{n:06}"), TOKEN, tasks);
             script.shard.heartbeat(&heartbeat, script.now);
         }
         if step % 10 == 0 {
--- a/src/coordination/shard/tests/meetings.rs
+++ b/src/coordination/shard/tests/meetings.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::script::{Script, TERM, listed, obey, one_old_job, roster, stops};
+use super::script::{Script, TOKEN, listed, obey, one_old_job, roster, stops};
 use super::world::{record, spec};
 use crate::coordination::shard::{CommandOutcome, HeartbeatOutcome, Loaded};
 use crate::protocol::cloud::{Listed, ListedState};
@@ -72,7 +72,7 @@
             script.heartbeat(id, Vec::new());
         }
         for batch in script.probes() {
-            let heartbeat = script.heartbeat_of(&batch.0, TERM, Vec::new());
+            let heartbeat = script.heartbeat_of(&batch.0, TOKEN, Vec::new());
             script.answered(&batch, CommandOutcome::Executed(heartbeat));
         }
         script.pass(second(1));
@@ -115,7 +115,7 @@
     };
     script.shard.listed(&[listed], script.now);
     for batch in script.batches() {
-        let heartbeat = script.heartbeat_of(&batch.0, TERM, Vec::new());
+        let heartbeat = script.heartbeat_of(&batch.0, TOKEN, Vec::new());
         script.answered(&batch, CommandOutcome::Executed(heartbeat));
     }
     assert_eq!(script.launches().len(), 1);
@@ -131,7 +131,7 @@
     for _ in 0..10 {
         script.pass(second(2));
         for batch in script.probes() {
-            let heartbeat = script.heartbeat_of(&batch.0, TERM, Vec::new());
+            let heartbeat = script.heartbeat_of(&batch.0, TOKEN, Vec::new());
             script.answered(&batch, CommandOutcome::Executed(heartbeat));
         }
     }
@@ -169,15 +169,15 @@
 }
 
 /// A heartbeat is held back until a new leader has acted, and arrives there: it shows
-/// what was, even under the new term, and neither frees nor brings back a task.
+/// what was, even under the new fencing token, and neither frees nor brings back a task.
 #[test]
 fn a_heartbeat_held_back_until_a_new_leader_has_acted_changes_nothing() {
     let mut script = Script::new(one_old_job(1, &["vm-1"]));
     let runs = |take| vec![listed("run-1/0", take, TaskState::Running, None)];
-    let before = script.heartbeat_of("vm-1", TERM - 1, Vec::new());
-    let mut agent_epoch = script.heartbeat_of("vm-1", TERM - 1, runs(3));
+    let before = script.heartbeat_of("vm-1", TOKEN - 1, Vec::new());
+    let mut agent_epoch = script.heartbeat_of("vm-1", TOKEN - 1, runs(3));
     agent_epoch.agent_epoch = 0;
-    let under_ours = script.heartbeat_of("vm-1", TERM, Vec::new());
+    let under_ours = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.heartbeat("vm-1", runs(7));
     for held_back in [before, agent_epoch, under_ours] {
         script.shard.heartbeat(&held_back, script.now);
@@ -219,7 +219,7 @@
     };
     assert!(clears(&commands, 0) && !clears(&commands, 1));
     let mut next = Script::new(Loaded {
-        jobs: vec![("run-1".into(), TERM + 2, record(spec("blue", 1.0, 3)))],
+        jobs: vec![("run-1".into(), TOKEN + 2, record(spec("blue", 1.0, 3)))],
         roster: vec![roster("vm-1")],
         chunks,
         ..Loaded::default()
@@ -263,14 +263,14 @@
         script.settle();
     };
     let heartbeat = {
-        let mut heartbeat = script.heartbeat_of("vm-9", TERM, Vec::new());
+        let mut heartbeat = script.heartbeat_of("vm-9", TOKEN, Vec::new());
         heartbeat.zone = "south".into();
         heartbeat
     };
     south(&mut script, &heartbeat);
     let runs = script.running(other).tasks;
     script.heartbeat(other, runs);
-    let mut anew = script.heartbeat_of(first, TERM, Vec::new());
+    let mut anew = script.heartbeat_of(first, TOKEN, Vec::new());
     anew.agent_epoch = 2;
     script.shard.heartbeat(&anew, script.now);
     script.settle();
@@ -280,7 +280,7 @@
         "two of its tasks run in the north"
     );
     for batch in &launches {
-        let heartbeat = script.heartbeat_of(&batch.0, TERM, Vec::new());
+        let heartbeat = script.heartbeat_of(&batch.0, TOKEN, Vec::new());
         script.answered(batch, CommandOutcome::Refused(heartbeat));
     }
     script.pass(second(1));
@@ -296,7 +296,7 @@
     let mut script = Script::new(one_old_job(1, &["vm-1"]));
     script.heartbeat("vm-2", Vec::new());
     let lease = script.shard.policy.lease_surely_over();
-    // Its heartbeats come, under the earlier leader's term; our answers don't arrive.
+    // Its heartbeats come, under the earlier leader's fencing token; our answers don't arrive.
     let begun = script.now;
     let mut sequence = script.sequence;
     while script.now - begun < lease / 2 {
@@ -304,15 +304,15 @@
             script.answered(&batch, CommandOutcome::NoAnswer);
         }
         let runs = vec![listed("run-1/0", 7, TaskState::Running, None)];
-        let heartbeat = script.heartbeat_of("vm-1", TERM - 1, runs);
+        let heartbeat = script.heartbeat_of("vm-1", TOKEN - 1, runs);
         script.shard.heartbeat(&heartbeat, script.now);
         script.heartbeat("vm-2", Vec::new());
         script.pass(second(2));
         assert!(script.launches().is_empty(), "it runs on vm-1");
         sequence = script.sequence;
     }
-    // Its agent epoch ends, as its worker tells us under our term at last.
-    let mut anew = script.heartbeat_of("vm-1", TERM, Vec::new());
+    // Its agent epoch ends, as its worker tells us under our fencing token at last.
+    let mut anew = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     assert!(anew.sequence > sequence);
     anew.agent_epoch = 2;
     script.shard.heartbeat(&anew, script.now);
--- a/src/coordination/shard/tests/scale.rs
+++ b/src/coordination/shard/tests/scale.rs
@@ -1,11 +1,12 @@
 //! Four thousand machines. Work is counted, not timed.
 
+use crate::protocol::FencingToken;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use serde_json::Value;
 
-use super::script::{Script, TERM, listed};
+use super::script::{Script, TOKEN, listed};
 use super::world::{self, machine_types, policy, record};
 use crate::coordination::shard::{Action, CommandOutcome, Loaded, LoadedMachine, Policy, Shard};
 use crate::protocol::state::Change;
@@ -77,12 +78,12 @@
     }
 
     fn heartbeat_of(&mut self, n: usize) -> WorkerHeartbeat {
-        let term = self.script.shard.term;
+        let fencing_token = self.script.shard.fencing_token.revision();
         let tasks = self.running.get(&n).into_iter().flatten();
         let tasks =
             tasks.map(|(task, take)| listed(&task.to_string(), *take, TaskState::Running, None));
         let tasks = tasks.collect();
-        let mut heartbeat = self.script.heartbeat_of(&name(n), term, tasks);
+        let mut heartbeat = self.script.heartbeat_of(&name(n), fencing_token, tasks);
         heartbeat.zone = zone(n).into();
         heartbeat.addr = format!("10.0.{}.{}:9000", n / 250, n % 250);
         heartbeat
@@ -244,7 +245,7 @@
                 .map(|(id, tasks)| {
                     (
                         (*id).to_owned(),
-                        TERM + 1,
+                        TOKEN + 1,
                         record(spec("blue", 8.0, *tasks)),
                     )
                 })
@@ -255,9 +256,15 @@
                 .collect(),
             bookings: Vec::new(),
         };
-        let term = self.script.shard.term + 10_000;
+        let fencing_token = self.script.shard.fencing_token.revision() + 10_000;
         let now = self.script.now;
-        self.script.shard = Shard::take_over(small_store(), term, loaded, now, 0);
+        self.script.shard = Shard::take_over(
+            small_store(),
+            FencingToken::new(fencing_token),
+            loaded,
+            now,
+            0,
+        );
         self.script.shard.set_types(&machine_types());
     }
 }
@@ -281,7 +288,7 @@
     cluster.heartbeat_all(|_| true);
     cluster.script.shard.job_put(
         "run-1",
-        TERM + 1,
+        TOKEN + 1,
         record(spec("blue", 8.0, TASKS)),
         cluster.script.now,
     );
@@ -318,7 +325,7 @@
     cluster
         .script
         .shard
-        .job_put("run-1", TERM + 1, job, cluster.script.now);
+        .job_put("run-1", TOKEN + 1, job, cluster.script.now);
     for _ in 0..5 {
         cluster.heartbeat_all(|_| true);
         cluster.pass(1);
@@ -443,14 +450,14 @@
     for n in 0..60_000 {
         let id = format!("run-{n:06}");
         let job = record(spec("blue", 0.25, 1));
-        script.shard.job_put(&id, TERM + 1, job, script.now);
+        script.shard.job_put(&id, TOKEN + 1, job, script.now);
     }
     for n in 0..machines {
         let tasks = (0..30).map(|k| {
             let task = format!("run-{:06}/0", n * 30 + k);
             listed(&task, 7, TaskState::Running, None)
         });
-        let heartbeat = script.heartbeat_of(&name(n), TERM, tasks.collect());
+        let heartbeat = script.heartbeat_of(&name(n), TOKEN, tasks.collect());
         script.shard.heartbeat(&heartbeat, script.now);
     }
     let mut written = 0.0;
--- a/src/coordination/shard/tests/script.rs
+++ b/src/coordination/shard/tests/script.rs
@@ -1,5 +1,6 @@
 //! A shard whose surroundings do what a test says.
 
+use crate::protocol::FencingToken;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -15,7 +16,7 @@
 use crate::storage::keys;
 use crate::storage::records::RosterRecord;
 
-pub(super) const TERM: u64 = 100;
+pub(super) const TOKEN: u64 = 100;
 
 pub(super) struct Script {
     pub(super) shard: Shard,
@@ -79,7 +80,7 @@
 
     pub(super) fn under(policy: Policy, loaded: Loaded) -> Self {
         let now = Instant::now();
-        let mut shard = Shard::take_over(policy, TERM, loaded, now, 0);
+        let mut shard = Shard::take_over(policy, FencingToken::new(TOKEN), loaded, now, 0);
         shard.set_types(&machine_types());
         let mut script = Self {
             shard,
@@ -131,7 +132,7 @@
     pub(super) fn heartbeat_of(
         &mut self,
         id: &str,
-        term: u64,
+        fencing_token: u64,
         tasks: Vec<TaskStatus>,
     ) -> WorkerHeartbeat {
         self.sequence += 1;
@@ -143,14 +144,14 @@
             spot: false,
             agent_epoch: 1,
             sequence: self.sequence,
-            term,
+            fencing_token: FencingToken::new(fencing_token),
             notice_s: None,
             tasks,
         }
     }
 
     pub(super) fn heartbeat(&mut self, id: &str, tasks: Vec<TaskStatus>) -> Vec<Command> {
-        let heartbeat = self.heartbeat_of(id, TERM, tasks);
+        let heartbeat = self.heartbeat_of(id, TOKEN, tasks);
         let outcome = self.shard.heartbeat(&heartbeat, self.now);
         self.settle();
         match outcome {
@@ -161,7 +162,7 @@
 
     pub(super) fn submit(&mut self, id: &str, spec: JobSpec) {
         self.shard
-            .job_put(id, TERM + 1 + self.sequence, record(spec), self.now);
+            .job_put(id, TOKEN + 1 + self.sequence, record(spec), self.now);
         self.settle();
     }
 
@@ -251,7 +252,7 @@
         let running =
             |(task, take): (TaskId, u64)| listed(&task.to_string(), take, TaskState::Running, None);
         let tasks = tasks.map(running).collect();
-        self.heartbeat_of(id, TERM, tasks)
+        self.heartbeat_of(id, TOKEN, tasks)
     }
 }
 
--- a/src/coordination/shard/tests/scripted.rs
+++ b/src/coordination/shard/tests/scripted.rs
@@ -1,8 +1,9 @@
 //! One failure at a time, each as it was found or feared.
 
+use crate::protocol::FencingToken;
 use std::time::{Duration, Instant};
 
-use super::script::{Script, TERM, listed, obey, one_old_job, roster, stops, take_of};
+use super::script::{Script, TOKEN, listed, obey, one_old_job, roster, stops, take_of};
 use super::world::{ALONE, machine_types, policy, record, spec};
 use crate::coordination::shard::{
     Action, CommandOutcome, Fact, HeartbeatOutcome, Loaded, RentalOutcome, Shard, ShardWrite,
@@ -16,7 +17,7 @@
 fn a_machine_is_on_the_roster_before_it_gets_a_task() {
     let mut script = Script::new(Loaded::default());
     script.submit("run-1", spec("blue", 1.0, 1));
-    let heartbeat = script.heartbeat_of("vm-1", TERM, Vec::new());
+    let heartbeat = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.shard.heartbeat(&heartbeat, script.now);
     script.shard.settle(script.now);
     let actions = script.shard.take_actions();
@@ -44,7 +45,7 @@
         let take = take_of(&batch.2);
         if outcome_known {
             let line = listed("run-1/0", take, TaskState::Fetching, None);
-            let heartbeat = script.heartbeat_of("vm-1", TERM, vec![line]);
+            let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![line]);
             script.answered(&batch, CommandOutcome::Executed(heartbeat));
         } else {
             script.answered(&batch, CommandOutcome::NoAnswer);
@@ -66,9 +67,15 @@
 
 #[test]
 fn attempt_numbers_never_repeat_across_terms() {
-    let takes = |term: u64| {
+    let takes = |fencing_token: u64| {
         let now = Instant::now();
-        let mut shard = Shard::take_over(policy(), term, Loaded::default(), now, 0);
+        let mut shard = Shard::take_over(
+            policy(),
+            FencingToken::new(fencing_token),
+            Loaded::default(),
+            now,
+            0,
+        );
         shard.set_types(&machine_types());
         let mut script = Script {
             shard,
@@ -77,12 +84,15 @@
             actions: Vec::new(),
             written: Default::default(),
         };
-        let heartbeat = script.heartbeat_of("vm-1", term, Vec::new());
+        let heartbeat = script.heartbeat_of("vm-1", fencing_token, Vec::new());
         script.shard.heartbeat(&heartbeat, now);
         script.settle();
-        script
-            .shard
-            .job_put("run-1", term + 1, record(spec("blue", 1.0, 5)), now);
+        script.shard.job_put(
+            "run-1",
+            fencing_token + 1,
+            record(spec("blue", 1.0, 5)),
+            now,
+        );
         script.settle();
         script
             .launches()
@@ -108,7 +118,7 @@
         ..Loaded::default()
     });
     let probes = script.batches();
-    let heartbeat = script.heartbeat_of("vm-1", TERM, Vec::new());
+    let heartbeat = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.answered(&probes[0], CommandOutcome::Executed(heartbeat));
     assert!(script.launches().is_empty(), "vm-2 may hold the task");
     // A job that no earlier leader can have known starts at once.
@@ -121,7 +131,7 @@
 }
 
 #[test]
-fn a_heartbeat_under_an_older_term_proves_nothing() {
+fn a_heartbeat_under_an_older_fencing_token_proves_nothing() {
     let mut script = Script::new(Loaded {
         jobs: vec![("run-1".into(), 50, record(spec("blue", 1.0, 1)))],
         roster: vec![roster("vm-1")],
@@ -131,9 +141,9 @@
     assert_eq!(
         probes.len(),
         1,
-        "every machine is sent the new term at once"
+        "every machine is sent the new fencing token at once"
     );
-    let heartbeat = script.heartbeat_of("vm-1", TERM - 1, Vec::new());
+    let heartbeat = script.heartbeat_of("vm-1", TOKEN - 1, Vec::new());
     script.shard.heartbeat(&heartbeat, script.now);
     script.settle();
     assert!(script.launches().is_empty(), "an older launch may land yet");
@@ -141,7 +151,7 @@
         script.shard.jobs()["run-1"].live().is_empty(),
         "nor decided"
     );
-    let heartbeat = script.heartbeat_of("vm-1", TERM, Vec::new());
+    let heartbeat = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.answered(&probes[0], CommandOutcome::Executed(heartbeat));
     assert_eq!(script.launches().len(), 1);
 }
@@ -149,12 +159,12 @@
 #[test]
 fn a_late_heartbeat_is_not_believed() {
     let mut script = Script::new(Loaded::default());
-    let late = script.heartbeat_of("vm-1", TERM, Vec::new());
+    let late = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
     let batch = script.launches().remove(0);
     let line = listed("run-1/0", take_of(&batch.2), TaskState::Running, None);
-    let heartbeat = script.heartbeat_of("vm-1", TERM, vec![line]);
+    let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![line]);
     script.answered(&batch, CommandOutcome::Executed(heartbeat));
     // It is as old as its number says: the task is still there.
     script.shard.heartbeat(&late, script.now);
@@ -194,7 +204,7 @@
     script.submit("run-1", job);
     let batch = script.launches().remove(0);
     let line = listed("run-1/0", take_of(&batch.2), TaskState::Running, None);
-    let heartbeat = script.heartbeat_of("vm-1", TERM, vec![line]);
+    let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![line]);
     script.answered(&batch, CommandOutcome::Executed(heartbeat));
     script.heartbeat("vm-2", Vec::new());
     // vm-1 falls silent; its probes stay unanswered.
@@ -228,12 +238,12 @@
     for _ in 0..18 {
         script.now += Duration::from_secs(1);
         script.shard.tick(script.now);
-        let heartbeat = script.heartbeat_of("vm-1", TERM, Vec::new());
+        let heartbeat = script.heartbeat_of("vm-1", TOKEN, Vec::new());
         script.shard.heartbeat(&heartbeat, script.now);
         script.shard.take_actions();
     }
     let late = record(spec("blue", 1.0, 1));
-    script.shard.job_put("run-2", TERM + 99, late, script.now);
+    script.shard.job_put("run-2", TOKEN + 99, late, script.now);
     script.shard.settle(script.now);
     assert!(
         !script
@@ -260,7 +270,7 @@
     script.shard.tick(script.now);
     script.settle();
     let line = listed("run-1/0", 7, TaskState::Running, None);
-    let mut heartbeat = script.heartbeat_of("vm-1", TERM, vec![line]);
+    let mut heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![line]);
     heartbeat.agent_epoch = 2;
     script.answered(&probe, CommandOutcome::Executed(heartbeat));
     script.heartbeat("vm-3", Vec::new());
@@ -281,7 +291,7 @@
     // Silent until its lease is over. Its late heartbeat changes nothing.
     script.pass(Duration::from_secs(28));
     script.batches();
-    let late = script.heartbeat_of("vm-1", TERM, Vec::new());
+    let late = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.shard.heartbeat(&late, script.now);
     script.settle();
     assert!(script.launches().is_empty());
@@ -297,7 +307,7 @@
     });
     // The probe is under way, so that launches have to wait.
     let probe = script.batches().remove(0);
-    let sync = script.heartbeat_of("vm-1", TERM, Vec::new());
+    let sync = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.shard.heartbeat(&sync, script.now);
     script.settle();
     script.submit("run-1", spec("blue", 8.0, 1));
@@ -305,7 +315,7 @@
     let mut first = spec("blue", 8.0, 1);
     first.priority = Priority::Prod;
     script.submit("run-2", first);
-    let heartbeat = script.heartbeat_of("vm-1", TERM, Vec::new());
+    let heartbeat = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.answered(&probe, CommandOutcome::Executed(heartbeat));
     let batches = script.launches();
     assert_eq!(batches.len(), 1);
@@ -337,7 +347,7 @@
     };
     for batch in &batches {
         let running = lines(batch, TaskState::Running, None);
-        let heartbeat = script.heartbeat_of(&batch.0, TERM, running);
+        let heartbeat = script.heartbeat_of(&batch.0, TOKEN, running);
         script.answered(batch, CommandOutcome::Executed(heartbeat));
     }
     let (quick, slow) = (&batches[0], &batches[1]);
@@ -431,7 +441,7 @@
     let batch = script.launches().remove(0);
     let take = take_of(&batch.2);
     let running = |n: u64| listed(&format!("run-1/{n}"), take + n, TaskState::Running, None);
-    let heartbeat = script.heartbeat_of("vm-1", TERM, vec![running(0), running(1)]);
+    let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![running(0), running(1)]);
     script.answered(&batch, CommandOutcome::Executed(heartbeat));
     let done = listed("run-1/0", take, TaskState::Ended, Some(Ending::Done));
     let clears = |commands: &[Command]| {
@@ -441,7 +451,7 @@
     };
     // The snapshot is taken, but not written yet.
     script.now += Duration::from_secs(4);
-    let heartbeat = script.heartbeat_of("vm-1", TERM, vec![done.clone(), running(1)]);
+    let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![done.clone(), running(1)]);
     script.shard.heartbeat(&heartbeat, script.now);
     script.shard.tick(script.now);
     let write: ShardWrite = script
@@ -453,7 +463,7 @@
             _ => None,
         })
         .expect("a snapshot is due");
-    let heartbeat = script.heartbeat_of("vm-1", TERM, vec![done.clone(), running(1)]);
+    let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![done.clone(), running(1)]);
     match script.shard.heartbeat(&heartbeat, script.now) {
         HeartbeatOutcome::Answer(commands) => assert!(!clears(&commands)),
         HeartbeatOutcome::Refuse => panic!("refused"),
@@ -479,7 +489,7 @@
         panic!("not a launch");
     };
     let runs = vec![listed(&task.to_string(), attempt, TaskState::Running, None)];
-    let heartbeat = script.heartbeat_of("vm-1", TERM, runs.clone());
+    let heartbeat = script.heartbeat_of("vm-1", TOKEN, runs.clone());
     script.answered(&batch, CommandOutcome::Executed(heartbeat));
     script.heartbeat("vm-1", runs);
     script.shard.delegate("beta", script.now);
@@ -514,7 +524,7 @@
 #[test]
 fn a_delegates_inventory_accounts_for_machines_without_opening_them() {
     let mut script = Script::new(Loaded {
-        jobs: vec![("run-1".into(), TERM - 1, record(spec("blue", 1.0, 2)))],
+        jobs: vec![("run-1".into(), TOKEN - 1, record(spec("blue", 1.0, 2)))],
         roster: vec![roster("vm-1")],
         ..Loaded::default()
     });
@@ -524,13 +534,13 @@
     assert!(script.shard.wants_inventories());
     assert!(script.launches().is_empty(), "both tasks may run on vm-1");
     let runs = vec![listed("run-1/0", 7, TaskState::Running, None)];
-    let older = script.heartbeat_of("vm-1", TERM - 1, runs.clone());
+    let older = script.heartbeat_of("vm-1", TOKEN - 1, runs.clone());
     script.shard.relayed(&older, script.now);
     assert!(
         script.shard.wants_inventories(),
         "commands may land there yet"
     );
-    let heartbeat = script.heartbeat_of("vm-1", TERM, runs);
+    let heartbeat = script.heartbeat_of("vm-1", TOKEN, runs);
     script.shard.relayed(&heartbeat, script.now);
     script.settle();
     assert!(!script.shard.wants_inventories());
@@ -553,7 +563,7 @@
     script.answered(&batch, CommandOutcome::NoAnswer);
     script.heartbeat("vm-2", Vec::new());
     assert!(script.launches().is_empty(), "it may still land on vm-1");
-    let mut heartbeat = script.heartbeat_of("vm-1", TERM, Vec::new());
+    let mut heartbeat = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     heartbeat.agent_epoch = 2;
     script.shard.heartbeat(&heartbeat, script.now);
     script.settle();
@@ -569,7 +579,7 @@
         .into_iter()
         .find(|(id, ..)| &**id == "vm-1")
         .expect("it is asked");
-    let mut answer = script.heartbeat_of("vm-1", TERM, Vec::new());
+    let mut answer = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     answer.agent_epoch = 2;
     script.answered(&probe, CommandOutcome::Executed(answer));
     assert_eq!(script.launches().len(), 1);
@@ -580,7 +590,7 @@
 #[test]
 fn a_duplicated_heartbeat_renews_no_lease() {
     let mut script = Script::new(Loaded::default());
-    let first = script.heartbeat_of("vm-1", TERM, Vec::new());
+    let first = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.shard.heartbeat(&first, script.now);
     script.heartbeat("vm-1", Vec::new());
     let lease_over = script.machine("vm-1").lease_over;
@@ -603,10 +613,10 @@
 fn a_heartbeat_that_an_answer_overtook_renews_the_lease() {
     let mut script = Script::new(Loaded::default());
     script.heartbeat("vm-1", Vec::new());
-    let heartbeat = script.heartbeat_of("vm-1", TERM, Vec::new());
+    let heartbeat = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
     let batch = script.launches().remove(0);
-    let answer = script.heartbeat_of("vm-1", TERM, Vec::new());
+    let answer = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.answered(&batch, CommandOutcome::Executed(answer));
     script.now += Duration::from_secs(10);
     script.shard.heartbeat(&heartbeat, script.now);
@@ -622,14 +632,14 @@
     for _ in 0..5 {
         script.heartbeat("vm-1", Vec::new());
     }
-    let mut old = script.heartbeat_of("vm-1", TERM, Vec::new());
+    let mut old = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     old.sequence = 1;
     script.shard.heartbeat(&old, script.now);
     script.settle();
     let probe = script.probes().remove(0);
     assert!(!script.machine("vm-1").deleting, "it may be a copy");
     // The answer of a worker that went on has newer numbers.
-    let newer = script.heartbeat_of("vm-1", TERM, Vec::new());
+    let newer = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.answered(&probe, CommandOutcome::Executed(newer));
     assert!(!script.machine("vm-1").deleting);
     script.now += Duration::from_secs(3);
@@ -647,7 +657,7 @@
     let mut script = Script::new(Loaded::default());
     let heartbeat = script.heartbeat_of(
         "vm-1",
-        TERM,
+        TOKEN,
         vec![
             listed("run-1/0", 1, TaskState::Running, None),
             listed("run-2/0", 2, TaskState::Running, None),
@@ -675,7 +685,7 @@
     for step in 0..4 {
         for probe in script.probes() {
             let answered = &*probe.0 != "vm-00" && (step > 0 || &*probe.0 < "vm-15");
-            let heartbeat = script.heartbeat_of(&probe.0, TERM, Vec::new());
+            let heartbeat = script.heartbeat_of(&probe.0, TOKEN, Vec::new());
             let outcome = if answered {
                 CommandOutcome::Executed(heartbeat)
             } else {
@@ -696,7 +706,7 @@
 #[test]
 fn nothing_is_given_back_as_idle_while_machines_are_unaccounted_for() {
     let mut script = Script::new(Loaded {
-        jobs: vec![("run-1".into(), TERM - 1, record(spec("red", 8.0, 2)))],
+        jobs: vec![("run-1".into(), TOKEN - 1, record(spec("red", 8.0, 2)))],
         roster: ["vm-0", "vm-1", "vm-2", "vm-3"].map(roster).into(),
         ..Loaded::default()
     });
@@ -716,7 +726,7 @@
 #[test]
 fn a_copy_does_not_revive_a_deleted_machine() {
     let mut script = Script::new(Loaded::default());
-    let copy = script.heartbeat_of("vm-1", TERM, Vec::new());
+    let copy = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.shard.heartbeat(&copy, script.now);
     script.settle();
     let gone: MachineId = "vm-1".into();
@@ -740,14 +750,14 @@
 #[test]
 fn a_new_agent_epoch_does_not_account_for_what_an_earlier_leader_started_in_it() {
     let mut script = Script::new(Loaded {
-        jobs: vec![("run-1".into(), TERM - 1, record(spec("blue", 1.0, 1)))],
+        jobs: vec![("run-1".into(), TOKEN - 1, record(spec("blue", 1.0, 1)))],
         roster: vec![roster("vm-1")],
         ..Loaded::default()
     });
     script.heartbeat("vm-2", Vec::new());
-    let copy = script.heartbeat_of("vm-1", TERM - 1, Vec::new());
+    let copy = script.heartbeat_of("vm-1", TOKEN - 1, Vec::new());
     script.shard.heartbeat(&copy, script.now);
-    let mut real = script.heartbeat_of("vm-1", TERM - 1, Vec::new());
+    let mut real = script.heartbeat_of("vm-1", TOKEN - 1, Vec::new());
     real.agent_epoch = 2;
     script.shard.heartbeat(&real, script.now);
     script.settle();
@@ -756,7 +766,7 @@
         "run-1 may run in agent epoch 2"
     );
     let runs = vec![listed("run-1/0", 7, TaskState::Running, None)];
-    let mut synced = script.heartbeat_of("vm-1", TERM, runs);
+    let mut synced = script.heartbeat_of("vm-1", TOKEN, runs);
     synced.agent_epoch = 2;
     script.shard.heartbeat(&synced, script.now);
     script.pass(Duration::from_secs(1));
@@ -778,7 +788,7 @@
         script.pass(Duration::ZERO);
         script.shard.summary().contains("unresolved 1")
     };
-    // Under an earlier term, from just before this one began.
+    // Under an earlier fencing token, from just before this one began.
     assert!(unaccounted(&mut script, lease + ALONE - second, None));
     // Under ours: someone may still be answering, or did until then.
     let later = lease + ALONE + second;
@@ -802,7 +812,7 @@
     let mut script = Script::new(one_old_job(2, &["vm-1", "vm-2"]));
     let running = listed("run-1/0", 7, TaskState::Running, None);
     let probe = script.probes().remove(0);
-    let heartbeat = script.heartbeat_of("vm-1", TERM, vec![running]);
+    let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![running]);
     script.answered(&probe, CommandOutcome::Executed(heartbeat));
     script.pass(Duration::from_millis(300));
     assert!(
@@ -826,7 +836,7 @@
     let mut script = Script::new(loaded);
     let running = |n| listed(&format!("run-1/{n}"), 7, TaskState::Running, None);
     let probe = script.probes().remove(0);
-    let heartbeat = script.heartbeat_of("vm-1", TERM, vec![running(0), running(1)]);
+    let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![running(0), running(1)]);
     script.answered(&probe, CommandOutcome::Executed(heartbeat));
     script.heartbeat("vm-1", vec![running(0)]);
     script.pass(Duration::from_millis(300));
--- a/src/coordination/shard/tests/standstill.rs
+++ b/src/coordination/shard/tests/standstill.rs
@@ -82,11 +82,11 @@
     // Their workers began anew, all but one that another controller had answered: its
     // agent epoch is taken for over, and gets no more work.
     for id in &MACHINES[1..] {
-        let mut heartbeat = script.heartbeat_of(id, super::script::TERM, Vec::new());
+        let mut heartbeat = script.heartbeat_of(id, super::script::TOKEN, Vec::new());
         heartbeat.agent_epoch = 2;
         script.shard.heartbeat(&heartbeat, script.now);
     }
-    let late = script.heartbeat_of(MACHINES[0], super::script::TERM, vec![lines[0].clone()]);
+    let late = script.heartbeat_of(MACHINES[0], super::script::TOKEN, vec![lines[0].clone()]);
     script.shard.heartbeat(&late, script.now);
     script.settle();
     let launched = script.launches();
--- a/src/coordination/shard/tests/world.rs
+++ b/src/coordination/shard/tests/world.rs
@@ -2,6 +2,7 @@
 //! and users, with the published semantics and a network that delays, holds
 //! and loses messages. It checks the rules at every step.
 
+use crate::protocol::FencingToken;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -133,16 +134,16 @@
     spot: bool,
     agent_epoch: u64,
     sequence: u64,
-    term: u64,
+    fencing_token: FencingToken,
     /// When the last heartbeat that was answered left, or the agent epoch began.
     answered_sent: Instant,
     next_heartbeat: Instant,
     tasks: BTreeMap<(TaskId, u64), WorkerTask>,
     /// Everything to and from it is held until then.
     cut_until: Option<Instant>,
-    /// Meanwhile a controller answers it by an advance delegation of this term, until
+    /// Meanwhile a controller answers it by an advance delegation of this fencing token, until
     /// then.
-    kept: Option<(u64, Instant)>,
+    kept: Option<(FencingToken, Instant)>,
     /// It does nothing until then.
     hang_until: Option<Instant>,
     /// Neither answers nor commands reach it until then.
@@ -168,7 +169,7 @@
             spot: self.spot,
             agent_epoch: self.agent_epoch,
             sequence: self.sequence,
-            term: self.term,
+            fencing_token: self.fencing_token,
             notice_s: None,
             tasks: self
                 .tasks
@@ -199,7 +200,7 @@
         machine: String,
         sent: Instant,
         agent_epoch: u64,
-        term: u64,
+        fencing_token: FencingToken,
         commands: Vec<Command>,
     },
     Commands {
@@ -207,7 +208,7 @@
         leader: u64,
         machine: String,
         number: u64,
-        term: u64,
+        fencing_token: FencingToken,
         agent_epoch: u64,
         commands: Vec<Command>,
     },
@@ -220,7 +221,7 @@
     },
     Write {
         leader: u64,
-        term: u64,
+        fencing_token: FencingToken,
         write: ShardWrite,
     },
     Written {
@@ -228,7 +229,7 @@
         write: ShardWrite,
     },
     Finish {
-        term: u64,
+        fencing_token: FencingToken,
         job: String,
         mark: u64,
     },
@@ -280,7 +281,7 @@
     leader: Option<Leader>,
     leader_run: u64,
     revision: u64,
-    term: u64,
+    fencing_token: FencingToken,
     jobs: BTreeMap<String, (u64, JobRecord)>,
     finals: BTreeMap<String, FinalRecord>,
     cancelled: BTreeMap<String, Instant>,
@@ -294,8 +295,8 @@
     /// Tasks that have truly been completed.
     done: BTreeSet<TaskId>,
     limits: HashMap<String, f64>,
-    /// When a worker was last answered by an advance delegation, by its term.
-    kept: BTreeMap<u64, Instant>,
+    /// When a worker was last answered by an advance delegation, by its fencing token.
+    kept: BTreeMap<FencingToken, Instant>,
     /// The state service takes no write until then.
     outage_until: Option<Instant>,
     pub broken: Vec<String>,
@@ -321,7 +322,7 @@
             leader: None,
             leader_run: 0,
             revision: 0,
-            term: 0,
+            fencing_token: FencingToken::default(),
             jobs: BTreeMap::new(),
             finals: BTreeMap::new(),
             cancelled: BTreeMap::new(),
@@ -405,7 +406,7 @@
             self.run(until - self.now);
         }
         self.revision += 1;
-        self.term = self.revision;
+        self.fencing_token = FencingToken::new(self.revision);
         self.leader_run += 1;
         let loaded = Loaded {
             jobs: self
@@ -421,7 +422,7 @@
                 .map(|value| serde_json::from_value(value.clone()).expect("a rental"))
                 .collect(),
         };
-        let mut shard = Shard::take_over(policy(), self.term, loaded, self.now, 0);
+        let mut shard = Shard::take_over(policy(), self.fencing_token, loaded, self.now, 0);
         shard.set_types(&machine_types());
         self.leader = Some(Leader {
             run: self.leader_run,
@@ -458,7 +459,7 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let (run, term) = (leader.run, leader.shard.term);
+        let (run, fencing_token) = (leader.run, leader.shard.fencing_token);
         for action in leader.shard.take_actions() {
             match action {
                 Action::Command {
@@ -487,18 +488,18 @@
                         leader: run,
                         machine,
                         number,
-                        term,
+                        fencing_token,
                         agent_epoch,
                         commands,
                     });
                 }
                 Action::Write(write) => self.send(Message::Write {
                     leader: run,
-                    term,
+                    fencing_token,
                     write,
                 }),
                 Action::Finish { job, mark } => self.send(Message::Finish {
-                    term,
+                    fencing_token,
                     job: job.to_string(),
                     mark,
                 }),
@@ -604,15 +605,15 @@
                 let mut answer = None;
                 self.tell(|shard| {
                     if let HeartbeatOutcome::Answer(commands) = shard.heartbeat(&heartbeat, now) {
-                        answer = Some((shard.term, commands));
+                        answer = Some((shard.fencing_token, commands));
                     }
                 });
-                if let Some((term, commands)) = answer {
+                if let Some((fencing_token, commands)) = answer {
                     self.send(Message::Answer {
                         machine,
                         sent,
                         agent_epoch,
-                        term,
+                        fencing_token,
                         commands,
                     });
                 }
@@ -624,7 +625,7 @@
                 machine,
                 sent,
                 agent_epoch,
-                term,
+                fencing_token,
                 commands,
             } => {
                 let Some(worker) = self.workers.get_mut(&machine) else {
@@ -635,11 +636,11 @@
                     || late
                     || lasts(worker.deaf_until, now)
                     || worker.agent_epoch != agent_epoch
-                    || term < worker.term
+                    || fencing_token < worker.fencing_token
                 {
                     return;
                 }
-                worker.term = term;
+                worker.fencing_token = fencing_token;
                 worker.answered_sent = worker.answered_sent.max(sent);
                 self.execute(&machine, &commands);
             }
@@ -647,7 +648,7 @@
                 leader,
                 machine,
                 number,
-                term,
+                fencing_token,
                 agent_epoch,
                 commands,
             } => {
@@ -677,16 +678,17 @@
                             leader,
                             machine,
                             number,
-                            term,
+                            fencing_token,
                             agent_epoch,
                             commands,
                         },
                     );
                     return;
                 }
-                let taken = term >= worker.term && agent_epoch == worker.agent_epoch;
+                let taken =
+                    fencing_token >= worker.fencing_token && agent_epoch == worker.agent_epoch;
                 if taken {
-                    worker.term = term;
+                    worker.fencing_token = fencing_token;
                     self.execute(&machine, &commands);
                 }
                 let Some(worker) = self.workers.get_mut(&machine) else {
@@ -740,11 +742,11 @@
             }
             Message::Write {
                 leader,
-                term,
+                fencing_token,
                 write,
             } => {
                 // Guarded by the leadership record, however late it comes.
-                if term != self.term {
+                if fencing_token != self.fencing_token {
                     return;
                 }
                 if lasts(self.outage_until, now) {
@@ -754,7 +756,7 @@
                         pause,
                         Message::Write {
                             leader,
-                            term,
+                            fencing_token,
                             write,
                         },
                     );
@@ -769,14 +771,25 @@
             Message::Written { leader, write } => {
                 self.for_leader(leader, |shard| shard.shard_written(&write, now));
             }
-            Message::Finish { term, job, mark } => {
+            Message::Finish {
+                fencing_token,
+                job,
+                mark,
+            } => {
                 if lasts(self.outage_until, now) {
                     let pause = Duration::from_millis(500);
-                    self.later(pause, Message::Finish { term, job, mark });
+                    self.later(
+                        pause,
+                        Message::Finish {
+                            fencing_token,
+                            job,
+                            mark,
+                        },
+                    );
                     return;
                 }
                 let same = self.jobs.get(&job).is_some_and(|(at, _)| *at == mark);
-                if term != self.term || !same {
+                if fencing_token != self.fencing_token || !same {
                     return;
                 }
                 let Some((_, record)) = self.jobs.remove(&job) else {
@@ -905,7 +918,7 @@
                 spot,
                 agent_epoch: 1,
                 sequence: 0,
-                term: 0,
+                fencing_token: FencingToken::default(),
                 answered_sent: self.now,
                 next_heartbeat: self.now,
                 tasks: BTreeMap::new(),
@@ -926,7 +939,7 @@
     pub fn cut(&mut self, id: &str, time: Duration) {
         let until = self.now + time;
         let kept = self.rng.random_bool(0.5);
-        let delegation = (self.term, self.now + ALONE);
+        let delegation = (self.fencing_token, self.now + ALONE);
         if let Some(worker) = self.workers.get_mut(id) {
             // Who is cut off already can't be delegated anything anew.
             if worker.cut_until.is_none() {
@@ -1127,9 +1140,11 @@
                 worker.next_heartbeat =
                     now + Duration::from_millis(self.rng.random_range(2250..3750));
             }
-            if let Some((term, until)) = worker.kept.filter(|(term, _)| due && *term >= worker.term)
+            if let Some((fencing_token, until)) = worker
+                .kept
+                .filter(|(fencing_token, _)| due && *fencing_token >= worker.fencing_token)
             {
-                worker.term = term;
+                worker.fencing_token = fencing_token;
                 worker.answered_sent = now;
                 // Its delegate stops what was cancelled before the cut.
                 for ((task, _), state) in &mut worker.tasks {
@@ -1139,7 +1154,7 @@
                         state.ending = Some(Ending::Stopped);
                     }
                 }
-                self.kept.insert(term, now);
+                self.kept.insert(fencing_token, now);
             }
             if let Some(heartbeat) = heartbeat {
                 if self.rng.random_bool(COPIES) {
@@ -1310,11 +1325,11 @@
             let now = self.now;
             if ticks.is_multiple_of(2) {
                 // Who is cut off with workers may answer them at any time.
-                let term = self.term;
-                let keeps = |w: &Worker| w.kept.is_some_and(|(of, _)| of == term);
+                let fencing_token = self.fencing_token;
+                let keeps = |w: &Worker| w.kept.is_some_and(|(of, _)| of == fencing_token);
                 let kept = match self.workers.values().any(keeps) {
                     true => Some(now),
-                    false => self.kept.get(&term).copied(),
+                    false => self.kept.get(&fencing_token).copied(),
                 };
                 self.tell(|shard| shard.note_answers_by_others(kept, now));
                 self.tell(|shard| shard.tick(now));
--- a/src/coordination/shard/tests/zones.rs
+++ b/src/coordination/shard/tests/zones.rs
@@ -10,7 +10,7 @@
 
 /// A machine of eight cores that is up.
 fn machine(script: &mut Script, id: &str, zone: &str) {
-    let mut heartbeat = script.heartbeat_of(id, super::script::TERM, Vec::new());
+    let mut heartbeat = script.heartbeat_of(id, super::script::TOKEN, Vec::new());
     heartbeat.zone = zone.into();
     script.shard.heartbeat(&heartbeat, script.now);
     script.settle();
--- a/src/coordination/shard/writes.rs
+++ b/src/coordination/shard/writes.rs
@@ -300,7 +300,7 @@
             self.policy.value_bytes = (self.policy.value_bytes / 2).max(LEAST_VALUE);
         }
         tracing::error!(
-            term = self.term,
+            fencing_token = %self.fencing_token,
             changes,
             txn_ops = self.policy.txn_ops,
             value_bytes = self.policy.value_bytes,
--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -22,7 +22,7 @@
         );
         for view in inner.peers.views.values() {
             page.push_str(&format!(
-                "peer {}: heard {:?} ago, state service {}, workers {}, term {:?}\n",
+                "peer {}: heard {:?} ago, state service {}, workers {}, fencing token {:?}\n",
                 view.heartbeat.label,
                 now.saturating_duration_since(view.at),
                 if view.heartbeat.state_served {
@@ -31,13 +31,13 @@
                     "doesn't"
                 },
                 view.heartbeat.workers_heard,
-                view.heartbeat.term,
+                view.heartbeat.fencing_token,
             ));
         }
         if let Some(own) = &inner.leadership {
             page.push_str(&format!(
-                "term {}, {} its deadline\n",
-                own.lease.term,
+                "fencing token {}, {} its deadline\n",
+                own.lease.fencing_token,
                 if own.lease.live(now) {
                     "before"
                 } else {
--- a/src/coordination/tests/cancellation_knowledge.rs
+++ b/src/coordination/tests/cancellation_knowledge.rs
@@ -1,5 +1,6 @@
 //! Cancellations that a leader isn't told of by the state service.
 
+use crate::protocol::FencingToken;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -25,7 +26,7 @@
 use crate::storage::keys;
 use crate::storage::records::{FinalRecord, JobRecord, VERSION};
 
-const TERM: u64 = 9;
+const TOKEN: u64 = 9;
 /// The revisions at which the job was accepted, looked at, and cancelled.
 const ACCEPTED: u64 = 10;
 const LOOKED: u64 = 12;
@@ -70,8 +71,20 @@
             jobs: vec![("run-000001".into(), ACCEPTED, record.clone())],
             ..Loaded::default()
         };
-        let lease = Arc::new(ShardLease::new(1, TERM, now, now + second(3), now));
-        let shard = Shard::take_over(leader.policy.clone(), TERM, loaded, now, 0);
+        let lease = Arc::new(ShardLease::new(
+            1,
+            FencingToken::new(TOKEN),
+            now,
+            now + second(3),
+            now,
+        ));
+        let shard = Shard::take_over(
+            leader.policy.clone(),
+            FencingToken::new(TOKEN),
+            loaded,
+            now,
+            0,
+        );
         let opened = News::Put {
             key: keys::job("run-000001"),
             value: serde_json::to_value(&record).expect("a record"),
@@ -128,7 +141,7 @@
     /// that it is answered, if its lease goes on.
     fn heartbeat(&mut self) -> Option<Vec<Command>> {
         self.sequence += 1;
-        let mut heartbeat = heartbeat(TERM);
+        let mut heartbeat = heartbeat(TOKEN);
         heartbeat.sequence = self.sequence;
         heartbeat.tasks = vec![TaskStatus {
             task: TaskId::parse("run-000001/0").expect("a task"),
--- a/src/coordination/tests/mod.rs
+++ b/src/coordination/tests/mod.rs
@@ -5,6 +5,7 @@
 mod reach;
 mod scale;
 
+use crate::protocol::FencingToken;
 use std::sync::Arc;
 
 use super::node::Node;
@@ -36,7 +37,7 @@
     Node::new(settings, clock)
 }
 
-fn heartbeat(term: u64) -> WorkerHeartbeat {
+fn heartbeat(fencing_token: u64) -> WorkerHeartbeat {
     WorkerHeartbeat {
         machine: "vm-1".into(),
         addr: "10.0.0.1:9000".into(),
@@ -45,7 +46,7 @@
         spot: false,
         agent_epoch: 1,
         sequence: 1,
-        term,
+        fencing_token: FencingToken::new(fencing_token),
         notice_s: None,
         tasks: Vec::new(),
     }
--- a/src/coordination/tests/peering.rs
+++ b/src/coordination/tests/peering.rs
@@ -1,6 +1,7 @@
 //! Promises and delegations, among controllers that don't all hear one
 //! another.
 
+use crate::protocol::FencingToken;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -17,16 +18,22 @@
 use crate::protocol::peers::PeerHeartbeat;
 
 /// Has a controller own an empty shard.
-pub(super) fn own(node: &Node, term: u64) -> Arc<ShardLease> {
+pub(super) fn own(node: &Node, fencing_token: u64) -> Arc<ShardLease> {
     let now = node.now();
     let lease = Arc::new(ShardLease::new(
         1,
-        term,
+        FencingToken::new(fencing_token),
         now,
         now + Duration::from_secs(3),
         now,
     ));
-    let shard = Shard::take_over(node.policy.clone(), term, Loaded::default(), now, 0);
+    let shard = Shard::take_over(
+        node.policy.clone(),
+        FencingToken::new(fencing_token),
+        Loaded::default(),
+        now,
+        0,
+    );
     node.lock().leadership = Some(Leadership {
         lease: lease.clone(),
         shard,
@@ -96,46 +103,52 @@
     node.lock().cancellations.caught_up(node.now());
     let leader = PeerHeartbeat {
         label: "beta".into(),
-        term: Some(7),
+        fencing_token: Some(FencingToken::new(7)),
         ..PeerHeartbeat::default()
     };
     heartbeat_answered(&node, leader, node.now(), None);
     clock.advance(advance_delegation::LEADER_SILENT);
     assert_eq!(
-        node.delegated_term(&heartbeat),
+        node.delegated_fencing_token(&heartbeat),
         None,
         "the state service may answer"
     );
     let _ = node.state.get("o/0/owner", STATE_DEADLINE).await;
-    assert_eq!(node.delegated_term(&heartbeat), Some(7));
+    assert_eq!(
+        node.delegated_fencing_token(&heartbeat),
+        Some(FencingToken::new(7))
+    );
     assert_eq!(own_heartbeat(&node).answered_alone_ago_ms, 0);
-    heartbeat.term = 8;
+    heartbeat.fencing_token = FencingToken::new(8);
     assert_eq!(
-        node.delegated_term(&heartbeat),
+        node.delegated_fencing_token(&heartbeat),
         None,
         "the worker obeys another"
     );
-    heartbeat.term = 7;
+    heartbeat.fencing_token = FencingToken::new(7);
     // The leader heard again, even by an old message: it answers, not we.
     let from_leader = PeerHeartbeat {
         label: "beta".into(),
-        term: Some(7),
+        fencing_token: Some(FencingToken::new(7)),
         ..PeerHeartbeat::default()
     };
     note_heartbeat(&node, from_leader);
-    // An older one without a term, which comes late, takes nothing back.
+    // An older one without a fencing token, which comes late, takes nothing back.
     let before = PeerHeartbeat {
         label: "beta".into(),
         ..PeerHeartbeat::default()
     };
     note_heartbeat(&node, before);
-    assert_eq!(node.delegated_term(&heartbeat), None);
+    assert_eq!(node.delegated_fencing_token(&heartbeat), None);
     clock.advance(advance_delegation::LEADER_SILENT);
-    assert_eq!(node.delegated_term(&heartbeat), Some(7));
+    assert_eq!(
+        node.delegated_fencing_token(&heartbeat),
+        Some(FencingToken::new(7))
+    );
     let workers = &node.settings.platform.settings.workers;
     clock.advance(workers.cancel() - workers.lease() - advance_delegation::LEADER_SILENT * 2);
     assert_eq!(
-        node.delegated_term(&heartbeat),
+        node.delegated_fencing_token(&heartbeat),
         None,
         "a job may have been cancelled"
     );
@@ -143,7 +156,7 @@
 
 /// Refused by the state service alone, a leader is replaced, and the service then
 /// falls out for all: the new leader needs the promise of the old, which was never
-/// told that its lease has ended. Its term in the new leader's heartbeat tells it.
+/// told that its lease has ended. Its fencing token in the new leader's heartbeat tells it.
 #[tokio::test]
 async fn a_leader_that_hears_of_a_later_one_gives_up_and_promises() {
     let clock = Arc::new(FakeClock::new());
@@ -152,12 +165,12 @@
     let lease = own(&node, 9);
     let _ = node.state.get("o/0/owner", STATE_DEADLINE).await;
     clock.advance(Duration::from_secs(4));
-    let heartbeat = |term| PeerHeartbeat {
+    let heartbeat = |fencing_token| PeerHeartbeat {
         label: "n1".into(),
-        term: Some(term),
+        fencing_token: Some(fencing_token),
         ..PeerHeartbeat::default()
     };
-    note_heartbeat(&node, heartbeat(8));
+    note_heartbeat(&node, heartbeat(FencingToken::new(8)));
     assert!(
         !lease.ended(),
         "an older leader's late heartbeat proves nothing"
@@ -166,7 +179,7 @@
         !grant_extension(&node, Duration::from_secs(1)),
         "it may go on yet"
     );
-    note_heartbeat(&node, heartbeat(10));
+    note_heartbeat(&node, heartbeat(FencingToken::new(10)));
     assert!(lease.ended());
     lease.renewed(now, now + Duration::from_secs(60));
     assert!(!lease.live(node.now()));
@@ -184,8 +197,12 @@
     clock.advance(Duration::from_secs(2));
     let renewed = node.now();
     clock.advance(Duration::from_secs(4));
-    let asked = |term| {
-        let frame = ReviveLease { term, millis: 1000 }.encode();
+    let asked = |fencing_token| {
+        let frame = ReviveLease {
+            fencing_token: FencingToken::new(fencing_token),
+            millis: 1000,
+        }
+        .encode();
         let asked = ReviveLease::decode(&frame).expect("a frame");
         let answer = vote_on_revival(&node, &asked).encode();
         RevivalVote::decode(&answer).expect("a frame")
@@ -201,7 +218,7 @@
     // Its run began after that renewal: an earlier one may have been the leader.
     let before = renewed - Duration::from_secs(3);
     assert!(!proves_unowned(&answer, node.now(), before));
-    node.lock().candidacy.latest_term = 10;
+    node.lock().candidacy.latest_fencing_token = FencingToken::new(10);
     assert!(!asked(9).granted, "it has owned the shard since");
     assert!(asked(10).granted);
     node.lock().candidacy.acquiring = true;
@@ -226,10 +243,13 @@
     clock.advance(Duration::from_secs(4));
     let heartbeat = heartbeat(9);
     assert!(node.live_lease().is_none());
-    assert_eq!(node.delegated_term(&heartbeat), Some(9));
+    assert_eq!(
+        node.delegated_fencing_token(&heartbeat),
+        Some(FencingToken::new(9))
+    );
     lease.finish();
     assert_eq!(
-        node.delegated_term(&heartbeat),
+        node.delegated_fencing_token(&heartbeat),
         None,
         "its lease is known to have ended"
     );
--- a/src/coordination/tests/reach.rs
+++ b/src/coordination/tests/reach.rs
@@ -15,12 +15,12 @@
 use crate::coordination::peering::heartbeat::own_heartbeat;
 use crate::coordination::peering::reach::{ask_unheard_workers, note_unfit};
 
-const TERM: u64 = 7;
+const TOKEN: u64 = 7;
 
 /// A leader that has heard one worker, some time ago.
 fn leader_of_a_silent_worker(clock: &FakeClock, node: &Arc<Node>, addr: SocketAddr) {
-    let lease = own(node, TERM);
-    let mut heartbeat = heartbeat(TERM);
+    let lease = own(node, TOKEN);
+    let mut heartbeat = heartbeat(TOKEN);
     heartbeat.addr = addr.to_string();
     node.with_shard(&lease, "reports", |shard, now| {
         shard.heartbeat(&heartbeat, now)
--- a/src/coordination/tests/scale.rs
+++ b/src/coordination/tests/scale.rs
@@ -19,7 +19,7 @@
 use crate::transport::client::HttpClient;
 use crate::transport::internal;
 
-const TERM: u64 = 7;
+const TOKEN: u64 = 7;
 const JOBS: u32 = 100_000;
 const BEGUN: u32 = 40_000;
 const TASKS_ON_ONE: usize = 200;
@@ -31,7 +31,7 @@
 
 /// A leader of very many jobs of one task, some of which run.
 fn leader_of_many_jobs(node: &Arc<Node>) {
-    let lease = own(node, TERM);
+    let lease = own(node, TOKEN);
     let parsed = crate::protocol::users::parse_submission(SUBMISSION.as_bytes());
     let (_, spec) = parsed.expect("a submission");
     node.with_shard(&lease, "jobs", |shard, now| {
@@ -41,10 +41,10 @@
                 at_ms: 0,
                 spec: spec.clone(),
             };
-            shard.job_put(&format!("run-{n:06}"), TERM + 1, record, now);
+            shard.job_put(&format!("run-{n:06}"), TOKEN + 1, record, now);
         }
         for first in (0..BEGUN).step_by(TASKS_ON_ONE) {
-            let mut running = heartbeat(TERM);
+            let mut running = heartbeat(TOKEN);
             running.machine = format!("vm-{first:06}");
             running.tasks = (first..first + TASKS_ON_ONE as u32)
                 .map(|n| TaskStatus {
@@ -95,7 +95,7 @@
 fn counts_of_jobs_that_run_no_more_are_not_kept() {
     let clock = Arc::new(FakeClock::new());
     let (sender, receiver) = (node(clock.clone()), peer(clock.clone()));
-    let lease = own(&sender, TERM);
+    let lease = own(&sender, TOKEN);
     let parsed = crate::protocol::users::parse_submission(SUBMISSION.as_bytes());
     let (id, spec) = parsed.expect("a submission");
     let record = JobRecord {
@@ -104,7 +104,7 @@
         spec,
     };
     sender.with_shard(&lease, "jobs", |shard, now| {
-        shard.job_put(&id, TERM + 1, record, now)
+        shard.job_put(&id, TOKEN + 1, record, now)
     });
     receiver.lock().peers.progress.insert(
         id.clone(),
--- a/src/coordination/worker_heartbeats.rs
+++ b/src/coordination/worker_heartbeats.rs
@@ -12,7 +12,7 @@
 pub enum HeartbeatDecision {
     /// 200: the worker's lease goes on, and it executes these commands.
     Renewed(HeartbeatResponse),
-    /// 503: its machine is known to be gone, or a higher term is about.
+    /// 503: its machine is known to be gone, or a higher fencing token is about.
     Refused,
     /// 421: this controller isn't entitled to answer; that one may be.
     Elsewhere(Redirect),
@@ -34,23 +34,32 @@
                 if !node.may_renew_leases(now) {
                     return HeartbeatDecision::Elsewhere(Redirect { leader: None });
                 }
-                let term = lease.term;
-                return HeartbeatDecision::Renewed(HeartbeatResponse { term, commands });
+                let fencing_token = lease.fencing_token;
+                return HeartbeatDecision::Renewed(HeartbeatResponse {
+                    fencing_token,
+                    commands,
+                });
             }
             _ => {}
         }
     }
     if node.may_renew_leases(node.now())
-        && let Some(term) = node.delegated_term(heartbeat)
+        && let Some(fencing_token) = node.delegated_fencing_token(heartbeat)
     {
         // A leader past its deadline stays informed: it may go on.
-        if let Some(lease) = node.lease().filter(|lease| lease.term == term) {
+        if let Some(lease) = node
+            .lease()
+            .filter(|lease| lease.fencing_token == fencing_token)
+        {
             node.with_shard(&lease, "reports", |shard, now| {
                 shard.heartbeat(heartbeat, now)
             });
         }
         let commands = delegate_commands(heartbeat, |job| node.ledger.is_open(job));
-        return HeartbeatDecision::Renewed(HeartbeatResponse { term, commands });
+        return HeartbeatDecision::Renewed(HeartbeatResponse {
+            fencing_token,
+            commands,
+        });
     }
     let leader = node.leader_label().filter(|label| label != node.label());
     HeartbeatDecision::Elsewhere(Redirect { leader })
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -21,6 +21,49 @@
 /// A machine's name as the cloud gave it.
 pub type MachineId = Arc<str>;
 
+/// Identifies one term of a shard's leadership; a later leader's is larger.
+///
+/// It is the store revision at which the leader's record was written, so that it rises with
+/// every election. It fences commands to workers, which drop those with a lower token than the
+/// highest they have seen, and writes to the store, which require that the leader's record still
+/// has this revision. On the wire to workers it is `Baton` (PROTOCOL, "Tokens").
+#[derive(
+    Debug,
+    Clone,
+    Copy,
+    Default,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    Hash,
+    serde::Serialize,
+    serde::Deserialize,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
+#[serde(transparent)]
+pub struct FencingToken(u64);
+
+impl FencingToken {
+    /// The token of the leader whose record was written at this store revision.
+    pub const fn new(revision: u64) -> Self {
+        Self(revision)
+    }
+
+    /// The store revision at which the leader's record was written.
+    pub const fn revision(self) -> u64 {
+        self.0
+    }
+}
+
+impl fmt::Display for FencingToken {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.0.fmt(f)
+    }
+}
+
 /// One task of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId {
--- a/src/protocol/peer_messages.rs
+++ b/src/protocol/peer_messages.rs
@@ -5,6 +5,7 @@
 //! later has a path of its own, which an older controller answers with 404, and
 //! a version, so that what comes later yet is told from it.
 
+use super::FencingToken;
 use rkyv::{Archive, Deserialize, Serialize};
 
 /// The path at which controllers answer for what they told users.
@@ -38,13 +39,13 @@
 /// The path at which controllers stand aside for a leader past its deadline.
 pub const REVIVE_LEASE: &str = "/peer/stand-aside/1";
 
-/// The sender's lease of this term may have run out before the state service fell
+/// The sender's lease with this fencing token may have run out before the state service fell
 /// out for all: will you leave the shard alone for this long, and has nobody
 /// taken it since?
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct ReviveLease {
-    /// The term of the lease.
-    pub term: u64,
+    /// The fencing token of the lease.
+    pub fencing_token: FencingToken,
     /// For how long the shard is to be left alone.
     pub millis: u64,
 }
@@ -52,7 +53,7 @@
 /// The answer to [`ReviveLease`].
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct RevivalVote {
-    /// This run has acquired no later term, and seeks none for so long.
+    /// This run has acquired no later fencing token, and seeks none for so long.
     pub granted: bool,
     /// How long this run has lasted.
     pub up_ms: u64,
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -1,5 +1,6 @@
 //! What controllers say to one another, in `rkyv` frames.
 
+use super::FencingToken;
 use rkyv::{Archive, Deserialize, Serialize};
 
 use super::peer_messages::aligned;
@@ -39,8 +40,8 @@
     pub workers_heard: u32,
     /// Seconds since it started.
     pub up_s: u64,
-    /// The term of the shard that it runs, if any.
-    pub term: Option<u64>,
+    /// The fencing token of the shard that it runs, if any.
+    pub fencing_token: Option<FencingToken>,
     /// The zone that holds most of the machines, as the leader last said.
     pub main_zone: Option<String>,
     /// From the leader: its unfinished jobs with their tasks done and running.
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,5 +1,6 @@
 //! What workers heartbeat and which commands they take.
 
+use super::FencingToken;
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
@@ -93,9 +94,9 @@
     /// Increases with every heartbeat and every answer of the agent epoch.
     #[serde(rename = "Bar")]
     pub sequence: u64,
-    /// The highest term that it has seen.
+    /// The highest fencing token that it has seen.
     #[serde(rename = "Baton")]
-    pub term: u64,
+    pub fencing_token: FencingToken,
     /// Seconds until the cloud takes the machine away, if it said so.
     #[serde(rename = "CueS", default)]
     pub notice_s: Option<f64>,
@@ -143,9 +144,9 @@
 /// The answer to a heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct HeartbeatResponse {
-    /// The term of the controller that answers.
+    /// The fencing token of the controller that answers.
     #[serde(rename = "Baton")]
-    pub term: u64,
+    pub fencing_token: FencingToken,
     /// What the worker is to do.
     #[serde(rename = "Cues")]
     pub commands: Vec<Command>,
@@ -154,9 +155,9 @@
 /// The body of `/commands`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CommandBatch {
-    /// The term of the controller that commands.
+    /// The fencing token of the controller that commands.
     #[serde(rename = "Baton")]
-    pub term: u64,
+    pub fencing_token: FencingToken,
     /// The agent epoch in which they are to be executed.
     #[serde(rename = "Rehearsal")]
     pub agent_epoch: u64,
--- a/src/storage/inventory.rs
+++ b/src/storage/inventory.rs
@@ -5,6 +5,7 @@
 //! version ignores the field with the parts, and so takes no part for a whole heartbeat:
 //! the machine is then accounted for by its worker's lease.
 
+use crate::protocol::FencingToken;
 use std::collections::BTreeMap;
 
 use super::records::{HeartbeatPart, InventoryRecord, VERSION};
@@ -52,7 +53,12 @@
 
     /// Lays out the next heartbeats for values of this size; None if there are none.
     /// `group` tells the parts of one heartbeat from those of all others.
-    pub fn next_batch(&mut self, term: u64, value_bytes: usize, group: u64) -> Option<Batch> {
+    pub fn next_batch(
+        &mut self,
+        fencing_token: FencingToken,
+        value_bytes: usize,
+        group: u64,
+    ) -> Option<Batch> {
         let room = value_bytes.saturating_sub(PAGE_FRAME);
         let mut heartbeats = Vec::new();
         let mut bytes = 0;
@@ -64,7 +70,7 @@
             bytes += size;
             heartbeats.push(next.remove());
             if bytes > room {
-                return Some(divided(heartbeats, term, room, group));
+                return Some(divided(heartbeats, fencing_token, room, group));
             }
         }
         if heartbeats.is_empty() {
@@ -72,7 +78,7 @@
         }
         let page = InventoryRecord {
             v: VERSION,
-            term,
+            fencing_token,
             heartbeats: heartbeats.clone(),
             parts: Vec::new(),
         };
@@ -84,13 +90,18 @@
 }
 
 /// Divides a heartbeat, the only one of these, into as many parts as it needs.
-fn divided(heartbeats: Vec<WorkerHeartbeat>, term: u64, room: usize, group: u64) -> Batch {
+fn divided(
+    heartbeats: Vec<WorkerHeartbeat>,
+    fencing_token: FencingToken,
+    room: usize,
+    group: u64,
+) -> Batch {
     let parts = heartbeats
         .iter()
         .flat_map(|heartbeat| divide(heartbeat, room, group));
     let pages = parts.map(|part| InventoryRecord {
         v: VERSION,
-        term,
+        fencing_token,
         heartbeats: Vec::new(),
         parts: vec![part],
     });
@@ -136,7 +147,7 @@
         spot: heartbeat.spot,
         agent_epoch: heartbeat.agent_epoch,
         sequence: heartbeat.sequence,
-        term: heartbeat.term,
+        fencing_token: heartbeat.fencing_token,
         notice_s: heartbeat.notice_s,
         tasks: Vec::new(),
     }
@@ -146,16 +157,19 @@
     serde_json::to_vec(value).map_or(usize::MAX / 4, |text| text.len())
 }
 
-/// All heartbeats that pages of one term hold whole, in one piece or in parts. A heartbeat
+/// All heartbeats that pages of one fencing token hold whole, in one piece or in parts. A heartbeat
 /// of which a part is missing is left out: less than all that a machine holds must
 /// never be taken for all.
 pub fn whole_heartbeats(
     pages: impl IntoIterator<Item = InventoryRecord>,
-    term: u64,
+    fencing_token: FencingToken,
 ) -> Vec<WorkerHeartbeat> {
     let mut heartbeats = Vec::new();
     let mut parts: BTreeMap<(u64, String), Vec<HeartbeatPart>> = BTreeMap::new();
-    for page in pages.into_iter().filter(|page| page.term == term) {
+    for page in pages
+        .into_iter()
+        .filter(|page| page.fencing_token == fencing_token)
+    {
         heartbeats.extend(page.heartbeats);
         for part in page.parts {
             let key = (part.group, part.heartbeat.machine.clone());
--- a/src/storage/inventory/tests.rs
+++ b/src/storage/inventory/tests.rs
@@ -2,7 +2,7 @@
 use crate::protocol::TaskId;
 use crate::protocol::workers::TaskState;
 
-const TERM: u64 = 862;
+const TOKEN: FencingToken = FencingToken::new(862);
 const LOWERED: usize = 2048;
 
 fn heartbeat(machine: &str, tasks: u32) -> WorkerHeartbeat {
@@ -20,7 +20,7 @@
         spot: false,
         agent_epoch: 1,
         sequence: 88,
-        term: TERM,
+        fencing_token: TOKEN,
         notice_s: None,
         tasks: (0..tasks).map(task).collect(),
     }
@@ -29,7 +29,7 @@
 fn pages_of(pending: &mut PendingHeartbeats) -> Vec<InventoryRecord> {
     let mut pages = Vec::new();
     let mut group = 0;
-    while let Some(batch) = pending.next_batch(TERM, LOWERED, group) {
+    while let Some(batch) = pending.next_batch(TOKEN, LOWERED, group) {
         group += 1;
         pages.extend(batch.pages);
     }
@@ -60,7 +60,7 @@
     }
     // Pages are read in the order of their keys, which need not be that of writing.
     pages.reverse();
-    let read = tasks_of(&whole_heartbeats(pages, TERM));
+    let read = tasks_of(&whole_heartbeats(pages, TOKEN));
     for (machine, tasks) in sizes {
         assert_eq!(read[machine], (0..tasks).collect::<Vec<u32>>(), "{machine}");
     }
@@ -76,18 +76,21 @@
     for missing in 0..pages.len() {
         let mut rest = pages.clone();
         rest.remove(missing);
-        assert!(whole_heartbeats(rest, TERM).is_empty(), "without {missing}");
+        assert!(
+            whole_heartbeats(rest, TOKEN).is_empty(),
+            "without {missing}"
+        );
     }
     // Parts of two divisions of the heartbeat are not mixed.
     pending.insert(heartbeat("vm-2", 200));
-    let again = pending.next_batch(TERM, LOWERED, 99).expect("parts").pages;
+    let again = pending.next_batch(TOKEN, LOWERED, 99).expect("parts").pages;
     let mixed = [&pages[..1], &again[1..]].concat();
-    assert!(whole_heartbeats(mixed, TERM).is_empty());
+    assert!(whole_heartbeats(mixed, TOKEN).is_empty());
     assert!(
-        whole_heartbeats(pages.clone(), TERM + 1).is_empty(),
-        "another term's"
+        whole_heartbeats(pages.clone(), FencingToken::new(863)).is_empty(),
+        "another fencing token's"
     );
-    assert_eq!(whole_heartbeats(pages, TERM).len(), 1);
+    assert_eq!(whole_heartbeats(pages, TOKEN).len(), 1);
 }
 
 /// An older version finds no heartbeat in a page with a part.
@@ -111,9 +114,9 @@
     let mut pending = PendingHeartbeats::default();
     pending.insert(heartbeat("vm-1", 1));
     pending.insert(heartbeat("vm-2", 1));
-    let batch = pending.next_batch(TERM, LOWERED, 0).expect("a page");
+    let batch = pending.next_batch(TOKEN, LOWERED, 0).expect("a page");
     pending.insert(heartbeat("vm-1", 5));
     pending.put_back(batch.heartbeats);
-    let read = tasks_of(&whole_heartbeats(pages_of(&mut pending), TERM));
+    let read = tasks_of(&whole_heartbeats(pages_of(&mut pending), TOKEN));
     assert_eq!((read["vm-1"].len(), read["vm-2"].len()), (5, 1));
 }
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -1,5 +1,6 @@
 //! What the state service's values hold. `v` is a record's version.
 
+use crate::protocol::FencingToken;
 use serde::{Deserialize, Serialize};
 
 use crate::protocol::cloud::Rental;
@@ -88,27 +89,27 @@
     pub run: u64,
 }
 
-/// That a controller may answer workers which the leader of this term can't hear.
+/// That a controller may answer workers which the leader with this fencing token can't hear.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DelegateRecord {
     /// The version of its format.
     pub v: u32,
-    /// The leader's term, with which the delegation ends.
+    /// The leader's fencing token, with whose leadership the delegation ends.
     #[serde(rename = "term")]
-    pub term: u64,
+    pub fencing_token: FencingToken,
     /// The leader asks what those workers hold.
     #[serde(default)]
     pub inventory: bool,
 }
 
-/// What some workers hold, as they reported under a term to their delegate.
+/// What some workers hold, as they reported under a fencing token to their delegate.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct InventoryRecord {
     /// The version of its format.
     pub v: u32,
-    /// The leader's term under which they reported.
+    /// The leader's fencing token under which they reported.
     #[serde(rename = "term")]
-    pub term: u64,
+    pub fencing_token: FencingToken,
     /// Whole heartbeats.
     #[serde(rename = "reports")]
     pub heartbeats: Vec<WorkerHeartbeat>,
@@ -137,9 +138,9 @@
 pub struct SequenceRecord {
     /// The version of its format.
     pub v: u32,
-    /// The term of the leader that wrote it.
+    /// The fencing token of the leader that wrote it.
     #[serde(rename = "term")]
-    pub term: u64,
+    pub fencing_token: FencingToken,
     /// The number.
     pub n: u64,
 }
--- a/tests/trial/main.rs
+++ b/tests/trial/main.rs
@@ -251,7 +251,7 @@
         .await
         .expect("a status page");
     let page = String::from_utf8_lossy(&page.body).into_owned();
-    for part in ["term ", "machines", "writes:", "p99"] {
+    for part in ["fencing token ", "machines", "writes:", "p99"] {
         assert!(page.contains(part), "no {part:?} in {page}");
     }
     drop(controllers.remove(dead));
--- a/tests/trial/meetings.rs
+++ b/tests/trial/meetings.rs
@@ -17,6 +17,7 @@
 use valegap::coordination::peering::extension::{all_grant_extension, all_vote_for_revival};
 use valegap::coordination::requests::{Ask, Reply, answer};
 use valegap::coordination::shard::{Action, ShardWrite};
+use valegap::protocol::FencingToken;
 use valegap::protocol::cloud::MachineType;
 use valegap::protocol::peers::{PeerAnswer, PeerRequest, decode_request, encode_answer};
 use valegap::protocol::state::{Change, Txn};
@@ -221,7 +222,13 @@
     };
     let now = Instant::now();
     let until = now + Duration::from_secs(60);
-    let lease = Arc::new(ShardLease::new(lease_id, revision, now, until, now));
+    let lease = Arc::new(ShardLease::new(
+        lease_id,
+        FencingToken::new(revision),
+        now,
+        until,
+        now,
+    ));
     let key = keys::roster_page(0);
     let write = |value: Value| {
         let changes = vec![Change::put(key.clone(), value)];
@@ -343,7 +350,7 @@
     let _ = node.state.get("o/0/owner", DEADLINE).await;
     let now = Instant::now();
     let time = Duration::from_secs(1);
-    let lease = ShardLease::new(1, 9, now, now + time, now);
+    let lease = ShardLease::new(1, FencingToken::new(9), now, now + time, now);
     assert!(all_grant_extension(&node, time).await);
     assert!(!all_vote_for_revival(&node, &lease, time).await);
     // Its answers end with the bound after its own last look.
--- a/tests/trial/support/worker.rs
+++ b/tests/trial/support/worker.rs
@@ -4,6 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
+use valegap::protocol::FencingToken;
 
 use axum::Router;
 use axum::extract::State;
@@ -66,7 +67,7 @@
     spot: bool,
     addr: String,
     sequence: u64,
-    term: u64,
+    fencing_token: FencingToken,
     tasks: BTreeMap<(TaskId, u64), (Instant, Option<Ending>)>,
 }
 
@@ -87,7 +88,7 @@
             spot: self.spot,
             agent_epoch: 1,
             sequence: self.sequence,
-            term: self.term,
+            fencing_token: self.fencing_token,
             notice_s: None,
             tasks: self
                 .tasks
@@ -131,9 +132,9 @@
 
 async fn commands(State(machine): State<Shared>, Json(batch): Json<CommandBatch>) -> Response {
     let mut machine = machine.lock().expect("machine");
-    let taken = batch.term >= machine.term && batch.agent_epoch == 1;
+    let taken = batch.fencing_token >= machine.fencing_token && batch.agent_epoch == 1;
     if taken {
-        machine.term = batch.term;
+        machine.fencing_token = batch.fencing_token;
         machine.execute(batch.commands);
     }
     let status = if taken {
@@ -153,7 +154,7 @@
         spot,
         addr,
         sequence: 0,
-        term: 0,
+        fencing_token: FencingToken::default(),
         tasks: BTreeMap::new(),
     }));
     let router = Router::new()
@@ -187,8 +188,8 @@
                 let answer: HeartbeatResponse =
                     serde_json::from_slice(&answer.body).expect("a heartbeat's answer");
                 let mut machine = machine.lock().expect("machine");
-                if answer.term >= machine.term {
-                    machine.term = answer.term;
+                if answer.fencing_token >= machine.fencing_token {
+                    machine.fencing_token = answer.fencing_token;
                     machine.execute(answer.commands);
                 }
                 next = at;
--- a/tests/upgrade/frames.rs
+++ b/tests/upgrade/frames.rs
@@ -2,6 +2,7 @@
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
+use valegap::protocol::FencingToken;
 use valegap::protocol::peer_messages::{
     CANCELLATIONS, CancellationsRequest, CancelledJob, ConfirmedCancellations, REVIVE_LEASE,
     RevivalVote, ReviveLease,
@@ -58,7 +59,7 @@
     }
 
     let aside = ReviveLease {
-        term: 862,
+        fencing_token: FencingToken::new(862),
         millis: 1000,
     };
     assert_eq!(aside.encode(), bytes(ASIDE));
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -20,6 +20,7 @@
 #[derive(Debug, Clone, Deserialize)]
 struct Recorded {
     keys: Vec<Item>,
+    #[serde(rename = "reports")]
     heartbeats: Vec<WorkerHeartbeat>,
 }
 
--- a/tests/upgrade/older.rs
+++ b/tests/upgrade/older.rs
@@ -87,7 +87,7 @@
 
 #[derive(Debug, Deserialize)]
 #[allow(dead_code, reason = "fields that the older version needs to be there")]
-struct LeaderRecord {
+struct OwnerRecord {
     v: u32,
     label: String,
     hold: u64,
@@ -156,7 +156,7 @@
     rental: Rental,
 }
 
-/// What an older leader makes of the stored keys.
+/// What an older owner makes of the stored keys.
 #[derive(Debug, Default, PartialEq)]
 pub struct Reading {
     /// Unfinished jobs by id, with their numbers of tasks.
@@ -189,7 +189,7 @@
 }
 
 impl Version {
-    /// Reads all keys as a leader of this version does.
+    /// Reads all keys as an owner of this version does.
     pub fn read(self, keys: &BTreeMap<String, Value>) -> Reading {
         let mut reading = Reading::default();
         for (key, value) in keys {
@@ -226,7 +226,7 @@
         } else if key == "s/0/seq" {
             parse::<SequenceRecord>(value)?;
         } else if key == "o/0/owner" {
-            parse::<LeaderRecord>(value)?;
+            parse::<OwnerRecord>(value)?;
         } else {
             return None;
         }
--- a/tests/upgrade/take_over.rs
+++ b/tests/upgrade/take_over.rs
@@ -2,6 +2,7 @@
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
+use valegap::protocol::FencingToken;
 
 use serde_json::{Value, json};
 use valegap::coordination::loading::StoredShard;
@@ -59,7 +60,7 @@
     keys: BTreeMap<String, Value>,
     workers: BTreeMap<String, WorkerHeartbeat>,
     rentals: Vec<String>,
-    term: u64,
+    fencing_token: FencingToken,
     now: Instant,
 }
 
@@ -73,7 +74,7 @@
             keys,
             workers: recorded.heartbeats.iter().map(worker).collect(),
             rentals: Vec::new(),
-            term: 40,
+            fencing_token: FencingToken::new(40),
             now: Instant::now(),
         }
     }
@@ -93,7 +94,7 @@
 
     /// A new leader begins.
     fn take_over(&mut self) -> Shard {
-        self.term += 10;
+        self.fencing_token = FencingToken::new(self.fencing_token.revision() + 10);
         let stored = StoredShard {
             jobs: self.items(keys::JOBS),
             roster: self.items(&keys::roster_prefix()),
@@ -104,7 +105,8 @@
         };
         let policy = Policy::new(&settings());
         let wall = 1_796_188_712_000;
-        let mut shard = Shard::take_over(policy, self.term, stored.parse(), self.now, wall);
+        let mut shard =
+            Shard::take_over(policy, self.fencing_token, stored.parse(), self.now, wall);
         shard.set_types(&[machine_type()]);
         shard
     }
@@ -162,7 +164,7 @@
                 let record = value.and_then(|value| serde_json::from_value(value).ok());
                 shard.orphan_read(&job, record);
             }
-            Action::Fenced { seen } => panic!("term {seen} is about"),
+            Action::Fenced { seen } => panic!("fencing token {seen} is about"),
         }
     }
 
@@ -186,7 +188,7 @@
             }
         }
         let worker = self.workers.get_mut(machine).expect("a worker");
-        worker.term = self.term;
+        worker.fencing_token = self.fencing_token;
         worker.sequence += 1;
         for command in commands {
             match command {
@@ -221,7 +223,7 @@
                 continue;
             };
             worker.sequence += 1;
-            worker.term = self.term;
+            worker.fencing_token = self.fencing_token;
             let heartbeat = worker.clone();
             if let HeartbeatOutcome::Answer(commands) = shard.heartbeat(&heartbeat, self.now) {
                 self.execute(&machine, &commands);
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -3,6 +3,7 @@
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
+use valegap::protocol::FencingToken;
 use valegap::protocol::peers::{
     PeerAnswer, PeerHeartbeat, PeerRequest, Progress, decode_answer, decode_request, encode_answer,
     encode_request,
@@ -71,7 +72,7 @@
         state_served: true,
         workers_heard: 740,
         up_s: 93,
-        term: Some(862),
+        fencing_token: Some(FencingToken::new(862)),
         main_zone: Some("poznan-hall".into()),
         progress: vec![Progress {
             job: "run-167419".into(),
