--- a/src/coordination/advance_delegation.rs
+++ b/src/coordination/advance_delegation.rs
@@ -20,10 +20,10 @@
 
 /// How long a controller that hears the leader no more waits before it answers
 /// workers on its own.
-pub const LEADER_SILENT: Duration = Duration::from_secs(3);
+pub const LEADER_UNREACHABLE_AFTER: Duration = Duration::from_secs(3);
 /// How long after a heartbeat that was answered its receiver surely keeps nothing:
-/// less than [`LEADER_SILENT`] from when it heard that heartbeat.
-const SURELY_HEARD: Duration = Duration::from_millis(2500);
+/// less than [`LEADER_UNREACHABLE_AFTER`] from when it heard that heartbeat.
+const HEARTBEAT_SURELY_RECEIVED: Duration = Duration::from_millis(2500);
 
 /// For how long a controller may keep workers on its own: their leases and this
 /// together stay within the time that a cancelled job's tasks have.
@@ -31,7 +31,7 @@
     if settings.platform.others.is_empty() {
         return Duration::ZERO;
     }
-    beyond_lease(settings).min(settings.operator.keep_alone())
+    beyond_lease(settings).min(settings.operator.advance_delegation())
 }
 
 /// The time that a cancelled job's tasks have beyond a worker's lease.
@@ -86,33 +86,35 @@
 
 impl AdvanceGrants {
     /// A controller's heartbeat is answered.
-    pub fn grant(&mut self, label: &str, now: Instant) {
-        self.granted.insert(label.to_owned(), now);
+    pub fn grant(&mut self, node_id: &str, now: Instant) {
+        self.granted.insert(node_id.to_owned(), now);
     }
 
     /// A controller answered a heartbeat sent then: when it last answered workers.
-    pub fn answered(&mut self, label: &str, sent: Instant, kept: Instant) {
-        self.quiet.insert(label.to_owned(), (sent, kept));
+    pub fn answered(&mut self, node_id: &str, sent: Instant, kept: Instant) {
+        self.quiet.insert(node_id.to_owned(), (sent, kept));
     }
 
     /// The latest moment up to `now` at which one of these controllers may have
     /// answered workers under our fencing token; None if none ever can have.
     pub fn last_answer<'a>(
         &self,
-        labels: impl Iterator<Item = &'a str>,
+        node_ids: impl Iterator<Item = &'a str>,
         longest: Duration,
         now: Instant,
     ) -> Option<Instant> {
-        let of = |label: &str| {
-            let quiet = self.quiet.get(label);
+        let of = |node_id: &str| {
+            let quiet = self.quiet.get(node_id);
             let kept = quiet.map(|(_, kept)| (*kept).min(now));
-            if quiet.is_some_and(|(sent, _)| now.saturating_duration_since(*sent) <= SURELY_HEARD) {
+            if quiet.is_some_and(|(sent, _)| {
+                now.saturating_duration_since(*sent) <= HEARTBEAT_SURELY_RECEIVED
+            }) {
                 return kept;
             }
-            let delegated = self.granted.get(label).map(|at| (*at + longest).min(now));
+            let delegated = self.granted.get(node_id).map(|at| (*at + longest).min(now));
             kept.max(delegated)
         };
-        labels.filter_map(of).max()
+        node_ids.filter_map(of).max()
     }
 }
 
--- a/src/coordination/cancellation_knowledge.rs
+++ b/src/coordination/cancellation_knowledge.rs
@@ -3,7 +3,7 @@
 //! An answer to a heartbeat lets a worker's tasks live on for its whole lease. So
 //! nobody may give one unless all cancellations are known that users may have
 //! been told longer ago than `cancel_s` less that lease. Two things count as
-//! knowledge: a look at the jobs, from when it was sent; and what every other
+//! knowledge: a catch-up read of the jobs, from when it was sent; and what every other
 //! controller says that it told, from when it was asked. Who started since the
 //! moment up to which it is known may have told something in an earlier run
 //! that it has forgotten: its word doesn't count, and the bound holds.
@@ -14,7 +14,7 @@
 use super::advance_delegation;
 use crate::settings::Settings;
 
-/// The least that a look at the jobs entitles to, where cancelled work has no
+/// The least that a catch-up read of the jobs entitles to, where cancelled work has no
 /// more time than a worker's lease takes: no answer at all would end all work.
 const LEAST: Duration = Duration::from_secs(3);
 
@@ -34,7 +34,7 @@
 }
 
 impl CancellationKnowledge {
-    /// A look at the jobs that was sent then was answered, and taken in.
+    /// A catch-up read of the jobs that was sent then was answered, and taken in.
     pub fn caught_up(&mut self, sent: Instant) {
         self.looked = self.looked.max(Some(sent));
     }
@@ -45,17 +45,17 @@
     }
 
     /// The moment up to which all that one controller told is known.
-    fn of(&self, label: &str) -> Option<Instant> {
-        self.looked.max(self.words.get(label).copied())
+    fn of(&self, node_id: &str) -> Option<Instant> {
+        self.looked.max(self.words.get(node_id).copied())
     }
 
     /// A controller that began no later than `began` was asked at `sent` for
     /// all cancellations that it told since the last look, and they were taken
     /// in. False if its word doesn't count.
-    pub fn peer_answered(&mut self, label: &str, sent: Instant, began: Instant) -> bool {
-        let unbroken = self.of(label).is_some_and(|known| began < known);
+    pub fn peer_answered(&mut self, node_id: &str, sent: Instant, began: Instant) -> bool {
+        let unbroken = self.of(node_id).is_some_and(|known| began < known);
         if unbroken {
-            let known = self.words.entry(label.to_owned()).or_insert(sent);
+            let known = self.words.entry(node_id.to_owned()).or_insert(sent);
             *known = (*known).max(sent);
         }
         unbroken
@@ -70,7 +70,7 @@
     ) -> Option<Instant> {
         self.looked?;
         others
-            .map(|label| self.of(label))
+            .map(|node_id| self.of(node_id))
             .min()
             .unwrap_or(Some(now))
     }
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -7,12 +7,12 @@
 
 use super::advance_delegation::AdvanceGrants;
 use super::lease::{self, ShardLease};
-use super::loading::StoredShard;
 use super::node::{KV_DEADLINE, Node};
 use super::node_state::Leadership;
 use super::peering::extension;
-use super::shard::{Loaded, Shard};
-use super::{drift, io, job_watch};
+use super::recovery::StoredRecords;
+use super::shard::{RecoveredState, Shard};
+use super::{drift, executor, job_watch};
 use crate::protocol::FencingToken;
 use crate::protocol::kv::{Mutation, Transaction, WatchEvent};
 use crate::storage::keys;
@@ -30,20 +30,20 @@
 const SHORTEST_REST: Duration = Duration::from_millis(10);
 const LONGEST_REST: Duration = Duration::from_millis(250);
 /// Pause between two summaries in the log.
-const SUMMARY: Duration = Duration::from_secs(30);
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(30);
 /// How long one watch waits.
 const LEADER_WATCH_WAIT: Duration = Duration::from_secs(3);
 /// Share of the lease without a renewal past which a leader sees trouble.
-const TROUBLE: f64 = 0.6;
+const RENEWAL_TROUBLE_SHARE: f64 = 0.6;
 /// Pause between two tries to renew a lease in trouble.
 const RENEW_RETRY: Duration = Duration::from_millis(150);
 /// Advantage of the candidate that is nearest to the machines.
-const NEAREST_FIRST: Duration = Duration::from_millis(150);
+const FAR_ZONE_DELAY: Duration = Duration::from_millis(150);
 /// Disadvantage of a far candidate to whom no worker has come lately.
-const UNHEARD_LAST: Duration = Duration::from_millis(1000);
-const RECENT: Duration = Duration::from_secs(4);
+const NO_WORKERS_DELAY: Duration = Duration::from_millis(1000);
+const RECENT_WORKER: Duration = Duration::from_secs(4);
 /// Disadvantage of a candidate that couldn't hear the workers.
-const DEAF_LAST: Duration = Duration::from_secs(4);
+const INELIGIBLE_DELAY: Duration = Duration::from_secs(4);
 
 /// Becomes the shard's leader whenever it has none, and serves as it.
 pub async fn campaign(node: Arc<Node>) {
@@ -86,9 +86,11 @@
                     return Ok(());
                 }
             }
-            Some(leader) if leader.label == node.label() && leader.run != node.run => {
+            Some(leader)
+                if leader.node_id == node.node_id() && leader.incarnation != node.incarnation =>
+            {
                 // Our earlier process is certainly dead: nobody else has its
-                // label and addresses.
+                // node id and addresses.
                 info!(
                     lease = leader.lease,
                     "ending the lease of this node's earlier run"
@@ -96,7 +98,7 @@
                 node.kv.revoke_lease(leader.lease, KV_DEADLINE).await?;
                 node.lock().candidacy.previous_run_ended = true;
             }
-            Some(leader) if leader.label == node.label() => {
+            Some(leader) if leader.node_id == node.node_id() => {
                 // A lease that this run gave up, or an acquisition whose
                 // answer was lost and that came too late to be used.
                 node.kv.revoke_lease(leader.lease, KV_DEADLINE).await?;
@@ -124,8 +126,12 @@
         return until.saturating_duration_since(now) + Duration::from_millis(10);
     }
     let inner = node.lock();
-    if inner.candidacy.unfit_until.is_some_and(|until| until > now) {
-        return DEAF_LAST;
+    if inner
+        .candidacy
+        .ineligible_until
+        .is_some_and(|until| until > now)
+    {
+        return INELIGIBLE_DELAY;
     }
     let far = inner
         .peers
@@ -133,13 +139,13 @@
         .as_ref()
         .is_some_and(|zone| *zone != node.settings.platform.area);
     // Workers that lost their leader come to whomever they can reach.
-    let heard = inner
+    let has_recent_workers = inner
         .workers
         .values()
-        .any(|at| now.saturating_duration_since(*at) < RECENT);
-    match (far, heard) {
-        (true, false) => UNHEARD_LAST,
-        (true, true) => NEAREST_FIRST,
+        .any(|at| now.saturating_duration_since(*at) < RECENT_WORKER);
+    match (far, has_recent_workers) {
+        (true, false) => NO_WORKERS_DELAY,
+        (true, true) => FAR_ZONE_DELAY,
         (false, _) => Duration::ZERO,
     }
 }
@@ -153,7 +159,7 @@
         node.lock().candidacy.acquiring = true;
     }
     let (lease, settled) = try_acquire(node).await;
-    // Without a settled outcome no promise is given until the next try.
+    // Without a settled outcome no vote is given until the next try.
     node.lock().candidacy.acquiring = !settled;
     lease
 }
@@ -168,9 +174,9 @@
     };
     let record = LeaderRecord {
         v: VERSION,
-        label: node.label().to_owned(),
+        node_id: node.node_id().to_owned(),
         lease: lease_id,
-        run: node.run,
+        incarnation: node.incarnation,
     };
     let Ok(value) = serde_json::to_value(&record) else {
         return (None, true);
@@ -241,7 +247,7 @@
         let now = node.now();
         let was = trouble;
         let unrenewed = lease.unrenewed(now);
-        trouble = unrenewed > operator.lease().mul_f64(TROUBLE)
+        trouble = unrenewed > operator.lease().mul_f64(RENEWAL_TROUBLE_SHARE)
             || (was && unrenewed > operator.renew() * 3);
         if trouble && !was {
             warn!(
@@ -276,7 +282,7 @@
 }
 
 /// Without the key-value store, a leader goes on as long as every other
-/// controller promises not to campaigns for the shard. Past its deadline, it may begin to
+/// controller votes not to campaigns for the shard. Past its deadline, it may begin to
 /// again if nobody can have taken the shard since its last good renewal.
 async fn extend_by_votes(node: &Arc<Node>, lease: &ShardLease) {
     let time = extension::LONGEST_EXTENSION;
@@ -295,14 +301,14 @@
 /// Leads the shard until the lease ends.
 async fn serve(node: &Arc<Node>, lease: Arc<ShardLease>) {
     let mut attempt = 0;
-    node.lock().loading = Some(lease.clone());
-    let (loaded, revision) = loop {
+    node.lock().recovering = Some(lease.clone());
+    let (recovered, revision) = loop {
         if lease.ended() {
-            node.lock().loading = None;
+            node.lock().recovering = None;
             return;
         }
         match load(node, &lease).await {
-            Ok(loaded) => break loaded,
+            Ok(recovered) => break recovered,
             Err(error) => {
                 attempt += 1;
                 warn!(fencing_token = %lease.fencing_token, %error, "the shard can't be loaded yet");
@@ -310,26 +316,26 @@
             }
         }
     };
-    let shard = Shard::take_over(
+    let shard = Shard::recover(
         node.policy.clone(),
         lease.fencing_token,
-        loaded,
+        recovered,
         node.now(),
         node.clock.wall_ms(),
     );
     {
         let mut inner = node.lock();
-        inner.loading = None;
+        inner.recovering = None;
         inner.leadership = Some(Leadership {
             lease: lease.clone(),
             shard,
             advance_grants: AdvanceGrants::default(),
-            finished_told: None,
+            finished_notified: None,
             activities: Activities::default(),
         });
     }
     // The job index may know of endings since what was loaded was read.
-    node.tell_finished_jobs();
+    node.notify_finished_jobs();
     let types = node.lock().types.clone();
     node.with_shard(&lease, "types", |shard, _| {
         if let Some(types) = types {
@@ -337,7 +343,7 @@
         }
     });
     tokio::spawn(job_watch::watch_jobs(node.clone(), lease.clone(), revision));
-    tokio::spawn(io::watch_cloud(node.clone(), lease.clone()));
+    tokio::spawn(executor::watch_cloud(node.clone(), lease.clone()));
     decide(node, &lease).await;
     let mut inner = node.lock();
     inner.leadership = None;
@@ -352,7 +358,7 @@
 /// events it serves.
 async fn decide(node: &Arc<Node>, lease: &Arc<ShardLease>) {
     let mut next_tick = node.now();
-    let mut next_summary = node.now() + SUMMARY;
+    let mut next_summary = node.now() + SUMMARY_INTERVAL;
     while !lease.ended() {
         tokio::select! {
             () = tokio::time::sleep(next_tick.saturating_duration_since(node.now())) => {}
@@ -367,7 +373,7 @@
                 if ticks {
                     shard.tick(now);
                 } else {
-                    shard.settle(now);
+                    shard.reconcile(now);
                 }
             });
         }
@@ -377,7 +383,7 @@
             next_tick = ended + TICK.max((cost * PASS_REST).min(LONGEST_TICK));
         }
         if ended >= next_summary {
-            next_summary = ended + SUMMARY;
+            next_summary = ended + SUMMARY_INTERVAL;
             if let Some(own) = &node.lock().leadership {
                 info!(
                     fencing_token = %lease.fencing_token,
@@ -400,8 +406,8 @@
     }
 }
 
-async fn load(node: &Arc<Node>, lease: &ShardLease) -> Result<(Loaded, u64), KvError> {
-    let stored = StoredShard::read(&node.kv).await?;
+async fn load(node: &Arc<Node>, lease: &ShardLease) -> Result<(RecoveredState, u64), KvError> {
+    let stored = StoredRecords::read(&node.kv).await?;
     *lease.sequence.lock().await = stored.sequence();
     let revision = stored.revision;
     Ok((stored.parse(), revision))
--- a/src/coordination/entitlement.rs
+++ b/src/coordination/entitlement.rs
@@ -17,19 +17,19 @@
     /// The moment up to which all cancellations that users were told are known.
     fn known_up_to(&self, inner: &NodeState, now: Instant) -> Option<Instant> {
         let others = &self.settings.platform.others;
-        let labels = others.iter().map(|peer| peer.label.as_str());
-        inner.cancellations.known_up_to(labels, now)
+        let node_ids = others.iter().map(|peer| peer.node_id.as_str());
+        inner.cancellations.known_up_to(node_ids, now)
     }
 
-    /// Whether this node knows enough of the jobs that are over to answer
+    /// Whether this node knows enough of the finished jobs to answer
     /// workers, as whatever: their tasks may live on for a lease.
     pub fn may_renew_leases(&self, now: Instant) -> bool {
         let mut inner = self.lock();
         let known = self.known_up_to(&inner, now);
         let may = known.is_some_and(|known| now < known + self.renewal_bound);
         // Before its first catch-up read a controller has nothing to tell.
-        if inner.withholds_answers == may && known.is_some() {
-            inner.withholds_answers = !may;
+        if inner.renewals_suspended == may && known.is_some() {
+            inner.renewals_suspended = !may;
             if may {
                 info!("workers are answered again: cancellations are known");
             } else {
@@ -52,7 +52,7 @@
     /// Their leases are counted from when it will have been loaded.
     fn fencing_token_while_recovering(&self, heartbeat: &WorkerHeartbeat) -> Option<FencingToken> {
         let inner = self.lock();
-        let lease = inner.loading.as_ref()?;
+        let lease = inner.recovering.as_ref()?;
         (lease.live(self.now()) && heartbeat.fencing_token <= lease.fencing_token)
             .then_some(lease.fencing_token)
     }
@@ -77,20 +77,21 @@
         let delegation = inner.delegate.advance.into_iter().chain(own);
         let delegation = delegation.max_by_key(|delegation| delegation.fencing_token)?;
         let until = delegation.until(known, advance_delegation::longest(&self.settings))?;
-        let leader_heard = inner.peers.leader_heard.is_some_and(|heard| {
-            heard.fencing_token >= delegation.fencing_token
-                && now.saturating_duration_since(heard.at) < advance_delegation::LEADER_SILENT
+        let leader_contact = inner.peers.leader_contact.is_some_and(|contact| {
+            contact.fencing_token >= delegation.fencing_token
+                && now.saturating_duration_since(contact.at)
+                    < advance_delegation::LEADER_UNREACHABLE_AFTER
         });
-        if now >= until || leader_heard || heartbeat.fencing_token > delegation.fencing_token {
+        if now >= until || leader_contact || heartbeat.fencing_token > delegation.fencing_token {
             return None;
         }
-        if inner.delegate.answered_alone.is_none() {
+        if inner.delegate.answered_by_advance_delegation.is_none() {
             info!(
                 fencing_token = %delegation.fencing_token,
                 "answering workers without the leader"
             );
         }
-        inner.delegate.answered_alone = Some(now);
+        inner.delegate.answered_by_advance_delegation = Some(now);
         Some(delegation.fencing_token)
     }
 
--- a/src/coordination/io.rs
+++ b/src/coordination/executor.rs
@@ -17,7 +17,7 @@
 use crate::protocol::{FencingToken, MachineId};
 use crate::storage::kv_client::{KvError, TransactionOutcome, backoff};
 use crate::storage::records::{FinalRecord, JobRecord, SequenceRecord, VERSION};
-use crate::storage::{facts, keys};
+use crate::storage::{job_transition, keys};
 use crate::transport::client::CallError;
 
 const COMMAND_DEADLINE: Duration = Duration::from_secs(2);
@@ -28,7 +28,7 @@
 const LIST_PAGE: usize = 500;
 
 /// Carries out one action.
-pub async fn carry_out(node: Arc<Node>, lease: Arc<ShardLease>, action: Action) {
+pub async fn execute(node: Arc<Node>, lease: Arc<ShardLease>, action: Action) {
     match action {
         Action::Command {
             machine,
@@ -235,7 +235,7 @@
         let item = match node.kv.get(&keys::job(job), KV_DEADLINE).await {
             Ok(Some(item)) => item,
             Ok(None) => {
-                node.with_shard(lease, "jobs", |shard, _| shard.job_gone(job, None));
+                node.with_shard(lease, "jobs", |shard, _| shard.job_finished(job, None));
                 return;
             }
             Err(_) => {
@@ -250,14 +250,14 @@
         };
         let most = node.value_bytes();
         let last = FinalRecord::new(Stage::Done, record.spec).within(most);
-        let Ok(txn) = facts::end_job(job, mod_revision, &last) else {
+        let Ok(txn) = job_transition::finish_job(job, mod_revision, &last) else {
             return;
         };
         let txn = txn.guard(keys::leader(), lease.fencing_token.revision());
         match node.kv.txn(&txn, KV_DEADLINE).await {
             Ok(TransactionOutcome::Committed { .. }) => {
                 node.with_shard(lease, "jobs", |shard, _| {
-                    shard.job_gone(job, Some(Stage::Done));
+                    shard.job_finished(job, Some(Stage::Done));
                 });
                 return;
             }
@@ -278,7 +278,9 @@
     while !lease.ended() {
         if let Ok(item) = node.kv.get(&keys::final_job(job), KV_DEADLINE).await {
             let record = item.and_then(|item| serde_json::from_value(item.value).ok());
-            node.with_shard(lease, "jobs", |shard, _| shard.orphan_read(job, record));
+            node.with_shard(lease, "jobs", |shard, _| {
+                shard.orphan_job_resolved(job, record)
+            });
             return;
         }
         attempt += 1;
--- a/src/coordination/job_watch.rs
+++ b/src/coordination/job_watch.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use super::lease::ShardLease;
-use super::loading::parse_job;
 use super::node::{KV_DEADLINE, Node};
+use super::recovery::parse_job;
 use super::shard::Shard;
 use crate::protocol::kv::{KeyValue, WatchEvent};
 use crate::storage::keys;
@@ -21,7 +21,7 @@
         let followed = match node.kv.follow(keys::JOBS, revision, JOB_WATCH_WAIT).await {
             Ok(page) => {
                 revision = page.revision.max(revision);
-                tell_changes(&node, &lease, page.events);
+                apply_watch_events(&node, &lease, page.events);
                 Ok(())
             }
             Err(KvError::TooOld) => read_again(&node, &lease, &mut revision).await,
@@ -36,18 +36,18 @@
     }
 }
 
-fn tell_changes(node: &Arc<Node>, lease: &Arc<ShardLease>, mutations: Vec<WatchEvent>) {
+fn apply_watch_events(node: &Arc<Node>, lease: &Arc<ShardLease>, mutations: Vec<WatchEvent>) {
     if mutations.is_empty() {
         return;
     }
     node.with_shard(lease, "jobs", |shard, now| {
         for change in mutations {
-            tell_change(node, shard, change, now);
+            apply_watch_event(node, shard, change, now);
         }
     });
 }
 
-fn tell_change(node: &Node, shard: &mut Shard, change: WatchEvent, now: Instant) {
+fn apply_watch_event(node: &Node, shard: &mut Shard, change: WatchEvent, now: Instant) {
     match change {
         WatchEvent::Put {
             key,
@@ -61,12 +61,12 @@
                 lease: None,
             };
             if let Some((id, mod_revision, record)) = parse_job(item) {
-                node.tell_accepted(shard, &id, mod_revision, record, now);
+                node.notify_job_accepted(shard, &id, mod_revision, record, now);
             }
         }
         WatchEvent::Delete { key, .. } => {
             if let Some(id) = key.strip_prefix(keys::JOBS) {
-                shard.job_gone(id, None);
+                shard.job_finished(id, None);
             }
         }
     }
@@ -88,7 +88,7 @@
         .filter(open)
         .collect();
     node.with_shard(lease, "jobs", |shard, now| {
-        shard.jobs_reread(jobs, at, now);
+        shard.resync_jobs(jobs, at, now);
     });
     Ok(())
 }
--- a/src/coordination/lease.rs
+++ b/src/coordination/lease.rs
@@ -82,7 +82,7 @@
         !self.ended() && now < *self.deadline.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Whether it is over for good.
+    /// Whether it has ended for good.
     pub fn ended(&self) -> bool {
         self.ended.load(Ordering::Relaxed)
     }
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -13,7 +13,7 @@
 use super::lease::ShardLease;
 use super::node_state::NodeState;
 use super::shard::{Job, Policy, Shard};
-use super::{election, io, peering};
+use super::{election, executor, peering};
 use crate::clock::{Clock, SteadyClock};
 use crate::protocol::JobId;
 use crate::settings::Settings;
@@ -111,7 +111,7 @@
     /// The client for the other controllers.
     pub peers_http: HttpClient,
     /// Tells this run of the process from earlier ones.
-    pub run: u64,
+    pub incarnation: u64,
     /// When this run of the process began.
     pub started: Instant,
     /// For how long workers may be answered after the moment up to which all
@@ -144,7 +144,7 @@
             commands: Semaphore::new(LEAST_COMMANDS.max(sockets * COMMAND_SHARE / 100)),
             probes: Semaphore::new(LEAST_PROBES.max(sockets * PROBE_SHARE / 100)),
             peers_http: HttpClient::new(),
-            run: random_id(),
+            incarnation: random_id(),
             started,
             inner: Mutex::new(NodeState::default()),
         })
@@ -164,28 +164,28 @@
     /// at some moment after this call.
     pub async fn catch_up(self: &Arc<Self>) -> Result<(), KvError> {
         let sent = self.job_index.catch_up(&self.kv, &*self.clock).await?;
-        self.tell_finished_jobs();
+        self.notify_finished_jobs();
         self.lock().cancellations.caught_up(sent);
         Ok(())
     }
 
     /// Tells the shard, if this node runs it, of jobs that the job index knows to
     /// be over: whatever the job index knows, the leader has to act on.
-    pub fn tell_finished_jobs(self: &Arc<Self>) {
+    pub fn notify_finished_jobs(self: &Arc<Self>) {
         let endings = self.job_index.finished_count();
         let lease = {
             let mut inner = self.lock();
             let Some(own) = inner.leadership.as_mut() else {
                 return;
             };
-            if own.finished_told.replace(endings) == Some(endings) {
+            if own.finished_notified.replace(endings) == Some(endings) {
                 return;
             }
             own.lease.clone()
         };
         self.with_shard(&lease, "jobs", |shard, _| {
             let ended = |job: &&Job| {
-                job.over.is_none() && self.job_index.has_ended(&job.id, job.mod_revision)
+                job.final_stage.is_none() && self.job_index.has_ended(&job.id, job.mod_revision)
             };
             let over: Vec<JobId> = shard
                 .jobs()
@@ -195,13 +195,13 @@
                 .collect();
             for id in over {
                 let stage = self.job_index.final_state(&id).map(|(stage, _)| stage);
-                shard.job_gone(&id, stage);
+                shard.job_finished(&id, stage);
             }
         });
     }
 
     /// Tells the shard of an accepted job, unless it is known to be over since.
-    pub fn tell_accepted(
+    pub fn notify_job_accepted(
         &self,
         shard: &mut Shard,
         id: &str,
@@ -210,7 +210,7 @@
         now: Instant,
     ) {
         if !self.job_index.has_ended(id, mod_revision) {
-            shard.job_put(id, mod_revision, record, now);
+            shard.job_accepted(id, mod_revision, record, now);
         }
     }
 
@@ -224,9 +224,9 @@
         self.now().saturating_duration_since(self.started)
     }
 
-    /// This controller's label.
-    pub fn label(&self) -> &str {
-        &self.settings.platform.label
+    /// This controller's node id.
+    pub fn node_id(&self) -> &str {
+        &self.settings.platform.node_id
     }
 
     /// Gives the shard of this lease an event, and carries out what follows
@@ -254,7 +254,7 @@
             (result, leadership.shard.take_actions())
         };
         for action in actions {
-            tokio::spawn(io::carry_out(self.clone(), lease.clone(), action));
+            tokio::spawn(executor::execute(self.clone(), lease.clone(), action));
         }
         Some(result)
     }
@@ -302,7 +302,7 @@
     let front_listener = listen(platform.front).await?;
     let internal_listener = listen(platform.internal_addr).await?;
     info!(
-        label = node.label(),
+        node_id = node.node_id(),
         area = platform.area,
         front = %platform.front,
         "valegap starts"
@@ -326,7 +326,7 @@
 async fn keep_types(node: Arc<Node>) {
     let mut attempt = 0;
     loop {
-        let pause = match io::machine_types(&node).await {
+        let pause = match executor::machine_types(&node).await {
             Some(types) => {
                 attempt = 0;
                 let lease = {
--- a/src/coordination/node_state.rs
+++ b/src/coordination/node_state.rs
@@ -8,7 +8,7 @@
 use super::advance_delegation::{AdvanceDelegation, AdvanceGrants};
 use super::cancellation_knowledge::CancellationKnowledge;
 use super::lease::ShardLease;
-use super::peering::reach::UnheardWorkers;
+use super::peering::reach::UnreachableWorkers;
 use super::shard::{Shard, TaskCounts};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::peers::PeerHeartbeat;
@@ -34,7 +34,7 @@
     /// The advance delegations that this lease's heartbeats gave.
     pub advance_grants: AdvanceGrants,
     /// How much of what is over the shard was told, by the job index's count.
-    pub finished_told: Option<u64>,
+    pub finished_notified: Option<u64>,
     /// What the shard's events cost.
     pub activities: Activities,
 }
@@ -56,7 +56,7 @@
     /// The shard, if this controller runs it.
     pub leadership: Option<Leadership>,
     /// A lease whose shard is not loaded yet.
-    pub loading: Option<Arc<ShardLease>>,
+    pub recovering: Option<Arc<ShardLease>>,
     /// The leadership record as last read.
     pub observed_leader: Option<LeaderRecord>,
     /// The cloud's machine types, once they are known.
@@ -72,13 +72,13 @@
     /// Up to when cancellations are known here.
     pub cancellations: CancellationKnowledge,
     /// Workers are not answered, since too little is known of cancellations.
-    pub withholds_answers: bool,
+    pub renewals_suspended: bool,
 }
 
 /// What the other controllers say.
 #[derive(Default)]
 pub struct Peers {
-    /// Their last heartbeats, by label.
+    /// Their last heartbeats, by node id.
     pub views: HashMap<String, PeerView>,
     /// Unfinished jobs with their tasks, as the leader last said.
     pub progress: HashMap<String, TaskCounts>,
@@ -87,7 +87,7 @@
     /// The highest fencing token that a heartbeat named, and when one last did. A heartbeat
     /// without a fencing token, late or of a leader past its deadline, changes nothing:
     /// the leader counts on its having been heard.
-    pub leader_heard: Option<LeaderHeard>,
+    pub leader_contact: Option<LeaderContact>,
     /// Controllers of an older version, which know no other frames than their
     /// own, and when they last showed it.
     pub older: HashMap<String, Instant>,
@@ -95,7 +95,7 @@
 
 /// That a leader was heard.
 #[derive(Debug, Clone, Copy)]
-pub struct LeaderHeard {
+pub struct LeaderContact {
     /// The leader's fencing token.
     pub fencing_token: FencingToken,
     /// When it was heard.
@@ -114,10 +114,10 @@
     /// Until when this node leaves the shard to its leader, as it granted.
     pub extension_granted_until: Option<Instant>,
     /// Until when this node should rather not lead the shard.
-    pub unfit_until: Option<Instant>,
+    pub ineligible_until: Option<Instant>,
     /// The workers that it couldn't hear when it last led the shard, while they don't
     /// answer it.
-    pub unheard_workers: Option<UnheardWorkers>,
+    pub unreachable_workers: Option<UnreachableWorkers>,
 }
 
 /// A controller's part as a delegate of the leader.
@@ -129,7 +129,7 @@
     /// What the leader's last answer to a heartbeat entitles to.
     pub advance: Option<AdvanceDelegation>,
     /// When a worker was last answered by an advance delegation.
-    pub answered_alone: Option<Instant>,
+    pub answered_by_advance_delegation: Option<Instant>,
     /// What delegated workers reported under the leader's fencing token, to be written.
     pub unwritten_heartbeats: PendingHeartbeats,
     /// The largest inventory page that the key-value store has not refused, if it is
--- a/src/coordination/peering/cancellations.rs
+++ b/src/coordination/peering/cancellations.rs
@@ -37,7 +37,7 @@
 /// Takes in what a controller that was asked at `sent` has told users.
 pub fn note_peer_cancellations(
     node: &Arc<Node>,
-    label: &str,
+    node_id: &str,
     sent: Instant,
     told: ConfirmedCancellations,
 ) {
@@ -46,12 +46,15 @@
     };
     let cancelled = jobs.into_iter().map(|told| (told.job, told.revision));
     node.job_index.note_cancelled(cancelled.collect());
-    node.tell_finished_jobs();
+    node.notify_finished_jobs();
     let began = drift::latest_start(Duration::from_millis(told.up_ms), node.now());
-    let counts = node.lock().cancellations.peer_answered(label, sent, began);
+    let counts = node
+        .lock()
+        .cancellations
+        .peer_answered(node_id, sent, began);
     if !counts {
         tracing::debug!(
-            peer = label,
+            peer = node_id,
             "its word on cancellations doesn't count: it began too late"
         );
     }
@@ -67,13 +70,13 @@
     let asked: Vec<Peer> = {
         let inner = node.lock();
         let looked = inner.cancellations.last_catch_up();
-        if (inner.leadership.is_none() && inner.loading.is_none())
+        if (inner.leadership.is_none() && inner.recovering.is_none())
             || looked.is_some_and(|at| now.saturating_duration_since(at) < CATCH_UP_LATE)
         {
             return;
         }
         let older = |peer: &&Peer| {
-            let shown = inner.peers.older.get(&peer.label);
+            let shown = inner.peers.older.get(&peer.node_id);
             shown.is_none_or(|at| now.saturating_duration_since(*at) > ASK_OLDER_AGAIN)
         };
         let others = node.settings.platform.others.iter();
@@ -93,17 +96,17 @@
     };
     let told = ConfirmedCancellations::decode(&answer.body);
     if let Some(told) = told.filter(|_| answer.status == StatusCode::OK) {
-        node.lock().peers.older.remove(&peer.label);
-        note_peer_cancellations(&node, &peer.label, sent, told);
+        node.lock().peers.older.remove(&peer.node_id);
+        note_peer_cancellations(&node, &peer.node_id, sent, told);
     } else if node
         .lock()
         .peers
         .older
-        .insert(peer.label.clone(), sent)
+        .insert(peer.node_id.clone(), sent)
         .is_none()
     {
         tracing::info!(
-            peer = peer.label,
+            peer = peer.node_id,
             "an older version: it doesn't say which cancellations it told"
         );
     }
--- a/src/coordination/peering/delegation.rs
+++ b/src/coordination/peering/delegation.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{HEARTBEAT_FRESH, LISTENING};
+use super::{HEARTBEAT_FRESH, LEADER_GRACE};
 use crate::coordination::advance_delegation;
 use crate::coordination::drift;
 use crate::coordination::lease::{DELEGATION_TIME, ShardLease};
@@ -19,7 +19,7 @@
 use crate::storage::inventory::{Batch, whole_heartbeats};
 use crate::storage::keys;
 use crate::storage::kv_client::KvError;
-use crate::storage::records::{DelegateRecord, HearingRecord, InventoryRecord, VERSION};
+use crate::storage::records::{DelegateRecord, InventoryRecord, ReachabilityRecord, VERSION};
 
 /// A peer's heartbeat older than this, two rounds, means that it may be cut off.
 const HEARTBEAT_LATE: Duration = Duration::from_millis(2200);
@@ -30,7 +30,7 @@
 /// Inventory pages aren't planned smaller than this, in bytes.
 const LEAST_INVENTORY: usize = 512;
 /// Age up to which a hearing record counts.
-const HEARING_FRESH_MS: u64 = 5000;
+const REACHABILITY_FRESH_MS: u64 = 5000;
 
 /// Tells the shard until when others may have answered workers on their own.
 pub(super) fn note_quiet(node: &Arc<Node>) {
@@ -41,8 +41,8 @@
     let longest = advance_delegation::longest(&node.settings);
     let others = &node.settings.platform.others;
     let kept = node.lock().leadership.as_ref().and_then(|own| {
-        let labels = others.iter().map(|peer| peer.label.as_str());
-        own.advance_grants.last_answer(labels, longest, now)
+        let node_ids = others.iter().map(|peer| peer.node_id.as_str());
+        own.advance_grants.last_answer(node_ids, longest, now)
     });
     node.with_shard(&lease, "delegations", |shard, _| {
         shard.note_answers_by_others(kept, now)
@@ -51,8 +51,8 @@
 
 /// Zones may be cut from one another while the key-value store reaches both:
 /// a controller that hears workers but not the leader says so there.
-pub(super) async fn tell_hearing(node: &Arc<Node>) {
-    let workers = heard_without_leader(node);
+pub(super) async fn publish_reachability(node: &Arc<Node>) {
+    let workers = workers_without_leader(node);
     if workers == 0 || node.kv_lost() {
         return;
     }
@@ -60,23 +60,24 @@
         workers,
         "workers come here, and the leader can't be reached"
     );
-    let record = HearingRecord {
+    let record = ReachabilityRecord {
         v: VERSION,
         workers,
         at_ms: node.clock.wall_ms(),
     };
     if let Ok(value) = serde_json::to_value(record) {
-        let txn = Transaction::default().change(Mutation::put(keys::hearing(node.label()), value));
+        let txn =
+            Transaction::default().change(Mutation::put(keys::reachability(node.node_id()), value));
         let _ = node.kv.txn(&txn, KV_DEADLINE).await;
     }
 }
 
 /// How many workers come to this node while it can't reach the leader.
-fn heard_without_leader(node: &Node) -> u32 {
+fn workers_without_leader(node: &Node) -> u32 {
     let now = node.now();
     let inner = node.lock();
-    let leader = inner.observed_leader.as_ref().map(|leader| &leader.label);
-    let Some(leader) = leader.filter(|label| *label != node.label()) else {
+    let leader = inner.observed_leader.as_ref().map(|leader| &leader.node_id);
+    let Some(leader) = leader.filter(|node_id| *node_id != node.node_id()) else {
         return 0;
     };
     let reachable = inner
@@ -92,17 +93,17 @@
 
 /// The other controllers that say in the key-value store that they hear workers
 /// but not the leader, and how many. None if the service doesn't answer.
-pub(super) async fn heard_elsewhere(node: &Node) -> Option<BTreeMap<String, usize>> {
-    let prefix = keys::hearing_prefix();
+pub(super) async fn workers_reachable_elsewhere(node: &Node) -> Option<BTreeMap<String, usize>> {
+    let prefix = keys::reachability_prefix();
     let (items, _) = node.kv.list(&prefix, KV_DEADLINE).await.ok()?;
     let wall = node.clock.wall_ms();
-    let heard = items.into_iter().filter_map(|item| {
-        let label = item.key.strip_prefix(&prefix)?.to_owned();
-        let record: HearingRecord = serde_json::from_value(item.value).ok()?;
-        let fresh = wall.abs_diff(record.at_ms) < HEARING_FRESH_MS;
-        (fresh && label != node.label()).then_some((label, record.workers as usize))
+    let counts = items.into_iter().filter_map(|item| {
+        let node_id = item.key.strip_prefix(&prefix)?.to_owned();
+        let record: ReachabilityRecord = serde_json::from_value(item.value).ok()?;
+        let fresh = wall.abs_diff(record.at_ms) < REACHABILITY_FRESH_MS;
+        (fresh && node_id != node.node_id()).then_some((node_id, record.workers as usize))
     });
-    Some(heard.collect())
+    Some(counts.collect())
 }
 
 /// The leader delegates the answering of workers to controllers that it can't reach
@@ -114,18 +115,21 @@
     let zones = zones_of(node, &unreached);
     node.with_shard(&lease, "delegations", |shard, _| {
         shard.set_cut_off(zones);
-        revoke_all_but(shard, |label| unreached.contains(label));
+        revoke_all_but(shard, |node_id| unreached.contains(node_id));
     });
     if unreached.is_empty() {
         return;
     }
-    let Some(heard) = heard_elsewhere(node).await else {
+    let Some(elsewhere) = workers_reachable_elsewhere(node).await else {
         return;
     };
     node.with_shard(&lease, "delegations", |shard, now| {
-        revoke_all_but(shard, |label| heard.contains_key(label));
-        for label in unreached.iter().filter(|label| heard.contains_key(*label)) {
-            shard.delegate(label, now);
+        revoke_all_but(shard, |node_id| elsewhere.contains_key(node_id));
+        for node_id in unreached
+            .iter()
+            .filter(|node_id| elsewhere.contains_key(*node_id))
+        {
+            shard.delegate(node_id, now);
         }
     });
     let wanted = node.with_shard(&lease, "delegations", |shard, _| shard.wants_inventories());
@@ -136,9 +140,9 @@
 
 /// Revokes the delegations of all controllers but those that still need theirs.
 fn revoke_all_but(shard: &mut Shard, needed: impl Fn(&str) -> bool) {
-    for label in shard.delegates() {
-        if !needed(&label) {
-            shard.revoke(&label);
+    for node_id in shard.delegates() {
+        if !needed(&node_id) {
+            shard.revoke(&node_id);
         }
     }
 }
@@ -148,16 +152,16 @@
     let now = node.now();
     let inner = node.lock();
     let lease = &inner.leadership.as_ref()?.lease;
-    if !lease.live(now) || now.saturating_duration_since(lease.since) < LISTENING {
+    if !lease.live(now) || now.saturating_duration_since(lease.since) < LEADER_GRACE {
         return None;
     }
     let silent = |peer: &&Peer| {
-        let view = inner.peers.views.get(&peer.label);
+        let view = inner.peers.views.get(&peer.node_id);
         view.is_none_or(|view| now.saturating_duration_since(view.at) > HEARTBEAT_LATE)
     };
     let others = node.settings.platform.others.iter();
-    let labels = others.filter(silent).map(|peer| peer.label.clone());
-    Some((lease.clone(), labels.collect()))
+    let node_ids = others.filter(silent).map(|peer| peer.node_id.clone());
+    Some((lease.clone(), node_ids.collect()))
 }
 
 /// Takes in what delegates wrote of the workers that this leader can't hear.
@@ -187,7 +191,7 @@
             let Ok(value) = serde_json::to_value(record) else {
                 return page;
             };
-            let key = keys::inventory(node.label(), page);
+            let key = keys::inventory(node.node_id(), page);
             // Written or not, the next try writes another page.
             page += 1;
             let txn = Transaction::default().change(Mutation::put(key, value));
@@ -225,7 +229,7 @@
 /// The zones that have controllers, but none outside this set.
 fn zones_of(node: &Node, unreached: &BTreeSet<String>) -> BTreeSet<String> {
     let platform = &node.settings.platform;
-    let reached = |peer: &&Peer| !unreached.contains(&peer.label);
+    let reached = |peer: &&Peer| !unreached.contains(&peer.node_id);
     let mut zones: BTreeSet<String> = platform
         .others
         .iter()
@@ -256,7 +260,7 @@
     let mut page = 0;
     loop {
         tokio::time::sleep(DELEGATION_CHECK).await;
-        if heard_without_leader(&node) == 0 {
+        if workers_without_leader(&node) == 0 {
             note_delegation(&node, None);
             continue;
         }
@@ -269,7 +273,7 @@
             continue;
         };
         let find = |key: String| items.iter().find(|item| item.key == key);
-        let delegated = find(keys::delegate(node.label()))
+        let delegated = find(keys::delegate(node.node_id()))
             .and_then(|item| serde_json::from_value::<DelegateRecord>(item.value.clone()).ok());
         // A delegation ends when the leader that gave it is replaced.
         let fencing_token = find(keys::leader())
--- a/src/coordination/peering/extension.rs
+++ b/src/coordination/peering/extension.rs
@@ -1,7 +1,7 @@
 //! Extending the shard's lease by the votes of all other controllers, while the state
 //! service is out for everybody.
 //!
-//! Before its deadline a leader needs their promises not to campaigns for the shard for a while.
+//! Before its deadline a leader needs their votes not to campaigns for the shard for a while.
 //! Past it, each must say besides that it has taken no later fencing token.
 
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use crate::protocol::peers::{PeerAnswer, PeerRequest};
 use crate::settings::platform::Peer;
 
-/// Longest promise that is given. A process that has just started waits this
+/// Longest vote that is given. A process that has just started waits this
 /// long before it campaigns for the shard: its earlier run may have promised.
 pub const LONGEST_EXTENSION: Duration = Duration::from_secs(1);
 
@@ -39,7 +39,7 @@
     true
 }
 
-/// Asks all other controllers for a promise; true if every one gives it.
+/// Asks all other controllers for a vote; true if every one gives it.
 pub async fn all_grant_extension(node: &Arc<Node>, time: Duration) -> bool {
     let request = PeerRequest::ExtendLease {
         millis: time.as_millis() as u64,
@@ -55,9 +55,9 @@
 }
 
 /// Whether every other controller, asked at the same time, says yes.
-async fn all_others<Ask, Vote>(node: &Arc<Node>, vote: Ask) -> bool
+async fn all_others<UserRequest, Vote>(node: &Arc<Node>, vote: UserRequest) -> bool
 where
-    Ask: Fn(Arc<Node>, Peer) -> Vote,
+    UserRequest: Fn(Arc<Node>, Peer) -> Vote,
     Vote: Future<Output = bool> + Send + 'static,
 {
     let mut asked = tokio::task::JoinSet::new();
@@ -71,7 +71,7 @@
     all
 }
 
-/// Answers a leader past its deadline: the same promise, given only by a run that
+/// Answers a leader past its deadline: the same vote, given only by a run that
 /// has taken no later fencing token.
 pub fn vote_on_revival(node: &Node, asked: &ReviveLease) -> RevivalVote {
     let later = {
@@ -115,11 +115,11 @@
 }
 
 /// A later fencing token than ours means that the record of ours is gone, though the service
-/// may not tell us: the later leader counts on our promise.
+/// may not tell us: the later leader counts on our vote.
 pub(super) fn end_earlier(inner: &NodeState, later: FencingToken) {
     let own = inner.leadership.as_ref().map(|own| &own.lease);
     let superseded = |lease: &&Arc<ShardLease>| lease.fencing_token < later && !lease.ended();
-    for lease in own.into_iter().chain(&inner.loading).filter(superseded) {
+    for lease in own.into_iter().chain(&inner.recovering).filter(superseded) {
         tracing::warn!(
             fencing_token = %lease.fencing_token,
             %later,
--- a/src/coordination/peering/handover.rs
+++ b/src/coordination/peering/handover.rs
@@ -4,15 +4,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::delegation::heard_elsewhere;
+use super::delegation::workers_reachable_elsewhere;
 use super::reach;
-use super::{HEARTBEAT_FRESH, LISTENING};
+use super::{HEARTBEAT_FRESH, LEADER_GRACE};
 use crate::coordination::election::step_down;
 use crate::coordination::node::Node;
-use crate::coordination::shard::MachinesHeard;
+use crate::coordination::shard::ReachableMachines;
 
 /// Rounds for which a leader must hear too little before it gives up.
-const DEAF_ROUNDS: u32 = 2;
+const LOW_REACHABILITY_ROUNDS: u32 = 2;
 /// How long a leader stays at the least before it hands over to a nearer one.
 const LEAST_LEADERSHIP: Duration = Duration::from_secs(6);
 /// How long it stays while work waits: a change of leaders makes it wait longer.
@@ -61,19 +61,19 @@
 }
 
 /// Ends this node's leadership if it hears too few workers, or if a nearer controller
-/// can take over. `deaf_rounds` counts the rounds in which it heard too few.
-pub(super) async fn step_down_if_unfit(node: &Arc<Node>, deaf_rounds: &mut u32) {
-    *deaf_rounds = match hearing(node).await {
-        Hearing::Enough => 0,
-        Hearing::Less => *deaf_rounds + 1,
-        Hearing::FarLess => DEAF_ROUNDS,
+/// can take over. `low_reachability_rounds` counts the rounds in which it heard too few.
+pub(super) async fn step_down_if_ineligible(node: &Arc<Node>, low_reachability_rounds: &mut u32) {
+    *low_reachability_rounds = match reachability(node).await {
+        Reachability::Enough => 0,
+        Reachability::Less => *low_reachability_rounds + 1,
+        Reachability::FarLess => LOW_REACHABILITY_ROUNDS,
     };
     let Some(lease) = node.lease() else {
         return;
     };
-    if *deaf_rounds >= DEAF_ROUNDS {
-        *deaf_rounds = 0;
-        reach::note_unfit(node);
+    if *low_reachability_rounds >= LOW_REACHABILITY_ROUNDS {
+        *low_reachability_rounds = 0;
+        reach::note_ineligible(node);
         let why = "it hears too few workers, and another controller does";
         step_down(node, &lease, why).await;
     } else if nearer_peer(node) {
@@ -83,7 +83,7 @@
 }
 
 /// How many workers this leader hears, against the peer that hears most.
-enum Hearing {
+enum Reachability {
     Enough,
     /// Fewer than half of them, and fewer than a peer.
     Less,
@@ -91,19 +91,22 @@
     FarLess,
 }
 
-async fn hearing(node: &Node) -> Hearing {
+async fn reachability(node: &Node) -> Reachability {
     let now = node.now();
-    let (heard, by_heartbeat) = {
+    let (reachable, by_heartbeat) = {
         let inner = node.lock();
         let Some(own) = &inner.leadership else {
-            return Hearing::Enough;
+            return Reachability::Enough;
         };
-        if !own.lease.live(now) || now.saturating_duration_since(own.lease.since) < LISTENING {
-            return Hearing::Enough;
+        if !own.lease.live(now) || now.saturating_duration_since(own.lease.since) < LEADER_GRACE {
+            return Reachability::Enough;
         }
-        let MachinesHeard { heard, expected } = own.shard.hearing(now);
-        if expected < 2 || heard * 2 >= expected {
-            return Hearing::Enough;
+        let ReachableMachines {
+            reachable,
+            expected,
+        } = own.shard.reachability(now);
+        if expected < 2 || reachable * 2 >= expected {
+            return Reachability::Enough;
         }
         let by_heartbeat = inner
             .peers
@@ -112,23 +115,23 @@
             .filter(|view| {
                 now.saturating_duration_since(view.at) < HEARTBEAT_FRESH && view.heartbeat.kv_served
             })
-            .map(|view| view.heartbeat.workers_heard as usize)
+            .map(|view| view.heartbeat.reachable_workers as usize)
             .max()
             .unwrap_or(0);
-        (heard, by_heartbeat)
+        (reachable, by_heartbeat)
     };
-    let by_record = heard_elsewhere(node).await.unwrap_or_default();
+    let by_record = workers_reachable_elsewhere(node).await.unwrap_or_default();
     let by_record = by_record.into_values().max().unwrap_or(0);
     tracing::debug!(
-        heard,
+        reachable,
         by_heartbeat,
         by_record,
         "this leader hears too few workers"
     );
     match by_heartbeat.max(by_record) {
-        most if most > heard * 2 => Hearing::FarLess,
-        most if most > heard => Hearing::Less,
-        _ => Hearing::Enough,
+        most if most > reachable * 2 => Reachability::FarLess,
+        most if most > reachable => Reachability::Less,
+        _ => Reachability::Enough,
     }
 }
 
@@ -155,7 +158,7 @@
             now.saturating_duration_since(view.at) < NEARER_HEARD
                 && view.heartbeat.zone == *main
                 && view.heartbeat.kv_served
-                && !view.heartbeat.deaf
+                && !view.heartbeat.ineligible
                 && view.heartbeat.up_s > LEAST_LEADERSHIP.as_secs() / 2
         })
 }
--- a/src/coordination/peering/heartbeat.rs
+++ b/src/coordination/peering/heartbeat.rs
@@ -6,7 +6,7 @@
 use super::{ROUND_DEADLINE, ask, extension};
 use crate::coordination::advance_delegation::AdvanceDelegation;
 use crate::coordination::node::Node;
-use crate::coordination::node_state::{LeaderHeard, PeerView};
+use crate::coordination::node_state::{LeaderContact, PeerView};
 use crate::coordination::shard::TaskCounts;
 use crate::protocol::peers::{PeerAnswer, PeerHeartbeat, PeerRequest, Progress};
 use crate::protocol::{FencingToken, JobId};
@@ -30,18 +30,26 @@
         .filter(|own| own.lease.live(now))
         .map(|own| own.lease.fencing_token);
     PeerHeartbeat {
-        label: node.label().to_owned(),
+        node_id: node.node_id().to_owned(),
         zone: node.settings.platform.area.clone(),
         kv_served,
-        workers_heard: inner.workers.len() as u32,
+        reachable_workers: inner.workers.len() as u32,
         up_s: node.up_time().as_secs(),
         fencing_token,
         main_zone: inner.peers.main_zone.clone(),
         progress: Vec::new(),
-        deaf: inner.candidacy.unfit_until.is_some_and(|until| until > now),
+        ineligible: inner
+            .candidacy
+            .ineligible_until
+            .is_some_and(|until| until > now),
         // An earlier run may have answered workers until this one started.
-        answered_alone_ago_ms: now
-            .saturating_duration_since(inner.delegate.answered_alone.unwrap_or(node.started))
+        answered_by_advance_delegation_ago_ms: now
+            .saturating_duration_since(
+                inner
+                    .delegate
+                    .answered_by_advance_delegation
+                    .unwrap_or(node.started),
+            )
             .as_millis() as u64,
     }
 }
@@ -95,14 +103,14 @@
 
 /// Answers a heartbeat, which allows its sender in advance to answer workers.
 pub fn answer_heartbeat(node: &Node, heartbeat: PeerHeartbeat) -> PeerHeartbeat {
-    let label = heartbeat.label.clone();
+    let node_id = heartbeat.node_id.clone();
     note_heartbeat(node, heartbeat);
     let answer = own_heartbeat(node);
     if let Some(fencing_token) = answer.fencing_token
         && let Some(own) = &mut node.lock().leadership
         && own.lease.fencing_token == fencing_token
     {
-        own.advance_grants.grant(&label, node.now());
+        own.advance_grants.grant(&node_id, node.now());
     }
     answer
 }
@@ -115,7 +123,9 @@
     told: Option<FencingToken>,
 ) {
     let now = node.now();
-    let kept = now.checked_sub(Duration::from_millis(heartbeat.answered_alone_ago_ms));
+    let kept = now.checked_sub(Duration::from_millis(
+        heartbeat.answered_by_advance_delegation_ago_ms,
+    ));
     {
         let mut inner = node.lock();
         if let Some(fencing_token) = heartbeat.fencing_token {
@@ -130,7 +140,7 @@
             && told == Some(own.lease.fencing_token)
         {
             let kept = kept.unwrap_or(own.lease.since);
-            own.advance_grants.answered(&heartbeat.label, sent, kept);
+            own.advance_grants.answered(&heartbeat.node_id, sent, kept);
         }
     }
     note_heartbeat(node, heartbeat);
@@ -158,10 +168,10 @@
     if let Some(fencing_token) = heartbeat.fencing_token
         && inner
             .peers
-            .leader_heard
-            .is_none_or(|heard| fencing_token >= heard.fencing_token)
+            .leader_contact
+            .is_none_or(|contact| fencing_token >= contact.fencing_token)
     {
-        inner.peers.leader_heard = Some(LeaderHeard { fencing_token, at });
+        inner.peers.leader_contact = Some(LeaderContact { fencing_token, at });
     }
     if heartbeat.fencing_token.is_some() && heartbeat.main_zone.is_some() {
         inner.peers.main_zone.clone_from(&heartbeat.main_zone);
@@ -169,5 +179,5 @@
     inner
         .peers
         .views
-        .insert(heartbeat.label.clone(), PeerView { heartbeat, at });
+        .insert(heartbeat.node_id.clone(), PeerView { heartbeat, at });
 }
--- a/src/coordination/peering/mod.rs
+++ b/src/coordination/peering/mod.rs
@@ -23,7 +23,7 @@
 const ROUND_DEADLINE: Duration = Duration::from_millis(700);
 /// How long a new leader listens before it may find that it hears too few workers: every
 /// machine was asked for a heartbeat at once.
-const LISTENING: Duration = Duration::from_secs(2);
+const LEADER_GRACE: Duration = Duration::from_secs(2);
 /// A peer's heartbeat older than this means that it can't be reached.
 const HEARTBEAT_FRESH: Duration = Duration::from_secs(3);
 /// The path of the first frames, [`PeerRequest`] and [`PeerAnswer`].
@@ -55,7 +55,7 @@
 
 /// Exchanges heartbeats for ever, and does what they call for.
 pub async fn run(node: Arc<Node>) {
-    let mut deaf_rounds = 0;
+    let mut low_reachability_rounds = 0;
     let mut was_ready = false;
     loop {
         handover::note_main_zone(&node);
@@ -65,10 +65,10 @@
         refresh_job_index(&node);
         tokio::time::sleep(ROUND).await;
         delegation::note_quiet(&node);
-        delegation::tell_hearing(&node).await;
+        delegation::publish_reachability(&node).await;
         delegation::delegate_and_revoke(&node).await;
-        handover::step_down_if_unfit(&node, &mut deaf_rounds).await;
-        reach::ask_unheard_workers(&node).await;
+        handover::step_down_if_ineligible(&node, &mut low_reachability_rounds).await;
+        reach::probe_unreachable_workers(&node).await;
     }
 }
 
@@ -84,7 +84,7 @@
     }
 }
 
-/// A look at the key-value store keeps this node's picture of it fresh.
+/// A catch-up read of the key-value store keeps this node's picture of it fresh.
 fn refresh_job_index(node: &Arc<Node>) {
     let node = node.clone();
     tokio::spawn(async move {
--- a/src/coordination/peering/reach.rs
+++ b/src/coordination/peering/reach.rs
@@ -17,22 +17,22 @@
 /// Workers that are asked.
 const SAMPLE: usize = 8;
 /// How long a leader that heard too few workers leaves the shard to others at the least.
-const LEAST_UNFIT: Duration = Duration::from_secs(30);
+const MIN_INELIGIBLE: Duration = Duration::from_secs(30);
 /// How long it does after each round in which most of them didn't answer.
-const UNFIT_AFTER_ROUND: Duration = Duration::from_secs(10);
+const INELIGIBLE_AFTER_ROUND: Duration = Duration::from_secs(10);
 /// How long they are asked: machines that are gone never answer.
 const LONGEST_SAMPLING: Duration = Duration::from_secs(600);
 
 /// Workers that a former leader couldn't hear.
 #[derive(Debug, Clone)]
-pub struct UnheardWorkers {
+pub struct UnreachableWorkers {
     addresses: Vec<SocketAddr>,
     since: Instant,
 }
 
 /// Notes that this node, the leader, hears too few workers: it is unfit until some of them
 /// answer again.
-pub(in crate::coordination) fn note_unfit(node: &Node) {
+pub(in crate::coordination) fn note_ineligible(node: &Node) {
     let now = node.now();
     let mut inner = node.lock();
     let Some(own) = &inner.leadership else {
@@ -43,19 +43,19 @@
         .machines()
         .values()
         .filter(|m| m.expects_heartbeats());
-    let silent = machines.filter(|m| m.silence(now) > node.policy.heartbeat_interval);
+    let silent = machines.filter(|m| m.since_last_contact(now) > node.policy.heartbeat_interval);
     let addresses = silent.filter_map(|m| m.addr.parse().ok()).take(SAMPLE);
     let addresses: Vec<SocketAddr> = addresses.collect();
-    inner.candidacy.unfit_until = Some(now + LEAST_UNFIT);
-    inner.candidacy.unheard_workers = Some(UnheardWorkers {
+    inner.candidacy.ineligible_until = Some(now + MIN_INELIGIBLE);
+    inner.candidacy.unreachable_workers = Some(UnreachableWorkers {
         addresses,
         since: now,
     });
 }
 
 /// Asks the workers that this node couldn't hear; it stays unfit while most don't answer.
-pub(in crate::coordination) async fn ask_unheard_workers(node: &Arc<Node>) {
-    let Some(unheard) = node.lock().candidacy.unheard_workers.clone() else {
+pub(in crate::coordination) async fn probe_unreachable_workers(node: &Arc<Node>) {
+    let Some(unheard) = node.lock().candidacy.unreachable_workers.clone() else {
         return;
     };
     let asked = unheard.addresses.len();
@@ -70,13 +70,13 @@
         .into_iter()
         .filter(|ok| *ok)
         .count();
-    let until = node.now() + UNFIT_AFTER_ROUND;
+    let until = node.now() + INELIGIBLE_AFTER_ROUND;
     let mut inner = node.lock();
     if old || answered * 2 >= asked {
-        inner.candidacy.unheard_workers = None;
+        inner.candidacy.unreachable_workers = None;
         tracing::info!(answered, asked, "workers are within reach again");
     } else {
-        inner.candidacy.unfit_until = inner.candidacy.unfit_until.max(Some(until));
+        inner.candidacy.ineligible_until = inner.candidacy.ineligible_until.max(Some(until));
     }
 }
 
--- a/src/coordination/reachability.rs
+++ b/src/coordination/reachability.rs
@@ -7,17 +7,17 @@
 use super::peering::extension;
 
 /// How long another controller counts as heard.
-const PEER_HEARD: Duration = Duration::from_millis(2500);
+const PEER_REACHABLE_WITHIN: Duration = Duration::from_millis(2500);
 /// How long a leader's heartbeat tells who runs the shard.
-const LEADER_HEARD: Duration = Duration::from_secs(3);
+const LEADER_KNOWN_WITHIN: Duration = Duration::from_secs(3);
 /// How long after its last good answer a failing key-value store counts as lost.
 const KV_LOST_AFTER: Duration = Duration::from_millis(1500);
 
 impl Node {
     /// Who runs the shard, as far as this node knows.
-    pub fn leader_label(&self) -> Option<String> {
+    pub fn leader_id(&self) -> Option<String> {
         if self.live_lease().is_some() {
-            return Some(self.label().to_owned());
+            return Some(self.node_id().to_owned());
         }
         let now = self.now();
         let inner = self.lock();
@@ -25,16 +25,21 @@
             .peers
             .views
             .values()
-            .filter(|view| now.saturating_duration_since(view.at) < LEADER_HEARD)
-            .filter_map(|view| Some((view.heartbeat.fencing_token?, view.heartbeat.label.clone())))
+            .filter(|view| now.saturating_duration_since(view.at) < LEADER_KNOWN_WITHIN)
+            .filter_map(|view| {
+                Some((
+                    view.heartbeat.fencing_token?,
+                    view.heartbeat.node_id.clone(),
+                ))
+            })
             .max();
         match by_heartbeat {
-            Some((_, label)) => Some(label),
+            Some((_, node_id)) => Some(node_id),
             None => inner
                 .observed_leader
                 .as_ref()
-                .map(|leader| leader.label.clone())
-                .filter(|label| label != self.label()),
+                .map(|leader| leader.node_id.clone())
+                .filter(|node_id| node_id != self.node_id()),
         }
     }
 
@@ -49,7 +54,7 @@
     }
 
     /// Until when this node must not campaigns for the shard: a leader may be going on
-    /// by its promise, or by one that an earlier run of this process gave.
+    /// by its vote, or by one that an earlier run of this process gave.
     pub fn campaign_blocked_until(&self) -> Option<Instant> {
         let now = self.now();
         let inner = self.lock();
@@ -72,16 +77,18 @@
     pub fn peer_served(&self) -> bool {
         let now = self.now();
         self.lock().peers.views.values().any(|view| {
-            view.heartbeat.kv_served && now.saturating_duration_since(view.at) < PEER_HEARD
+            view.heartbeat.kv_served
+                && now.saturating_duration_since(view.at) < PEER_REACHABLE_WITHIN
         })
     }
 
     /// Whether no other controller has been heard lately, though there are some.
-    pub fn alone(&self) -> bool {
+    pub fn is_isolated(&self) -> bool {
         let now = self.now();
         let inner = self.lock();
-        let heard = |view: &PeerView| now.saturating_duration_since(view.at) < PEER_HEARD;
-        !self.settings.platform.others.is_empty() && !inner.peers.views.values().any(heard)
+        let reachable =
+            |view: &PeerView| now.saturating_duration_since(view.at) < PEER_REACHABLE_WITHIN;
+        !self.settings.platform.others.is_empty() && !inner.peers.views.values().any(reachable)
     }
 
     /// Whether users should come here. When nobody is served, leaving the
@@ -91,6 +98,6 @@
         if self.lock().types.is_none() {
             return false;
         }
-        !(self.kv_lost() && (self.peer_served() || self.alone()))
+        !(self.kv_lost() && (self.peer_served() || self.is_isolated()))
     }
 }
--- a/src/coordination/loading.rs
+++ b/src/coordination/recovery.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use super::lease::Sequence;
-use super::shard::{Loaded, LoadedMachine};
+use super::shard::{RecoveredMachine, RecoveredState};
 use crate::protocol::kv::KeyValue;
 use crate::storage::kv_client::{KvClient, KvError};
 use crate::storage::records::{JobRecord, SequenceRecord};
@@ -17,7 +17,7 @@
 
 /// A shard's keys as the key-value store holds them.
 #[derive(Debug, Default, Clone)]
-pub struct StoredShard {
+pub struct StoredRecords {
     /// Unfinished jobs.
     pub jobs: Vec<KeyValue>,
     /// Pages of the roster.
@@ -25,34 +25,34 @@
     /// Chunks of the snapshot.
     pub snapshot: Vec<KeyValue>,
     /// Rentals that are not yet answered.
-    pub bookings: Vec<KeyValue>,
+    pub pending_rentals: Vec<KeyValue>,
     /// The sequence number, if the shard was ever written.
     pub sequence: Option<KeyValue>,
     /// A revision no later than that of any job read: a watch from there misses none.
     pub revision: u64,
 }
 
-impl StoredShard {
+impl StoredRecords {
     /// Reads all of a shard's keys.
     pub async fn read(state: &KvClient) -> Result<Self, KvError> {
-        let (roster, snapshot, bookings, sequence) = (
+        let (roster, snapshot, pending_rentals, sequence) = (
             keys::roster_prefix(),
             keys::snapshot_prefix(),
-            keys::booking_prefix(),
+            keys::rental_prefix(),
             keys::sequence(),
         );
-        let ((jobs, revision), (roster, _), (snapshot, _), (bookings, _), sequence) = tokio::try_join!(
+        let ((jobs, revision), (roster, _), (snapshot, _), (pending_rentals, _), sequence) = tokio::try_join!(
             state.list(keys::JOBS, DEADLINE),
             state.list(&roster, DEADLINE),
             state.list(&snapshot, DEADLINE),
-            state.list(&bookings, DEADLINE),
+            state.list(&pending_rentals, DEADLINE),
             state.get(&sequence, DEADLINE),
         )?;
         Ok(Self {
             jobs,
             roster,
             snapshot,
-            bookings,
+            pending_rentals,
             sequence,
             revision,
         })
@@ -70,8 +70,8 @@
     }
 
     /// The records in the shard's own types.
-    pub fn parse(self) -> Loaded {
-        Loaded {
+    pub fn parse(self) -> RecoveredState {
+        RecoveredState {
             jobs: self.jobs.into_iter().filter_map(parse_job).collect(),
             roster: self.roster.iter().flat_map(parse_roster_page).collect(),
             chunks: self
@@ -79,7 +79,7 @@
                 .into_iter()
                 .map(|item| (item.key, item.value))
                 .collect(),
-            bookings: self.bookings.iter().filter_map(parse).collect(),
+            pending_rentals: self.pending_rentals.iter().filter_map(parse).collect(),
         }
     }
 }
@@ -101,7 +101,7 @@
     }
 }
 
-fn parse_roster_page(item: &KeyValue) -> Vec<LoadedMachine> {
+fn parse_roster_page(item: &KeyValue) -> Vec<RecoveredMachine> {
     let page = item.key.strip_prefix(&keys::roster_prefix());
     let page = page.and_then(|page| page.parse().ok());
     let (Some(page), Some(machines)) = (page, roster::read_page(&item.value)) else {
@@ -110,6 +110,6 @@
     };
     machines
         .into_iter()
-        .map(|(id, record)| LoadedMachine { id, page, record })
+        .map(|(id, record)| RecoveredMachine { id, page, record })
         .collect()
 }
--- a/src/coordination/requests.rs
+++ b/src/coordination/requests.rs
@@ -20,7 +20,7 @@
 use crate::storage::job_index::JobStatus;
 use crate::storage::kv_client::{KvError, TransactionOutcome, backoff};
 use crate::storage::records::{FinalRecord, JobRecord, VERSION};
-use crate::storage::{facts, keys};
+use crate::storage::{job_transition, keys};
 
 /// Deadline of one request to the key-value store on a user's behalf.
 const STORE: Duration = Duration::from_millis(1500);
@@ -35,14 +35,14 @@
 
 /// An answer for a user.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Reply {
+pub struct UserResponse {
     /// The HTTP status.
     pub status: u16,
     /// The body, in JSON.
     pub body: Vec<u8>,
 }
 
-impl Reply {
+impl UserResponse {
     fn json(status: u16, value: &impl serde::Serialize) -> Self {
         Self {
             status,
@@ -87,7 +87,7 @@
 
 /// What is asked of a job.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Ask {
+pub enum UserRequest {
     /// A submission, with its body.
     Submit(Vec<u8>),
     /// A question for a job's state.
@@ -96,7 +96,7 @@
     Cancel(String),
 }
 
-impl Ask {
+impl UserRequest {
     /// Reads a request that a peer forwards.
     pub fn from_forward(method: &str, path: &str, body: Vec<u8>) -> Option<Self> {
         match (method, path.strip_prefix("/v1/jobs")?) {
@@ -125,36 +125,38 @@
 }
 
 /// Answers a user's request; `forwarded` ones are not handed on again.
-pub async fn answer(node: &Arc<Node>, ask: Ask, forwarded: bool) -> Reply {
+pub async fn answer(node: &Arc<Node>, ask: UserRequest, forwarded: bool) -> UserResponse {
     // What is wrong in itself is refused wherever it arrives.
     let submission = match &ask {
-        Ask::Submit(body) => match parse_submission(body) {
+        UserRequest::Submit(body) => match parse_submission(body) {
             Ok((id, spec)) => Some((id, spec)),
-            Err(error) => return Reply::malformed(&error.to_string(), error.field()),
+            Err(error) => return UserResponse::malformed(&error.to_string(), error.field()),
         },
-        Ask::Poll(id) | Ask::Cancel(id) if !valid_job_id(id) => return Reply::not_found(),
+        UserRequest::Poll(id) | UserRequest::Cancel(id) if !valid_job_id(id) => {
+            return UserResponse::not_found();
+        }
         _ => None,
     };
     if !forwarded {
         // Final states are the same for ever.
-        if let Ask::Poll(id) = &ask
+        if let UserRequest::Poll(id) = &ask
             && let Some((stage, tasks)) = node.job_index.final_state(id)
         {
-            return Reply::view(200, &final_view(id, stage, tasks));
+            return UserResponse::view(200, &final_view(id, stage, tasks));
         }
         if node.kv_lost() && node.peer_served() {
-            return hand_on(node, &ask).await;
+            return forward_to_peers(node, &ask).await;
         }
-        if node.kv_lost() && node.alone() {
-            return Reply::unavailable("this controller is cut off");
+        if node.kv_lost() && node.is_isolated() {
+            return UserResponse::unavailable("this controller is cut off");
         }
     }
     let own = async {
         match (&ask, submission) {
-            (Ask::Submit(_), Some((id, spec))) => submit(node, &id, spec).await,
-            (Ask::Poll(id), _) => poll(node, id).await,
-            (Ask::Cancel(id), _) => cancel(node, id).await,
-            (Ask::Submit(_), None) => Ok(Reply::malformed("not a submission", None)),
+            (UserRequest::Submit(_), Some((id, spec))) => submit(node, &id, spec).await,
+            (UserRequest::Poll(id), _) => poll(node, id).await,
+            (UserRequest::Cancel(id), _) => cancel(node, id).await,
+            (UserRequest::Submit(_), None) => Ok(UserResponse::malformed("not a submission", None)),
         }
     };
     if forwarded {
@@ -164,22 +166,22 @@
     // All of these can be asked twice: whoever answers first will do.
     let hedge = async {
         tokio::time::sleep(match ask {
-            Ask::Poll(_) => POLL_HEDGE,
-            Ask::Submit(_) | Ask::Cancel(_) => HEDGE,
+            UserRequest::Poll(_) => POLL_HEDGE,
+            UserRequest::Submit(_) | UserRequest::Cancel(_) => HEDGE,
         })
         .await;
         // Others are as busy; what waits for its turn here has it soonest here.
         while node.user_writes.queue(node.now()) > Duration::ZERO {
             tokio::time::sleep(HEDGE).await;
         }
-        hand_on(node, &ask).await
+        forward_to_peers(node, &ask).await
     };
     tokio::pin!(hedge);
     tokio::select! {
         result = &mut own => match result {
             Ok(reply) => reply,
             Err(error) => {
-                let reply = hand_on(node, &ask).await;
+                let reply = forward_to_peers(node, &ask).await;
                 if reply.status == 503 { unanswered(&error) } else { reply }
             }
         },
@@ -192,13 +194,13 @@
     }
 }
 
-fn unanswered(error: &KvError) -> Reply {
+fn unanswered(error: &KvError) -> UserResponse {
     debug!(%error, "a user's request can't be answered from the store");
-    Reply::unavailable("the state service does not answer")
+    UserResponse::unavailable("the state service does not answer")
 }
 
 /// Hands a request to the peers that the key-value store serves, one by one.
-async fn hand_on(node: &Arc<Node>, ask: &Ask) -> Reply {
+async fn forward_to_peers(node: &Arc<Node>, ask: &UserRequest) -> UserResponse {
     let served: Vec<Peer> = {
         let now = node.now();
         let inner = node.lock();
@@ -207,7 +209,7 @@
             .others
             .iter()
             .filter(|peer| {
-                inner.peers.views.get(&peer.label).is_some_and(|view| {
+                inner.peers.views.get(&peer.node_id).is_some_and(|view| {
                     view.heartbeat.kv_served
                         && now.saturating_duration_since(view.at) < Duration::from_secs(3)
                 })
@@ -220,12 +222,12 @@
             return reply;
         }
     }
-    Reply::unavailable("the state service does not answer")
+    UserResponse::unavailable("the state service does not answer")
 }
 
-async fn forward(node: &Arc<Node>, peer: &Peer, ask: &Ask) -> Option<Reply> {
+async fn forward(node: &Arc<Node>, peer: &Peer, ask: &UserRequest) -> Option<UserResponse> {
     match peering::ask(node, peer, &ask.to_forward(), FORWARD).await? {
-        PeerAnswer::Answer { status, body } if status != 503 => Some(Reply { status, body }),
+        PeerAnswer::Answer { status, body } if status != 503 => Some(UserResponse { status, body }),
         _ => None,
     }
 }
@@ -264,10 +266,12 @@
     patient(|| node.kv.txn(txn, STORE)).await
 }
 
-async fn submit(node: &Arc<Node>, id: &str, spec: JobSpec) -> Result<Reply, KvError> {
+async fn submit(node: &Arc<Node>, id: &str, spec: JobSpec) -> Result<UserResponse, KvError> {
     let types = node.lock().types.clone();
     let Some(types) = types else {
-        return Ok(Reply::unavailable("the machine types are not known yet"));
+        return Ok(UserResponse::unavailable(
+            "the machine types are not known yet",
+        ));
     };
     if let Some(reply) = never_runs(&node.policy, &types, &spec) {
         return Ok(reply);
@@ -283,7 +287,7 @@
         // It may have been accepted while the limits were larger.
         let known = poll(node, id).await?;
         return Ok(if known.status == 404 {
-            Reply::impossible(
+            UserResponse::impossible(
                 "the job's description is too long to be kept",
                 "Instruments",
             )
@@ -299,19 +303,19 @@
         TransactionOutcome::Committed { revision } => {
             if let Some(lease) = node.lease() {
                 node.with_shard(&lease, "jobs", |shard, now| {
-                    node.tell_accepted(shard, id, revision, record, now)
+                    node.notify_job_accepted(shard, id, revision, record, now)
                 });
             }
-            Ok(Reply::stage(201, id, Stage::Pending))
+            Ok(UserResponse::stage(201, id, Stage::Pending))
         }
         TransactionOutcome::Conflict => poll(node, id).await,
     }
 }
 
 /// Whether a job can never run, and why.
-fn never_runs(policy: &Policy, types: &[MachineType], spec: &JobSpec) -> Option<Reply> {
+fn never_runs(policy: &Policy, types: &[MachineType], spec: &JobSpec) -> Option<UserResponse> {
     let Some(team) = policy.teams.get(&spec.team) else {
-        return Some(Reply::impossible("unknown team", "Section"));
+        return Some(UserResponse::impossible("unknown team", "Section"));
     };
     let fits = types.iter().any(|kind| {
         spec.machine_types
@@ -326,7 +330,7 @@
             && kind.mem_gb >= spec.mem_gb
     });
     if !fits {
-        return Some(Reply::impossible(
+        return Some(UserResponse::impossible(
             "a task fits no allowed machine type",
             "Instruments",
         ));
@@ -337,10 +341,13 @@
     };
     let over = |need: f64, most: f64| most > 0.0 && need * at_once > most + 1e-9;
     if over(spec.cores, team.cores_max) {
-        return Some(Reply::impossible("more than the team's limit", "Cores"));
+        return Some(UserResponse::impossible(
+            "more than the team's limit",
+            "Cores",
+        ));
     }
     if over(spec.accelerators, team.accelerators_max) {
-        return Some(Reply::impossible(
+        return Some(UserResponse::impossible(
             "more than the team's limit",
             "Accelerators",
         ));
@@ -360,13 +367,13 @@
     let last: FinalRecord =
         serde_json::from_value(item.value).map_err(|e| KvError::Unexpected(e.to_string()))?;
     node.job_index.record_final(id, &last, item.mod_revision);
-    node.tell_finished_jobs();
+    node.notify_finished_jobs();
     Ok(Some(last))
 }
 
 /// Looks for the job among the unfinished ones first: a job moves from there to
 /// its final record and never back, so that finding neither means it never was.
-async fn poll(node: &Arc<Node>, id: &str) -> Result<Reply, KvError> {
+async fn poll(node: &Arc<Node>, id: &str) -> Result<UserResponse, KvError> {
     patient(|| node.catch_up()).await?;
     match node.job_index.find(id) {
         JobStatus::Open => {
@@ -376,12 +383,14 @@
             } else {
                 Stage::Pending
             };
-            Ok(Reply::view(200, &view(id, stage, counts)))
+            Ok(UserResponse::view(200, &view(id, stage, counts)))
+        }
+        JobStatus::Finished(stage, tasks) => {
+            Ok(UserResponse::view(200, &final_view(id, stage, tasks)))
         }
-        JobStatus::Finished(stage, tasks) => Ok(Reply::view(200, &final_view(id, stage, tasks))),
         JobStatus::Unknown => Ok(match read_final(node, id).await? {
-            Some(last) => Reply::view(200, &final_view(id, last.stage, last.tasks)),
-            None => Reply::not_found(),
+            Some(last) => UserResponse::view(200, &final_view(id, last.stage, last.tasks)),
+            None => UserResponse::not_found(),
         }),
     }
 }
@@ -402,26 +411,26 @@
     view(id, stage, TaskCounts { done, running: 0 })
 }
 
-async fn cancel(node: &Arc<Node>, id: &str) -> Result<Reply, KvError> {
+async fn cancel(node: &Arc<Node>, id: &str) -> Result<UserResponse, KvError> {
     let mut attempt = 0;
     loop {
         let Some(item) = read(node, &keys::job(id)).await? else {
             return Ok(match read_final(node, id).await? {
-                Some(last) => Reply::stage(200, id, last.stage),
-                None => Reply::not_found(),
+                Some(last) => UserResponse::stage(200, id, last.stage),
+                None => UserResponse::not_found(),
             });
         };
         let record: JobRecord =
             serde_json::from_value(item.value).map_err(|e| KvError::Unexpected(e.to_string()))?;
         let most = node.value_bytes();
         let last = FinalRecord::new(Stage::Cancelled, record.spec).within(most);
-        let txn = facts::end_job(id, item.mod_revision, &last)
+        let txn = job_transition::finish_job(id, item.mod_revision, &last)
             .map_err(|e| KvError::Unexpected(e.to_string()))?;
         match user_write(node, &txn).await? {
             TransactionOutcome::Committed { revision } => {
                 node.job_index.record_final(id, &last, revision);
-                node.tell_finished_jobs();
-                return Ok(Reply::stage(200, id, Stage::Cancelled));
+                node.notify_finished_jobs();
+                return Ok(UserResponse::stage(200, id, Stage::Cancelled));
             }
             TransactionOutcome::Conflict => {
                 attempt += 1;
--- a/src/coordination/shard/fleet.rs
+++ b/src/coordination/shard/autoscaler.rs
@@ -46,7 +46,7 @@
 
 /// A rental under way.
 #[derive(Debug)]
-pub(super) struct Booking {
+pub(super) struct PendingRental {
     pub(super) rental: Rental,
     retry: Option<Instant>,
 }
@@ -113,12 +113,12 @@
 
 /// The cloud's side of the shard.
 #[derive(Debug, Default)]
-pub struct Fleet {
-    pub(super) bookings: BTreeMap<String, Booking>,
+pub struct Autoscaler {
+    pub(super) pending_rentals: BTreeMap<String, PendingRental>,
     refused: HashMap<MachineKind, Refusal>,
-    /// How long new machines take to come up.
+    /// How long new machines attempt_number to come up.
     pub(super) boot_times: BootTimes,
-    next_booking: u64,
+    next_rental: u64,
     last_plan: Option<Instant>,
     pub(super) classes: BTreeMap<String, ClassHistory>,
     /// When each team last had an unfinished job, as far as this leader has seen.
@@ -127,7 +127,7 @@
     pub(super) usual_cores: BTreeMap<Priority, f64>,
 }
 
-impl Fleet {
+impl Autoscaler {
     /// There is one more to be had of a kind: it may be asked for again.
     pub(super) fn note_freed(&mut self, kind: &MachineKind) {
         self.refused.remove(kind);
@@ -188,18 +188,18 @@
 }
 
 impl Shard {
-    pub(super) fn manage_fleet(&mut self, now: Instant) {
+    pub(super) fn autoscale(&mut self, now: Instant) {
         self.retry_cloud(now);
-        self.abandon_lost(now);
+        self.delete_lost_machines(now);
         if self
-            .fleet
+            .autoscaler
             .last_plan
             .is_some_and(|last| now.saturating_duration_since(last) < PLAN_EVERY)
         {
             return;
         }
-        self.fleet.last_plan = Some(now);
-        self.gone
+        self.autoscaler.last_plan = Some(now);
+        self.deleted_machines
             .retain(|_, at| now.saturating_duration_since(*at) < REMEMBER_GONE);
         if self.types.is_empty() {
             return;
@@ -208,10 +208,10 @@
     }
 
     fn retry_cloud(&mut self, now: Instant) {
-        for booking in self.fleet.bookings.values_mut() {
-            if booking.retry.is_some_and(|at| at <= now) {
-                booking.retry = None;
-                self.out.push(Action::Rent(booking.rental.clone()));
+        for pending_rental in self.autoscaler.pending_rentals.values_mut() {
+            if pending_rental.retry.is_some_and(|at| at <= now) {
+                pending_rental.retry = None;
+                self.out.push(Action::Rent(pending_rental.rental.clone()));
             }
         }
         let again = self
@@ -227,21 +227,21 @@
 
     /// The cloud answered (or didn't) a rental.
     pub fn rental_answered(&mut self, request: &str, outcome: RentalOutcome, now: Instant) {
-        let Some(booking) = self.fleet.bookings.get_mut(request) else {
+        let Some(pending_rental) = self.autoscaler.pending_rentals.get_mut(request) else {
             return;
         };
-        let rental = booking.rental.clone();
+        let rental = pending_rental.rental.clone();
         let key = MachineKind::of(&rental);
         match outcome {
             RentalOutcome::Unknown => {
-                booking.retry = Some(now + CLOUD_RETRY);
+                pending_rental.retry = Some(now + CLOUD_RETRY);
                 return;
             }
             RentalOutcome::Rented(names) => {
                 if (names.len() as u32) < rental.count {
-                    self.fleet.note_refusal(key, self.policy.refused, now);
+                    self.autoscaler.note_refusal(key, self.policy.refused, now);
                 } else {
-                    self.fleet.refused.remove(&key);
+                    self.autoscaler.refused.remove(&key);
                 }
                 tracing::info!(
                     request,
@@ -263,11 +263,11 @@
                 }
             }
             RentalOutcome::NoCapacity | RentalOutcome::Rejected => {
-                self.fleet.note_refusal(key, self.policy.refused, now);
+                self.autoscaler.note_refusal(key, self.policy.refused, now);
             }
         }
-        self.fleet.bookings.remove(request);
-        self.record_answer(request);
+        self.autoscaler.pending_rentals.remove(request);
+        self.clear_scale_out(request);
         self.needs_pass = true;
     }
 
@@ -280,7 +280,7 @@
         rented: Instant,
     ) {
         let id: MachineId = name.into();
-        if self.gone.contains_key(&id) || self.machines.contains(&id) {
+        if self.deleted_machines.contains_key(&id) || self.machines.contains(&id) {
             return;
         }
         let mut machine = Machine::new(id.clone(), rented, rented);
@@ -289,11 +289,11 @@
     }
 
     /// A rental that an earlier leader recorded and perhaps requested.
-    pub(super) fn resume_booking(&mut self, rental: Rental) {
+    pub(super) fn resume_rental(&mut self, rental: Rental) {
         self.out.push(Action::Rent(rental.clone()));
-        self.fleet.bookings.insert(
+        self.autoscaler.pending_rentals.insert(
             rental.request.clone(),
-            Booking {
+            PendingRental {
                 rental,
                 retry: None,
             },
@@ -304,7 +304,9 @@
     pub fn listed(&mut self, list: &[Listed], now: Instant) {
         let mut failed = Vec::new();
         for entry in list {
-            if entry.state == ListedState::Failed && !self.gone.contains_key(entry.id.as_str()) {
+            if entry.state == ListedState::Failed
+                && !self.deleted_machines.contains_key(entry.id.as_str())
+            {
                 failed.push(MachineId::from(entry.id.as_str()));
             }
             let age = Duration::from_secs_f64(entry.age_s.clamp(0.0, 1e8));
@@ -332,7 +334,7 @@
         // A list may be older than the one before: this alone proves nothing,
         // but a machine that is silent as well is best deleted.
         let missing = |m: &Machine| {
-            !present.contains(&*m.id) && (m.listed || m.heard.is_some() || m.admitted)
+            !present.contains(&*m.id) && (m.listed || m.last_contact.is_some() || m.admitted)
         };
         for id in self.machines.ids(|m| m.vanished != missing(m)) {
             if let Some(machine) = self.machines.get_mut(&id) {
@@ -348,25 +350,25 @@
     /// Records a rental of so many machines, which is asked for once it is written.
     pub(super) fn request_machines(&mut self, kind: MachineKind, count: u32) {
         // One request for a kind at a time: its answer tells of the capacity.
-        let mut bookings = self.fleet.bookings.values();
-        if bookings.any(|booking| MachineKind::of(&booking.rental) == kind) {
+        let mut pending_rentals = self.autoscaler.pending_rentals.values();
+        if pending_rentals.any(|pending_rental| MachineKind::of(&pending_rental.rental) == kind) {
             return;
         }
-        self.fleet.next_booking += 1;
+        self.autoscaler.next_rental += 1;
         let rental = Rental {
             request: format!(
                 "{}-{}-{}",
-                self.policy.label, self.fencing_token, self.fleet.next_booking
+                self.policy.node_id, self.fencing_token, self.autoscaler.next_rental
             ),
             machine_type: kind.machine_type,
             zone: kind.zone,
             spot: kind.spot,
             count,
         };
-        self.record_booking(&rental);
-        self.fleet.bookings.insert(
+        self.record_scale_out(&rental);
+        self.autoscaler.pending_rentals.insert(
             rental.request.clone(),
-            Booking {
+            PendingRental {
                 rental,
                 retry: None,
             },
--- a/src/coordination/shard/fleet/tests.rs
+++ b/src/coordination/shard/autoscaler/tests.rs
@@ -11,19 +11,19 @@
         zone: "north".into(),
         spot: true,
     };
-    let mut fleet = Fleet::default();
-    assert!(!fleet.refuses(&kind, start));
+    let mut autoscaler = Autoscaler::default();
+    assert!(!autoscaler.refuses(&kind, start));
     let mut now = start;
     for times in [1, 2, 4, 8, 8] {
-        fleet.note_refusal(kind.clone(), pause, now);
+        autoscaler.note_refusal(kind.clone(), pause, now);
         now += pause * times;
-        assert!(fleet.refuses(&kind, now - Duration::from_secs(1)));
-        assert!(!fleet.refuses(&kind, now));
+        assert!(autoscaler.refuses(&kind, now - Duration::from_secs(1)));
+        assert!(!autoscaler.refuses(&kind, now));
     }
-    fleet.refused.remove(&kind);
-    fleet.note_refusal(kind.clone(), pause, now);
+    autoscaler.refused.remove(&kind);
+    autoscaler.note_refusal(kind.clone(), pause, now);
     assert!(
-        !fleet.refuses(&kind, now + pause),
+        !autoscaler.refuses(&kind, now + pause),
         "some were to be had since"
     );
 }
--- a/src/coordination/shard/boot_times.rs
+++ b/src/coordination/shard/boot_times.rs
@@ -1,4 +1,4 @@
-//! How long new machines take to come up, by what was seen lately.
+//! How long new machines attempt_number to come up, by what was seen lately.
 //!
 //! The cloud names a usual time for each type. In trouble, all machines of a type in a
 //! zone come many times later than that, or none comes at all. Plans go by the slower of
@@ -12,7 +12,7 @@
 
 /// How long what was seen counts.
 const MEMORY: Duration = Duration::from_secs(300);
-/// Machines that came up, the last to be rented, that tell how long they take now.
+/// Machines that came up, the last to be rented, that tell how long they attempt_number now.
 const TELLING: usize = 5;
 /// Times of the usual boot within which a machine is up in time.
 const IN_TIME: f64 = 2.0;
@@ -20,7 +20,7 @@
 const ARRIVED_LATELY: Duration = Duration::from_secs(60);
 /// Overdue machines of a type in a zone that show trouble, if fewer came up lately.
 const OVERDUE_TO_WORRY: usize = 3;
-/// Machines that are not up yet are reckoned to take so much longer than so far.
+/// Machines that are not up yet are reckoned to attempt_number so much longer than so far.
 const STILL_TO_COME: f64 = 1.5;
 /// How often the wait for machines that never come up doubles at the most.
 const MOST_DOUBLINGS: u32 = 4;
@@ -118,14 +118,14 @@
 }
 
 impl BootTimes {
-    /// How many times longer than usual machines of a type take in a zone; 1 at least.
+    /// How many times longer than usual machines of a type attempt_number in a zone; 1 at least.
     pub(super) fn slowness(&self, machine_type: &str, zone: &str, now: Instant) -> f64 {
         let zones = self.boots.get(machine_type);
         let boots = zones.and_then(|zones| zones.get(zone));
         boots.map_or(1.0, |boots| boots.slowness(now))
     }
 
-    /// Whether machines of some kind take much longer than usual.
+    /// Whether machines of some kind attempt_number much longer than usual.
     pub(super) fn in_trouble(&self, now: Instant) -> bool {
         let mut boots = self.boots.values().flat_map(BTreeMap::values);
         boots.any(|boots| boots.slowness(now) > STILL_TO_COME)
--- a/src/coordination/shard/commands.rs
+++ b/src/coordination/shard/commands.rs
@@ -20,7 +20,7 @@
         let withdrawn: Vec<(MachineId, (TaskId, u64))> = self
             .machines
             .values()
-            .filter(|machine| machine.load.to_withdraw)
+            .filter(|machine| machine.load.has_withdrawable_launch)
             .flat_map(|machine| {
                 machine
                     .attempts
@@ -38,8 +38,8 @@
     pub(super) fn flush_commands(&mut self, now: Instant) {
         self.machines.refresh();
         let ids = self.machines.ids(|m| {
-            m.load.to_tell
-                && m.synced
+            m.load.has_pending_commands
+                && m.token_acknowledged
                 && m.command.is_none()
                 && !m.deleting
                 && m.command_retry.is_none_or(|at| at <= now)
@@ -58,25 +58,25 @@
         };
         let mut commands = Vec::new();
         // Clears first, so that what they free can be used by the launches.
-        for ((task, take), attempt) in &mut machine.attempts {
+        for ((task, attempt_number), attempt) in &mut machine.attempts {
             if clear_allowed(attempt) {
                 commands.push(Command::Clear {
                     task: task.clone(),
-                    attempt: *take,
+                    attempt: *attempt_number,
                 });
             }
         }
-        for ((task, take), attempt) in &mut machine.attempts {
+        for ((task, attempt_number), attempt) in &mut machine.attempts {
             if let Some(grace) = stop_to_send(attempt) {
-                commands.push(stop(task, *take, grace));
+                commands.push(stop(task, *attempt_number, grace));
                 attempt.in_flight = true;
             }
         }
-        for ((task, take), attempt) in &mut machine.attempts {
+        for ((task, attempt_number), attempt) in &mut machine.attempts {
             if attempt.phase == Phase::Launching && !attempt.unanswered && attempt.stop.is_none() {
                 commands.push(Command::Launch {
                     task: task.clone(),
-                    attempt: *take,
+                    attempt: *attempt_number,
                 });
                 attempt.in_flight = true;
             }
@@ -114,14 +114,14 @@
     }
 
     /// Probes machines that have not shown our fencing token yet, and silent ones.
-    pub(super) fn probe_unsynced(&mut self, now: Instant) {
+    pub(super) fn probe_due_machines(&mut self, now: Instant) {
         let due: Vec<(MachineId, u64)> = self
             .machines
             .values()
             .filter(|m| {
-                let quiet =
-                    m.silence(now) > self.policy.heartbeat_interval.mul_f64(1.25) + PROBE_LATE;
-                (!m.synced || quiet || m.commands_fail)
+                let quiet = m.since_last_contact(now)
+                    > self.policy.heartbeat_interval.mul_f64(1.25) + PROBE_LATE;
+                (!m.token_acknowledged || quiet || m.outbound_unreachable)
                     && m.expects_heartbeats()
                     && m.command.is_none()
                     && m.command_retry.is_none_or(|at| at <= now)
@@ -152,12 +152,12 @@
         let executed = matches!(outcome, CommandOutcome::Executed(_));
         let lost = matches!(outcome, CommandOutcome::NoAnswer);
         for command in sent {
-            let (task, take) = match command {
+            let (task, attempt_number) = match command {
                 Command::Launch { task, attempt }
                 | Command::Stop { task, attempt, .. }
                 | Command::Clear { task, attempt } => (task, attempt),
             };
-            let Some(attempt) = machine.attempts.get_mut(&(task.clone(), *take)) else {
+            let Some(attempt) = machine.attempts.get_mut(&(task.clone(), *attempt_number)) else {
                 continue;
             };
             attempt.in_flight = false;
@@ -173,7 +173,7 @@
         let asked_at = machine.asked_at;
         match outcome {
             CommandOutcome::Executed(heartbeat) | CommandOutcome::Refused(heartbeat) => {
-                machine.commands_fail = false;
+                machine.outbound_unreachable = false;
                 if (heartbeat.agent_epoch, heartbeat.sequence) <= asked_at && last {
                     // An answer is no copy, and numbers only rise: the machine
                     // came back with a worker that began anew. What it held is
@@ -184,13 +184,13 @@
                 }
                 self.apply_heartbeat(&heartbeat, now);
                 if executed {
-                    self.settle_launches(id, sent, now);
+                    self.reconcile_launches(id, sent, now);
                 }
             }
             CommandOutcome::NotSent | CommandOutcome::NoAnswer => {
                 machine.command_retry = Some(now + COMMAND_RETRY);
                 machine.unanswered += 1;
-                machine.commands_fail = true;
+                machine.outbound_unreachable = true;
             }
         }
         self.needs_pass = true;
@@ -198,7 +198,7 @@
 
     /// After an executed batch, a launch that its heartbeat does not show (and
     /// that no later heartbeat showed) has come and gone.
-    fn settle_launches(&mut self, id: &MachineId, sent: &[Command], now: Instant) {
+    fn reconcile_launches(&mut self, id: &MachineId, sent: &[Command], now: Instant) {
         let Some(machine) = self.machines.get(id) else {
             return;
         };
@@ -250,22 +250,22 @@
     /// The machine holds nothing any more: its lease has ended, or it is gone.
     pub(super) fn empty_machine(&mut self, id: &MachineId, now: Instant) {
         self.remove_attempts(id, now);
-        self.account_for(id);
+        self.reconcile_machine(id);
         self.needs_pass = true;
     }
 
     /// What an earlier leader may have started on a machine is known now.
-    pub(super) fn account_for(&mut self, id: &MachineId) {
-        if self.unresolved.remove(id) && self.unresolved.is_empty() {
+    pub(super) fn reconcile_machine(&mut self, id: &MachineId) {
+        if self.unreconciled.remove(id) && self.unreconciled.is_empty() {
             tracing::info!(
                 fencing_token = %self.fencing_token,
-                "every machine of the roster is accounted for"
+                "every machine of the roster is reconciled"
             );
         }
     }
 
     /// Nothing that is on the books of a machine can exist any more. Something
-    /// else may be there, if it isn't accounted for.
+    /// else may be there, if it isn't reconciled.
     pub(super) fn remove_attempts(&mut self, id: &MachineId, now: Instant) {
         let keys: Vec<(TaskId, u64)> = match self.machines.get(id) {
             Some(machine) => machine.attempts.keys().cloned().collect(),
@@ -287,7 +287,7 @@
             return;
         };
         let known_at = answers.known_at;
-        let lease = self.policy.lease_surely_over();
+        let lease = self.policy.worker_lease_bound();
         if answers.last.is_some_and(|last| known_at <= last + lease) {
             return;
         }
@@ -295,7 +295,8 @@
             .machines
             .values()
             .filter(|m| {
-                known_at > m.lease_over && (!m.load.idle() || self.unresolved.contains(&m.id))
+                known_at > m.lease_expires_at
+                    && (!m.load.idle() || self.unreconciled.contains(&m.id))
             })
             .map(|m| m.id.clone())
             .collect();
@@ -334,7 +335,7 @@
 }
 
 /// Whether a machine should hear of an attempt by `/commands` now.
-pub(super) fn needs_telling(attempt: &Attempt) -> bool {
+pub(super) fn needs_command(attempt: &Attempt) -> bool {
     if attempt.in_flight {
         return false;
     }
@@ -356,10 +357,10 @@
     attempt.ended() && attempt.clearable && !attempt.unanswered && !attempt.in_flight
 }
 
-pub(super) fn stop(task: &TaskId, take: u64, grace: Duration) -> Command {
+pub(super) fn stop(task: &TaskId, attempt_number: u64, grace: Duration) -> Command {
     Command::Stop {
         task: task.clone(),
-        attempt: take,
+        attempt: attempt_number,
         grace_s: grace.as_secs_f64(),
     }
 }
--- a/src/coordination/shard/delegations.rs
+++ b/src/coordination/shard/delegations.rs
@@ -3,7 +3,7 @@
 //! When zones are cut from one another, the leader delegates the answering of silent
 //! workers to a controller that hears them: it may answer their heartbeats with
 //! the leader's fencing token, so that their leases go on and what runs there runs on,
-//! and it stops what belongs to jobs that are over. Meanwhile no lease is taken
+//! and it stops what belongs to finished jobs. Meanwhile no lease is taken
 //! to be over, and when the delegation ends, leases count from the last moment at
 //! which the delegate may have answered.
 
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use super::commands::stop;
-use super::{Fact, Job, Machine, Shard};
+use super::{Job, Machine, Shard, WritePurpose};
 use crate::coordination::drift;
 use crate::coordination::lease::DELEGATION_TIME;
 use crate::protocol::kv::Mutation;
@@ -32,7 +32,7 @@
     /// The delegate may answer from the moment the write is asked for.
     Granted,
     /// The end of the delegation is being written.
-    Ending,
+    AttemptOutcome,
     /// It ended in the key-value store before this moment.
     Ended(Instant),
 }
@@ -46,7 +46,7 @@
     pub last: Option<Instant>,
 }
 
-/// Delegations by the delegate's label.
+/// Delegations by the delegate's node id.
 pub(super) type Delegations = BTreeMap<String, DelegationState>;
 
 /// What a delegate answers to a heartbeat: it starts nothing, but what belongs to a
@@ -66,14 +66,14 @@
 
 impl Shard {
     /// Whether a controller may keep silent workers.
-    pub fn has_delegated_to(&self, label: &str) -> bool {
-        self.delegations.get(label) == Some(&DelegationState::Granted)
+    pub fn has_delegated_to(&self, node_id: &str) -> bool {
+        self.delegations.get(node_id) == Some(&DelegationState::Granted)
     }
 
     /// The controllers that may keep silent workers.
     pub fn delegates(&self) -> Vec<String> {
-        let delegated = |(label, delegation): (&String, &DelegationState)| {
-            (*delegation == DelegationState::Granted).then(|| label.clone())
+        let delegated = |(node_id, delegation): (&String, &DelegationState)| {
+            (*delegation == DelegationState::Granted).then(|| node_id.clone())
         };
         self.delegations.iter().filter_map(delegated).collect()
     }
@@ -81,14 +81,14 @@
     /// Delegates the answering of silent workers to a controller that hears them. If
     /// this leader doesn't know yet what is on all machines, the delegate is asked
     /// to write what its workers hold.
-    pub fn delegate(&mut self, label: &str, now: Instant) {
-        if self.has_delegated_to(label) {
+    pub fn delegate(&mut self, node_id: &str, now: Instant) {
+        if self.has_delegated_to(node_id) {
             return;
         }
         let record = DelegateRecord {
             v: VERSION,
             fencing_token: self.fencing_token,
-            inventory: !self.unresolved.is_empty(),
+            inventory: !self.unreconciled.is_empty(),
         };
         self.delegating_since.get_or_insert(now);
         let Ok(value) = serde_json::to_value(record) else {
@@ -96,32 +96,37 @@
         };
         tracing::info!(
             fencing_token = %self.fencing_token,
-            delegate = label,
+            delegate = node_id,
             "answering of silent workers delegated"
         );
         self.delegations
-            .insert(label.to_owned(), DelegationState::Granted);
-        self.writes
-            .fact(Fact::Delegated, Mutation::put(keys::delegate(label), value));
+            .insert(node_id.to_owned(), DelegationState::Granted);
+        self.writes.enqueue(
+            WritePurpose::Delegated,
+            Mutation::put(keys::delegate(node_id), value),
+        );
         self.needs_pass = true;
     }
 
     /// Whether a delegate may write what this leader has to know.
     pub fn wants_inventories(&self) -> bool {
-        self.others_may_answer() && !self.unresolved.is_empty()
+        self.others_may_answer() && !self.unreconciled.is_empty()
     }
 
     /// A heartbeat that a worker gave to its delegate, perhaps a while ago. It tells
     /// what is on the machine, not that the machine can be reached.
     pub fn relayed(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) {
         let id = heartbeat.machine.as_str();
-        if heartbeat.fencing_token != self.fencing_token || !self.unresolved.contains(id) {
+        if heartbeat.fencing_token != self.fencing_token || !self.unreconciled.contains(id) {
             return;
         }
-        let heard = self.machines.get(id).and_then(|machine| machine.heard);
+        let last_contact = self
+            .machines
+            .get(id)
+            .and_then(|machine| machine.last_contact);
         self.apply_heartbeat(heartbeat, now);
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.heard = heard;
+            machine.last_contact = last_contact;
         }
     }
 
@@ -133,7 +138,7 @@
 
     /// What is known of others' answers; None before anything is.
     pub(super) fn answers_by_others(&self, now: Instant) -> Option<AnswersByOthers> {
-        if self.policy.alone.is_zero() {
+        if self.policy.advance_delegation.is_zero() {
             return Some(AnswersByOthers {
                 known_at: now,
                 last: None,
@@ -145,30 +150,30 @@
     /// Whether a machine's zone is cut off, and a controller there may go on
     /// answering its worker by an advance delegation.
     pub(super) fn answered_in_cut(&self, machine: &Machine) -> bool {
-        !self.policy.alone.is_zero() && self.cut_off.contains(&*machine.zone)
+        !self.policy.advance_delegation.is_zero() && self.cut_off.contains(&*machine.zone)
     }
 
-    /// Whether far more work waits to be accounted for than may be on machines
+    /// Whether far more work waits to be reconciled than may be on machines
     /// that are not: then it is better to give these back than to wait.
     fn much_waits(&self) -> bool {
-        if self.presumed.is_empty() {
+        if self.snapshot_placements.is_empty() {
             // Its snapshot was too large to say.
             return false;
         }
-        let presumed: u32 = self
-            .unresolved
+        let snapshot_placements: u32 = self
+            .unreconciled
             .iter()
-            .filter_map(|id| self.presumed.get(id))
+            .filter_map(|id| self.snapshot_placements.get(id))
             .sum();
-        let waiting: u32 = self.jobs.values().map(Job::unaccounted).sum();
-        waiting > presumed.saturating_mul(2)
+        let waiting: u32 = self.jobs.values().map(Job::unreconciled_tasks).sum();
+        waiting > snapshot_placements.saturating_mul(2)
     }
 
     /// Whether a silent machine is better left alone: it may be cut off with
-    /// its zone, and be answered there. But what no delegate has accounted for in
+    /// its zone, and be answered there. But what no delegate has reconciled in
     /// time holds up all work that may have been on it.
     pub(super) fn left_to_delegates(&self, machine: &Machine, now: Instant) -> bool {
-        if !self.unresolved.contains(&machine.id) {
+        if !self.unreconciled.contains(&machine.id) {
             return self.others_may_answer() || self.cut_off.contains(&*machine.zone);
         }
         self.delegating_since
@@ -177,28 +182,28 @@
     }
 
     /// Ends a delegation: the delegate can be reached again, or hears nobody.
-    pub fn revoke(&mut self, label: &str) {
-        if !self.has_delegated_to(label) {
+    pub fn revoke(&mut self, node_id: &str) {
+        if !self.has_delegated_to(node_id) {
             return;
         }
         tracing::info!(
             fencing_token = %self.fencing_token,
-            delegate = label,
+            delegate = node_id,
             "delegation of workers revoked"
         );
         self.delegations
-            .insert(label.to_owned(), DelegationState::Ending);
-        self.writes.fact(
-            Fact::Revoked(label.to_owned()),
-            Mutation::delete(keys::delegate(label)),
+            .insert(node_id.to_owned(), DelegationState::AttemptOutcome);
+        self.writes.enqueue(
+            WritePurpose::Revoked(node_id.to_owned()),
+            Mutation::delete(keys::delegate(node_id)),
         );
         self.needs_pass = true;
     }
 
     /// The end of a delegation is written; it may have been delegated again since.
-    pub(super) fn revoked(&mut self, label: &str, now: Instant) {
-        if let Some(delegation) = self.delegations.get_mut(label)
-            && *delegation == DelegationState::Ending
+    pub(super) fn revoked(&mut self, node_id: &str, now: Instant) {
+        if let Some(delegation) = self.delegations.get_mut(node_id)
+            && *delegation == DelegationState::AttemptOutcome
         {
             *delegation = DelegationState::Ended(now);
         }
@@ -221,10 +226,10 @@
         if self.delegations.is_empty() {
             self.delegating_since = None;
         }
-        let lease_over = now + self.policy.lease_surely_over();
-        for id in self.machines.ids(|m| m.lease_over < lease_over) {
+        let lease_expires_at = now + self.policy.worker_lease_bound();
+        for id in self.machines.ids(|m| m.lease_expires_at < lease_expires_at) {
             if let Some(machine) = self.machines.get_mut(&id) {
-                machine.lease_over = lease_over;
+                machine.lease_expires_at = lease_expires_at;
             }
         }
     }
--- a/src/coordination/shard/drain.rs
+++ b/src/coordination/shard/drain.rs
@@ -76,7 +76,7 @@
         let far = self
             .machines
             .values()
-            .filter(|m| *m.zone != **main && m.synced && !m.deleting)
+            .filter(|m| *m.zone != **main && m.token_acknowledged && !m.deleting)
             .find_map(|machine| {
                 let (key, ..) = live_services(machine).find(|(_, _, spec)| {
                     spec.tasks == 1
@@ -257,7 +257,7 @@
             return 0.0;
         }
         let boot = self.quickest().as_secs_f64() * 2.0;
-        let classes = self.fleet.classes.values();
+        let classes = self.autoscaler.classes.values();
         classes
             .filter(|class| class.spec.kind == JobKind::Service)
             .map(|class| {
--- a/src/coordination/shard/gang.rs
+++ b/src/coordination/shard/gang.rs
@@ -3,7 +3,7 @@
 //! All tasks of one attempt carry one number, by which they find one another. An
 //! attempt is launched whole, on places found for all its tasks at once, and only
 //! when no task of an earlier one can exist. What happens to one task decides for
-//! all: [`Shard::mind_gangs`] works out the difference before anything is told to
+//! all: [`Shard::reconcile_gangs`] works out the difference before anything is told to
 //! the machines, so that whoever stops one task for whatever reason stops the gang.
 
 use std::collections::BTreeMap;
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct GangAttempt {
     /// The number that all its tasks carry; 0 if there is no attempt.
-    pub take: u64,
+    pub attempt_number: u64,
     /// Its tasks have run: from then on, who is lost ends it.
     pub started: bool,
 }
@@ -70,11 +70,11 @@
     }
 
     /// Brings the tasks of each gang into line: what can't go on together stops.
-    pub(super) fn mind_gangs(&mut self, now: Instant) {
+    pub(super) fn reconcile_gangs(&mut self, now: Instant) {
         let gangs: Vec<JobId> = self
             .jobs
             .values()
-            .filter(|job| job.spec.is_gang() && job.over.is_none() && !job.live().is_empty())
+            .filter(|job| job.spec.is_gang() && job.final_stage.is_none() && !job.live().is_empty())
             .map(|job| job.id.clone())
             .collect();
         for id in gangs {
@@ -82,18 +82,22 @@
                 continue;
             };
             let members = self.members(job);
-            let take = members.iter().map(|m| m.key.1).max().unwrap_or(0);
+            let attempt_number = members.iter().map(|m| m.key.1).max().unwrap_or(0);
             let runs = |m: &Member| matches!(m.phase, Phase::Running | Phase::Saving);
-            let started = (job.gang.take == take && job.gang.started) || members.iter().any(runs);
+            let started = (job.gang.attempt_number == attempt_number && job.gang.started)
+                || members.iter().any(runs);
             let need = self.need(job, &members, started, now);
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.gang = GangAttempt { take, started };
+                job.gang = GangAttempt {
+                    attempt_number,
+                    started,
+                };
             }
             for member in members {
                 // What is left of an earlier attempt would hold the gang up.
                 let grace = match need {
                     Need::Stop(grace) if member.stop.is_none() => grace,
-                    _ if member.key.1 < take => Duration::ZERO,
+                    _ if member.key.1 < attempt_number => Duration::ZERO,
                     _ => continue,
                 };
                 let machine = self.machines.get_mut(&member.machine);
@@ -114,7 +118,7 @@
         }
         let whole = job.live().len() as u32 == job.spec.tasks;
         if whole || !job.done().is_empty() || self.placeable(job) < job.waiting() {
-            // Whoever is missing may be on a machine that isn't accounted for.
+            // Whoever is missing may be on a machine that isn't reconciled.
             return Need::Nothing;
         }
         let waits = |member: &&Member| member.phase == Phase::Waiting;
@@ -170,9 +174,9 @@
         let Some(places) = self.places(job, missing, pass) else {
             return 0;
         };
-        let take = match job.gang.take {
-            0 => self.new_take(),
-            take => take,
+        let attempt_number = match job.gang.attempt_number {
+            0 => self.new_attempt_number(),
+            attempt_number => attempt_number,
         };
         for at in &places {
             let index = self.jobs.get_mut(id).and_then(|job| job.next_waiting(true));
@@ -181,10 +185,10 @@
             };
             pass.take(&spec, *at);
             let machine = pass.slots[*at].id.clone();
-            self.launch_as(id, index, &machine, take, now);
+            self.launch_as(id, index, &machine, attempt_number, now);
         }
         if let Some(job) = self.jobs.get_mut(id) {
-            job.gang.take = take;
+            job.gang.attempt_number = attempt_number;
         }
         places.len()
     }
@@ -192,7 +196,7 @@
     fn within_limit_whole(&self, pass: &Pass, spec: &JobSpec, tasks: u32) -> bool {
         let mut usage = pass.usage.clone();
         usage.add(spec, tasks.saturating_sub(1));
-        self.within_limit(&usage, spec)
+        self.within_quota_limit(&usage, spec)
     }
 
     /// The zones that a gang's missing tasks may be in, the best first; None stands
@@ -244,7 +248,9 @@
             let mut known = self.machines.get(id).into_iter();
             known.any(|m| {
                 let mut ended = m.attempts_of(&job.id);
-                ended.any(|((_, take), a)| *take == job.gang.take && a.ended())
+                ended.any(|((_, attempt_number), a)| {
+                    *attempt_number == job.gang.attempt_number && a.ended()
+                })
             })
         };
         let avoid = job.failures.machines() < pass.slots.len();
@@ -256,7 +262,7 @@
                 && self.worth_it(job, slot)
                 && zone.is_none_or(|zone| *zone == *slot.zone)
                 && !(avoid && job.failures.includes(&slot.id))
-                && (job.gang.take == 0 || !spent(&slot.id))
+                && (job.gang.attempt_number == 0 || !spent(&slot.id))
             {
                 let lacks = pass.lacks_image(spec, at);
                 order.push(((lacks, slot.costly, !slot.spot), fits.min(tasks), at));
@@ -282,7 +288,7 @@
 
     /// Keeps room for a gang that found too little from what comes after it in this
     /// pass: what is free, and for the rest the machines with most of it, so that
-    /// small work doesn't take each place as it falls free.
+    /// small work doesn't attempt_number each place as it falls free.
     pub(super) fn gather_for_gang(&self, id: &JobId, pass: &mut Pass, now: Instant) {
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -332,9 +338,9 @@
             return false;
         };
         let reached = |id: &MachineId| {
-            self.machines
-                .get(id)
-                .is_some_and(|m| !m.commands_fail && m.silence(now) < self.policy.suspect)
+            self.machines.get(id).is_some_and(|m| {
+                !m.outbound_unreachable && m.since_last_contact(now) < self.policy.suspect_after
+            })
         };
         job.live().values().all(reached)
     }
--- a/src/coordination/shard/heartbeats.rs
+++ b/src/coordination/shard/heartbeats.rs
@@ -6,7 +6,7 @@
 use super::plan::startup;
 use super::{Action, Attempt, Machine, Phase, Shard};
 use crate::protocol::users::JobKind;
-use crate::protocol::workers::{Command, Ending, TaskState, TaskStatus, WorkerHeartbeat};
+use crate::protocol::workers::{AttemptOutcome, Command, TaskState, TaskStatus, WorkerHeartbeat};
 use crate::protocol::{MachineId, TaskId};
 
 /// Pause before a machine that sends old numbers is asked again.
@@ -24,7 +24,10 @@
 impl Shard {
     /// A worker's own heartbeat; the caller answers it at once.
     pub fn heartbeat(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) -> HeartbeatOutcome {
-        if self.gone.contains_key(heartbeat.machine.as_str()) {
+        if self
+            .deleted_machines
+            .contains_key(heartbeat.machine.as_str())
+        {
             return HeartbeatOutcome::Refuse;
         }
         if heartbeat.fencing_token > self.fencing_token {
@@ -43,13 +46,13 @@
         if numbers > machine.last_heartbeat {
             machine.last_heartbeat = numbers;
             machine.renewed = Some(now);
-            machine.lease_over = machine
-                .lease_over
-                .max(now + self.policy.lease_surely_over());
+            machine.lease_expires_at = machine
+                .lease_expires_at
+                .max(now + self.policy.worker_lease_bound());
         }
         let current = machine.agent_epoch == Some(heartbeat.agent_epoch)
             && machine.sequence == heartbeat.sequence;
-        let commands = if machine.synced && current {
+        let commands = if machine.token_acknowledged && current {
             answer_commands(machine)
         } else {
             Vec::new()
@@ -65,10 +68,13 @@
             });
             return;
         }
-        if self.gone.contains_key(heartbeat.machine.as_str()) {
+        if self
+            .deleted_machines
+            .contains_key(heartbeat.machine.as_str())
+        {
             return;
         }
-        let lease_over = now + self.policy.lease_surely_over();
+        let lease_expires_at = now + self.policy.worker_lease_bound();
         let Some(machine) = self.adopt(heartbeat, now) else {
             return;
         };
@@ -83,7 +89,7 @@
             }
             return;
         }
-        machine.heard = Some(now);
+        machine.last_contact = Some(now);
         machine.vanished = false;
         machine.unanswered = 0;
         let new_epoch = machine.agent_epoch != Some(heartbeat.agent_epoch);
@@ -91,7 +97,7 @@
         if new_epoch {
             // Its lease runs from when it began, which was before now; what we
             // reckoned with so far was an earlier epoch's.
-            machine.lease_over = machine.lease_over.max(lease_over);
+            machine.lease_expires_at = machine.lease_expires_at.max(lease_expires_at);
         }
         machine.agent_epoch = Some(heartbeat.agent_epoch);
         machine.sequence = heartbeat.sequence;
@@ -99,12 +105,12 @@
             // The worker killed and forgot all that its last agent epoch held.
             machine.ended_epochs = machine.ended_epochs.max(heartbeat.agent_epoch - 1);
             // We heard it, and still its lease ended: it may not hear us.
-            machine.commands_fail = true;
+            machine.outbound_unreachable = true;
             tracing::info!(machine = %id, agent_epoch = heartbeat.agent_epoch, "worker began a new agent epoch");
-            // What an earlier leader started in this agent epoch is not accounted for.
+            // What an earlier leader started in this agent epoch is not reconciled.
             self.remove_attempts(&id, now);
         }
-        self.take_notice(&id, heartbeat.notice_s, now);
+        self.apply_preemption_notice(&id, heartbeat.preemption_notice_s, now);
         if heartbeat.fencing_token < self.fencing_token {
             // Its list may change yet by commands of an earlier leader.
             self.probe(&id, heartbeat.agent_epoch);
@@ -113,27 +119,27 @@
         let Some(machine) = self.machines.get_mut(&id) else {
             return;
         };
-        if !machine.synced {
-            machine.synced = true;
+        if !machine.token_acknowledged {
+            machine.token_acknowledged = true;
             tracing::debug!(machine = %id, "machine synced");
         }
         self.take_tasks(&id, &heartbeat.tasks, now);
-        self.account_for(&id);
+        self.reconcile_machine(&id);
         self.admit(&id);
         self.needs_pass = true;
     }
 
     fn adopt(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) -> Option<&mut Machine> {
         let id: MachineId = heartbeat.machine.as_str().into();
-        let lease_over = now + self.policy.lease_surely_over();
+        let lease_expires_at = now + self.policy.worker_lease_bound();
         if self.machines.contains(&id) {
             self.note_boot(&id, now);
         } else {
             self.machines
-                .insert(Machine::new(id.clone(), now, lease_over));
+                .insert(Machine::new(id.clone(), now, lease_expires_at));
         }
         let machine = self.machines.get_mut(&id)?;
-        if machine.heard.is_none() {
+        if machine.last_contact.is_none() {
             machine.idle_since = Some(now);
         }
         machine.describe(
@@ -151,7 +157,7 @@
         let Some(machine) = self.machines.get(id) else {
             return;
         };
-        if machine.heard.is_some() || machine.admitted || machine.rented < self.acquired {
+        if machine.last_contact.is_some() || machine.admitted || machine.rented < self.acquired {
             return;
         }
         let Some(kind) = self.types.get(&*machine.machine_type) else {
@@ -159,23 +165,28 @@
         };
         let took = now.saturating_duration_since(machine.rented);
         let ratio = took.as_secs_f64() / startup(kind).as_secs_f64().max(1.0);
-        let boots = &mut self.fleet.boot_times;
+        let boots = &mut self.autoscaler.boot_times;
         let (kind, zone) = (&machine.machine_type, &machine.zone);
         boots.note_arrival(kind, zone, machine.rented, ratio, now);
     }
 
-    fn take_notice(&mut self, id: &MachineId, notice_s: Option<f64>, now: Instant) {
+    fn apply_preemption_notice(
+        &mut self,
+        id: &MachineId,
+        preemption_notice_s: Option<f64>,
+        now: Instant,
+    ) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let Some(left) = notice_s.filter(|s| s.is_finite()) else {
+        let Some(left) = preemption_notice_s.filter(|s| s.is_finite()) else {
             return;
         };
         let left = Duration::from_secs_f64(left.clamp(0.0, 1e6));
-        if machine.notice.is_none() {
+        if machine.preemption_notice.is_none() {
             tracing::info!(machine = %id, ?left, "the cloud takes the machine away");
         }
-        machine.notice = Some(now + left);
+        machine.preemption_notice = Some(now + left);
         for attempt in machine.attempts.values_mut() {
             let Some(spec) = attempt.spec.clone() else {
                 continue;
@@ -242,7 +253,7 @@
             TaskState::Waiting => Phase::Waiting,
             TaskState::Running => Phase::Running,
             TaskState::Saving => Phase::Saving,
-            TaskState::Ended => Phase::Ended(line.ending.unwrap_or(Ending::Other)),
+            TaskState::Ended => Phase::Ended(line.outcome.unwrap_or(AttemptOutcome::Other)),
         };
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -261,15 +272,15 @@
             attempt.running_since.get_or_insert(now);
         }
         let started = matches!(phase, Phase::Waiting | Phase::Running | Phase::Saving)
-            || phase == Phase::Ended(Ending::Done);
+            || phase == Phase::Ended(AttemptOutcome::Done);
         let image = attempt.spec.as_ref().map(|spec| spec.image.clone());
         if let (true, Some(image)) = (started, image) {
             machine.use_image(&image, IMAGES_REMEMBERED);
         }
-        if let Phase::Ended(ending) = phase
+        if let Phase::Ended(outcome) = phase
             && !had_ended
         {
-            self.attempt_ended(id, &key, ending, now);
+            self.attempt_ended(id, &key, outcome, now);
         }
     }
 
@@ -281,7 +292,7 @@
         match self.jobs.get_mut(&task.job) {
             Some(job) if task.index < job.spec.tasks => {
                 attempt.spec = Some(job.spec.clone());
-                let unwanted = job.over.is_some()
+                let unwanted = job.final_stage.is_some()
                     || job.done().contains(task.index)
                     || job.live().contains_key(&task.index);
                 if unwanted {
@@ -308,7 +319,13 @@
         }
     }
 
-    fn attempt_ended(&mut self, id: &MachineId, key: &(TaskId, u64), ending: Ending, now: Instant) {
+    fn attempt_ended(
+        &mut self,
+        id: &MachineId,
+        key: &(TaskId, u64),
+        outcome: AttemptOutcome,
+        now: Instant,
+    ) {
         let task = &key.0;
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -319,47 +336,50 @@
         let Some(attempt) = machine.attempts.get_mut(key) else {
             return;
         };
-        let ended = EndedAttempt::of(attempt, now);
-        tracing::debug!(machine = %id, %task, ?ending, asked = ended.asked, "attempt ended");
+        let ended = AttemptSummary::of(attempt, now);
+        tracing::debug!(machine = %id, %task, ?outcome, asked = ended.asked, "attempt ended");
         let Some(job) = self.jobs.get(&task.job) else {
             attempt.clearable = true;
             return;
         };
         // A finish stays listed until it is on record; anything else is only
         // of interest to this leader.
-        attempt.clearable = ending != Ending::Done || job.over.is_some();
-        self.take_ending(id, task, ending, &ended, now);
+        attempt.clearable = outcome != AttemptOutcome::Done || job.final_stage.is_some();
+        self.apply_outcome(id, task, outcome, &ended, now);
         self.release(id, task);
         self.finish_if_done(&task.job.clone());
     }
 
     /// What an attempt's end means for its job.
-    fn take_ending(
+    fn apply_outcome(
         &mut self,
         id: &MachineId,
         task: &TaskId,
-        ending: Ending,
-        ended: &EndedAttempt,
+        outcome: AttemptOutcome,
+        ended: &AttemptSummary,
         now: Instant,
     ) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        match ending {
-            Ending::Done => self.task_done(task, ended, now),
-            Ending::Error if !ended.asked && job.over.is_none() => {
+        match outcome {
+            AttemptOutcome::Done => self.task_done(task, ended, now),
+            AttemptOutcome::Error if !ended.asked && job.final_stage.is_none() => {
                 let ran = ended.ran.unwrap_or_default();
                 self.attempt_failed(&task.job, id, ended.began, ran, now);
             }
-            Ending::NoRoom | Ending::Busy | Ending::Unknown | Ending::Other => {
+            AttemptOutcome::NoRoom
+            | AttemptOutcome::Busy
+            | AttemptOutcome::Unknown
+            | AttemptOutcome::Other => {
                 job.not_before = Some(now + REFUSED_START_PAUSE);
             }
-            Ending::Alone => self.gang_came_apart(&task.job, now),
-            Ending::Error | Ending::Stopped | Ending::Peers => {}
+            AttemptOutcome::GangIncomplete => self.gang_came_apart(&task.job, now),
+            AttemptOutcome::Error | AttemptOutcome::Stopped | AttemptOutcome::GangPeerLost => {}
         }
     }
 
-    fn task_done(&mut self, task: &TaskId, ended: &EndedAttempt, now: Instant) {
+    fn task_done(&mut self, task: &TaskId, ended: &AttemptSummary, now: Instant) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -379,7 +399,7 @@
 }
 
 /// What is known of an attempt that has ended.
-struct EndedAttempt {
+struct AttemptSummary {
     /// It was told to stop.
     asked: bool,
     /// Its run time may be compared with others.
@@ -390,7 +410,7 @@
     ran: Option<Duration>,
 }
 
-impl EndedAttempt {
+impl AttemptSummary {
     fn of(attempt: &Attempt, now: Instant) -> Self {
         let since = attempt.running_since;
         Self {
@@ -411,15 +431,15 @@
 /// All that a worker should know, repeated with each answer.
 fn answer_commands(machine: &Machine) -> Vec<Command> {
     let mut commands = Vec::new();
-    for ((task, take), attempt) in &machine.attempts {
+    for ((task, attempt_number), attempt) in &machine.attempts {
         if clear_allowed(attempt) {
             commands.push(Command::Clear {
                 task: task.clone(),
-                attempt: *take,
+                attempt: *attempt_number,
             });
         }
     }
-    for ((task, take), attempt) in &machine.attempts {
+    for ((task, attempt_number), attempt) in &machine.attempts {
         // A stop may be repeated, and one that is on its way may be lost.
         if attempt.in_flight && attempt.phase == Phase::Launching {
             continue;
@@ -429,17 +449,17 @@
             // knows the attempt, a late copy has no effect.
             commands.push(Command::Launch {
                 task: task.clone(),
-                attempt: *take,
+                attempt: *attempt_number,
             });
             if let Some(grace) = attempt.stop {
-                commands.push(stop(task, *take, grace));
+                commands.push(stop(task, *attempt_number, grace));
             }
         } else if let Some(grace) = attempt.stop
             && !attempt.ended()
             && attempt.phase != Phase::Launching
             && (grace.is_zero() || attempt.phase != Phase::Saving)
         {
-            commands.push(stop(task, *take, grace));
+            commands.push(stop(task, *attempt_number, grace));
         }
     }
     commands
--- a/src/coordination/shard/jobs.rs
+++ b/src/coordination/shard/jobs.rs
@@ -36,7 +36,7 @@
     /// Tasks that may exist on a machine. Ended ones are not among them.
     live: HashMap<u32, MachineId>,
     /// Tasks that were on a machine we knew of and surely are on none now.
-    nowhere: BTreeSet<u32>,
+    unplaced: BTreeSet<u32>,
     /// Tasks that are both: they ended as done while another attempt of them
     /// may still exist.
     both: u32,
@@ -47,7 +47,7 @@
     /// Run times of its completed tasks, for comparing machines.
     pub ran: RunTimes,
     /// Its final state, if it is over.
-    pub over: Option<Stage>,
+    pub final_stage: Option<Stage>,
     /// Its final record has been asked for.
     pub finish_sent: bool,
     /// Some of its tasks can't wait for cheap room alone.
@@ -68,12 +68,12 @@
             at_ms: record.at_ms,
             done: TaskSet::default(),
             live: HashMap::new(),
-            nowhere: BTreeSet::new(),
+            unplaced: BTreeSet::new(),
             both: 0,
             failures: FailureHistory::default(),
             not_before: None,
             ran: RunTimes::default(),
-            over: None,
+            final_stage: None,
             finish_sent: false,
             pressed: false,
             gang: GangAttempt::default(),
@@ -83,30 +83,30 @@
 
     /// Tasks that are neither done nor possibly on a machine.
     pub fn waiting(&self) -> u32 {
-        if self.over.is_some() {
+        if self.final_stage.is_some() {
             return 0;
         }
         (self.spec.tasks + self.both).saturating_sub(self.done.len() + self.live.len() as u32)
     }
 
     /// Waiting tasks that are surely nowhere, whatever an earlier leader did.
-    pub fn surely_nowhere(&self) -> u32 {
-        match self.over {
+    pub fn known_unplaced(&self) -> u32 {
+        match self.final_stage {
             Some(_) => 0,
-            None => self.nowhere.len() as u32,
+            None => self.unplaced.len() as u32,
         }
     }
 
     /// Waiting tasks that an earlier leader may have started somewhere.
-    pub fn unaccounted(&self) -> u32 {
-        self.waiting().saturating_sub(self.surely_nowhere())
+    pub fn unreconciled_tasks(&self) -> u32 {
+        self.waiting().saturating_sub(self.known_unplaced())
     }
 
     /// The waiting tasks, counted one by one.
     #[cfg(test)]
     pub fn recount_waiting(&self) -> u32 {
         let waits = |n: &u32| !self.done.contains(*n) && !self.live.contains_key(n);
-        match self.over {
+        match self.final_stage {
             Some(_) => 0,
             None => (0..self.spec.tasks).filter(waits).count() as u32,
         }
@@ -124,7 +124,7 @@
 
     /// A task has completed.
     pub fn complete(&mut self, index: u32) {
-        self.nowhere.remove(&index);
+        self.unplaced.remove(&index);
         if self.done.insert(index) && self.live.contains_key(&index) {
             self.both += 1;
         }
@@ -134,7 +134,7 @@
     pub fn put(&mut self, index: u32, machine: &MachineId) {
         if let std::collections::hash_map::Entry::Vacant(free) = self.live.entry(index) {
             free.insert(machine.clone());
-            self.nowhere.remove(&index);
+            self.unplaced.remove(&index);
             self.both += u32::from(self.done.contains(index));
         }
     }
@@ -146,7 +146,7 @@
             if self.done.contains(index) {
                 self.both -= 1;
             } else {
-                self.nowhere.insert(index);
+                self.unplaced.insert(index);
             }
             if self.live.is_empty() {
                 self.gang = GangAttempt::default();
@@ -155,10 +155,10 @@
     }
 
     /// The next waiting task that is surely nowhere; all are once every machine
-    /// is accounted for.
+    /// is reconciled.
     pub fn next_waiting(&mut self, all: bool) -> Option<u32> {
         if !all {
-            return self.nowhere.first().copied();
+            return self.unplaced.first().copied();
         }
         // What was released lies before the cursor only if it was lifted since.
         let free = |n: &u32| !self.done.contains(*n) && !self.live.contains_key(n);
@@ -185,11 +185,11 @@
 
 impl Shard {
     /// A job was accepted (or its record was read again).
-    pub fn job_put(&mut self, id: &str, mod_revision: u64, record: JobRecord, now: Instant) {
+    pub fn job_accepted(&mut self, id: &str, mod_revision: u64, record: JobRecord, now: Instant) {
         if self.jobs.contains_key(id) {
             return;
         }
-        self.fleet.note_arrival(&record.spec, now, now);
+        self.autoscaler.note_arrival(&record.spec, now, now);
         tracing::info!(
             fencing_token = %self.fencing_token,
             job = id,
@@ -206,7 +206,7 @@
     }
 
     /// All unfinished jobs, read again at a revision.
-    pub fn jobs_reread(
+    pub fn resync_jobs(
         &mut self,
         jobs: Vec<(String, u64, JobRecord)>,
         revision: u64,
@@ -220,20 +220,20 @@
             .map(|job| job.id.clone())
             .collect();
         for id in gone {
-            self.job_gone(&id, None);
+            self.job_finished(&id, None);
         }
         for (id, mod_revision, record) in jobs {
-            self.job_put(&id, mod_revision, record, now);
+            self.job_accepted(&id, mod_revision, record, now);
         }
     }
 
     /// A job's record is gone: it is done or cancelled.
-    pub fn job_gone(&mut self, id: &str, stage: Option<Stage>) {
+    pub fn job_finished(&mut self, id: &str, stage: Option<Stage>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if job.over.is_none() {
-            job.over = Some(stage.unwrap_or(Stage::Cancelled));
+        if job.final_stage.is_none() {
+            job.final_stage = Some(stage.unwrap_or(Stage::Cancelled));
             // A watch tells only that the record is gone; who moved it knows why.
             let stage = stage.map_or("done or cancelled", |stage| match stage {
                 Stage::Done => "done",
@@ -254,7 +254,7 @@
         self.drop_job_if_empty(&id);
     }
 
-    /// Stops all that may exist of a job that is over; its ends need no
+    /// Stops all that may exist of a finished job; its ends need no
     /// snapshot any more. Launches not yet sent are taken back as the shard
     /// settles.
     fn close_attempts_of(&mut self, id: &JobId) {
@@ -273,7 +273,7 @@
     }
 
     /// What an orphan on a machine was: its job is over.
-    pub fn orphan_read(&mut self, id: &str, record: Option<FinalRecord>) {
+    pub fn orphan_job_resolved(&mut self, id: &str, record: Option<FinalRecord>) {
         let Some(record) = record else {
             // Neither unfinished nor over: no controller has ever accepted it.
             // Its tasks stay stopped, and their machine stays closed.
@@ -296,12 +296,12 @@
         self.needs_pass = true;
     }
 
-    /// Forgets a job that is over once no attempt of it may exist.
+    /// Forgets a finished job once no attempt of it may exist.
     pub(super) fn drop_job_if_empty(&mut self, id: &str) {
         if self
             .jobs
             .get(id)
-            .is_some_and(|job| job.over.is_some() && job.live.is_empty())
+            .is_some_and(|job| job.final_stage.is_some() && job.live.is_empty())
         {
             self.jobs.remove(id);
         }
@@ -312,7 +312,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if job.over.is_none() && job.all_done() && !job.finish_sent {
+        if job.final_stage.is_none() && job.all_done() && !job.finish_sent {
             job.finish_sent = true;
             self.out.push(Action::Finish {
                 job: job.id.clone(),
--- a/src/coordination/shard/machine_set.rs
+++ b/src/coordination/shard/machine_set.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::commands::{needs_telling, withdrawable};
+use super::commands::{needs_command, withdrawable};
 use super::machines::{Amounts, Machine};
 use crate::protocol::MachineId;
 use crate::protocol::users::{JobKind, JobSpec, Priority};
@@ -17,16 +17,16 @@
 pub struct MachineLoad {
     /// How many tasks of which jobs may be there.
     pub tasks: Vec<(Arc<JobSpec>, u32)>,
-    /// What they take together.
+    /// What they attempt_number together.
     pub used: Amounts,
-    /// Attempts of jobs that are not known: they may take all of it.
+    /// Attempts of jobs that are not known: they may attempt_number all of it.
     pub unknown: u32,
     /// Some attempt is to stop.
     pub stopping: bool,
     /// Some attempt has to be told to the worker.
-    pub to_tell: bool,
+    pub has_pending_commands: bool,
     /// Some launch was never sent and is not wanted any more.
-    pub to_withdraw: bool,
+    pub has_withdrawable_launch: bool,
 }
 
 impl MachineLoad {
@@ -34,8 +34,8 @@
     pub fn of(machine: &Machine) -> Self {
         let mut load = Self::default();
         for attempt in machine.attempts.values() {
-            load.to_tell |= needs_telling(attempt);
-            load.to_withdraw |= withdrawable(attempt);
+            load.has_pending_commands |= needs_command(attempt);
+            load.has_withdrawable_launch |= withdrawable(attempt);
             if attempt.ended() {
                 continue;
             }
@@ -72,7 +72,7 @@
     }
 
     /// Whether some task there has a lower priority.
-    pub fn has_lesser(&self, priority: Priority) -> bool {
+    pub fn has_lower_priority(&self, priority: Priority) -> bool {
         self.tasks.iter().any(|(spec, _)| spec.priority < priority)
     }
 }
--- a/src/coordination/shard/machines.rs
+++ b/src/coordination/shard/machines.rs
@@ -7,7 +7,7 @@
 use super::{FailureEvidence, MachineLoad, Policy};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::JobSpec;
-use crate::protocol::workers::Ending;
+use crate::protocol::workers::AttemptOutcome;
 use crate::protocol::{JobId, MachineId, TaskId};
 
 /// How far an attempt is.
@@ -24,7 +24,7 @@
     /// Saving its progress before it stops.
     Saving,
     /// Over, for this reason.
-    Ended(Ending),
+    Ended(AttemptOutcome),
 }
 
 /// One try to run a task on a machine.
@@ -206,21 +206,21 @@
     /// Agent epochs up to this one are over, whatever late messages say.
     pub ended_epochs: u64,
     /// A heartbeat has carried our fencing token: no older command can land any more.
-    pub synced: bool,
+    pub token_acknowledged: bool,
     /// Its roster record is written: it may get tasks.
     pub admitted: bool,
     /// The write of its roster record has been asked for.
     pub admission_asked: bool,
     /// Last message of its worker that reached us.
-    pub heard: Option<Instant>,
+    pub last_contact: Option<Instant>,
     /// Since when it is on our books.
     pub known: Instant,
     /// When a heartbeat that came by itself last renewed its worker's lease.
     pub renewed: Option<Instant>,
     /// Its worker's lease has surely ended after this.
-    pub lease_over: Instant,
+    pub lease_expires_at: Instant,
     /// When the cloud takes it away, as far as was said.
-    pub notice: Option<Instant>,
+    pub preemption_notice: Option<Instant>,
     /// All attempts that may exist on it, by task and attempt number.
     pub attempts: BTreeMap<(TaskId, u64), Attempt>,
     /// What they amount to, as last counted.
@@ -254,7 +254,7 @@
     pub asked_at: (u64, u64),
     /// Commands don't reach it, as far as is known: it gets no new work until
     /// it answers some.
-    pub commands_fail: bool,
+    pub outbound_unreachable: bool,
     /// When commands may be sent again after a failure.
     pub command_retry: Option<Instant>,
     /// Batches of commands without an answer since it was last heard.
@@ -263,7 +263,7 @@
 
 impl Machine {
     /// A machine of which nothing is known but its name.
-    pub fn new(id: MachineId, now: Instant, lease_over: Instant) -> Self {
+    pub fn new(id: MachineId, now: Instant, lease_expires_at: Instant) -> Self {
         Self {
             id,
             addr: String::new(),
@@ -274,14 +274,14 @@
             sequence: 0,
             last_heartbeat: (0, 0),
             ended_epochs: 0,
-            synced: false,
+            token_acknowledged: false,
             admitted: false,
             admission_asked: false,
-            heard: None,
+            last_contact: None,
             known: now,
             renewed: None,
-            lease_over,
-            notice: None,
+            lease_expires_at,
+            preemption_notice: None,
             attempts: BTreeMap::new(),
             load: MachineLoad::default(),
             images: Vec::new(),
@@ -297,7 +297,7 @@
             vanished: false,
             command: None,
             asked_at: (0, 0),
-            commands_fail: false,
+            outbound_unreachable: false,
             command_retry: None,
             unanswered: 0,
         }
@@ -324,13 +324,13 @@
 
     /// Whether its worker has ever been expected to send heartbeats to us.
     pub fn expects_heartbeats(&self) -> bool {
-        !self.deleting && (self.heard.is_some() || self.admitted)
+        !self.deleting && (self.last_contact.is_some() || self.admitted)
     }
 
     /// For how long its worker has not been heard in any way.
-    pub fn silence(&self, now: Instant) -> Duration {
-        match self.heard {
-            Some(heard) => now.saturating_duration_since(heard),
+    pub fn since_last_contact(&self, now: Instant) -> Duration {
+        match self.last_contact {
+            Some(last_contact) => now.saturating_duration_since(last_contact),
             None => Duration::MAX,
         }
     }
@@ -343,19 +343,19 @@
 
     /// Whether new tasks may be started on it.
     pub fn open(&self, now: Instant, policy: &Policy) -> bool {
-        self.synced
+        self.token_acknowledged
             && self.admitted
             && self
                 .agent_epoch
                 .is_some_and(|agent_epoch| agent_epoch > self.ended_epochs)
-            && !self.commands_fail
+            && !self.outbound_unreachable
             && !self.deleting
             && !self.cordoned
             && !self.failures.quarantines(now)
             && !self.draining
-            && self.notice.is_none()
+            && self.preemption_notice.is_none()
             && !self.vanished
-            && self.silence(now) < policy.suspect
+            && self.since_last_contact(now) < policy.suspect_after
             && self.since_own_heartbeat(now) < policy.heartbeat_overdue()
             && self.load.unknown == 0
     }
@@ -402,9 +402,9 @@
 
 /// Where a job's attempts stand among a machine's.
 fn range_of(job: &JobId) -> std::ops::RangeInclusive<(TaskId, u64)> {
-    let at = |index, take| {
+    let at = |index, attempt_number| {
         let job = job.clone();
-        (TaskId { job, index }, take)
+        (TaskId { job, index }, attempt_number)
     };
     at(0, 0)..=at(u32::MAX, u64::MAX)
 }
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -3,13 +3,12 @@
 //! Events come in through the methods of [`Shard`]; what has to be done
 //! outside comes out as [`Action`]s. Nothing here waits or talks.
 
+mod autoscaler;
 mod boot_times;
-mod cluster;
 mod commands;
 mod delegations;
 mod drain;
 mod failures;
-mod fleet;
 mod gang;
 mod heartbeats;
 mod jobs;
@@ -19,23 +18,24 @@
 mod plan;
 mod policy;
 mod preemption;
-mod returns;
+mod recovery;
+mod scale_in;
 mod slowness;
 mod snapshots;
 mod summary;
 mod writes;
 
-pub use cluster::{Loaded, LoadedMachine};
+pub use autoscaler::RentalOutcome;
 pub use delegations::delegate_commands;
 pub use failures::{FailureEvidence, FailureHistory};
-pub use fleet::RentalOutcome;
 pub use gang::GangAttempt;
 pub use heartbeats::HeartbeatOutcome;
 pub use jobs::{Job, TaskCounts};
 pub use machine_set::{MachineLoad, Machines};
 pub use machines::{Attempt, Machine, Phase};
 pub use policy::{Policy, TeamPolicy};
-pub use writes::{Fact, ShardWrite};
+pub use recovery::{RecoveredMachine, RecoveredState};
+pub use writes::{ShardWrite, WritePurpose};
 
 use crate::protocol::FencingToken;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -64,14 +64,14 @@
     },
     /// Write to the shard's keys; answered by [`Shard::shard_written`].
     Write(ShardWrite),
-    /// Record that a job is done; answered by [`Shard::job_gone`].
+    /// Record that a job is done; answered by [`Shard::job_finished`].
     Finish {
         /// The job.
         job: JobId,
         /// The version of its record.
         mod_revision: u64,
     },
-    /// Read what a job that is over was; answered by [`Shard::orphan_read`].
+    /// Read what a finished job was; answered by [`Shard::orphan_job_resolved`].
     ReadFinal {
         /// The job.
         job: JobId,
@@ -102,9 +102,9 @@
 
 /// How many machines a leader hears.
 #[derive(Debug, Clone, Copy)]
-pub struct MachinesHeard {
+pub struct ReachableMachines {
     /// Within the time of a heartbeat or two.
-    pub heard: usize,
+    pub reachable: usize,
     /// All that should be heard.
     pub expected: usize,
 }
@@ -126,22 +126,22 @@
     jobs: BTreeMap<JobId, Job>,
     machines: Machines,
     /// Machines that were deleted, and when.
-    gone: HashMap<MachineId, Instant>,
+    deleted_machines: HashMap<MachineId, Instant>,
     /// Machines of the roster that we loaded which may hold tasks that we
     /// don't know of: neither synced under our fencing token, nor proven empty.
-    unresolved: BTreeSet<MachineId>,
-    fleet: fleet::Fleet,
-    writes: writes::Writer,
+    unreconciled: BTreeSet<MachineId>,
+    autoscaler: autoscaler::Autoscaler,
+    writes: writes::WriteQueue,
     delegations: delegations::Delegations,
     /// What is known of others' answers to workers, once something is.
     answers_by_others: Option<delegations::AnswersByOthers>,
     /// By machine, the tasks that the last leader's snapshot had there.
-    presumed: HashMap<MachineId, u32>,
+    snapshot_placements: HashMap<MachineId, u32>,
     /// Since when something has been delegated without a break.
     delegating_since: Option<Instant>,
     /// Zones all of whose controllers can't be reached: likely cut off.
     cut_off: BTreeSet<String>,
-    next_take: u64,
+    next_attempt_number: u64,
     next_command: u64,
     /// The zone of a controller that holds most machines: services are safest
     /// there, since its controller hears them whatever zones are cut apart.
@@ -172,26 +172,26 @@
             self.note_outliving_tasks(now);
             self.find_slow_machines(now);
         }
-        self.probe_unsynced(now);
-        self.manage_fleet(now);
+        self.probe_due_machines(now);
+        self.autoscale(now);
         self.needs_pass = true;
-        self.settle(now);
+        self.reconcile(now);
     }
 
     /// Works out the difference between what is wanted and what is.
-    pub fn settle(&mut self, now: Instant) {
+    pub fn reconcile(&mut self, now: Instant) {
         if std::mem::take(&mut self.needs_pass) {
-            self.mind_gangs(now);
+            self.reconcile_gangs(now);
             self.withdraw_launches(now);
             self.place(now);
-            self.mind_gangs(now);
+            self.reconcile_gangs(now);
             self.withdraw_launches(now);
             self.flush_commands(now);
         }
-        self.pump_writes(now);
+        self.flush_writes(now);
     }
 
-    /// The time of day, by the steady clock since the take-over.
+    /// The time of day, by the steady clock since the attempt_number-over.
     fn wall_ms(&self, now: Instant) -> u64 {
         let passed = now.saturating_duration_since(self.acquired).as_millis() as u64;
         self.acquired_wall_ms + passed
@@ -228,7 +228,7 @@
     pub fn progress(&self) -> impl Iterator<Item = (&JobId, TaskCounts)> {
         self.jobs
             .values()
-            .filter(|job| job.over.is_none())
+            .filter(|job| job.final_stage.is_none())
             .map(|job| {
                 let running = self.running.get(&job.id).copied().unwrap_or(0);
                 let done = job.done().len();
@@ -238,7 +238,7 @@
 
     /// The counts of a job's tasks, for its user.
     pub fn view(&self, id: &str) -> Option<TaskCounts> {
-        let job = self.jobs.get(id).filter(|job| job.over.is_none())?;
+        let job = self.jobs.get(id).filter(|job| job.final_stage.is_none())?;
         let runs = |(index, machine): &(&u32, &MachineId)| {
             self.machines.get(machine).is_some_and(|machine| {
                 machine.attempts_of(&job.id).any(|((task, _), attempt)| {
@@ -252,12 +252,15 @@
     }
 
     /// How many machines are heard.
-    pub fn hearing(&self, now: Instant) -> MachinesHeard {
+    pub fn reachability(&self, now: Instant) -> ReachableMachines {
         let expected = self.machines.values().filter(|m| m.expects_heartbeats());
         let recent = self.policy.heartbeat_interval.mul_f64(1.6);
-        let heard = expected.clone().filter(|m| m.silence(now) < recent).count();
-        MachinesHeard {
-            heard,
+        let reachable = expected
+            .clone()
+            .filter(|m| m.since_last_contact(now) < recent)
+            .count();
+        ReachableMachines {
+            reachable,
             expected: expected.count(),
         }
     }
@@ -265,7 +268,7 @@
     /// Whether work waits that may be placed, or machines are unaccounted for.
     pub fn is_busy(&self) -> bool {
         let waits = |job: &Job| job.waiting() > 0 && !job.is_suspect();
-        !self.unresolved.is_empty() || self.jobs.values().any(waits)
+        !self.unreconciled.is_empty() || self.jobs.values().any(waits)
     }
 
     /// Which zones are likely cut off from us.
--- a/src/coordination/shard/placement/choice.rs
+++ b/src/coordination/shard/placement/choice.rs
@@ -8,7 +8,7 @@
 use crate::coordination::shard::{Job, Machine, Shard};
 use crate::protocol::users::{JobKind, JobSpec};
 
-/// Fetches may take this much longer than the type's rate says.
+/// Fetches may attempt_number this much longer than the type's rate says.
 const FETCH_MARGIN: f64 = 1.35;
 /// Jobs with at least this many tasks may bring their image to a machine.
 const SEED_FROM: u32 = 8;
@@ -117,7 +117,8 @@
     ) -> bool {
         let spec = &job.spec;
         let per_zone = spec.tasks.div_ceil(2);
-        let could_hold = |slot: &Slot| slot.free.holds(spec) || self.hosts_lesser_at(slot, spec);
+        let could_hold =
+            |slot: &Slot| slot.free.holds(spec) || self.hosts_lower_priority_at(slot, spec);
         spec.kind == JobKind::Service
             && !self.policy.holds_capacity()
             && pass.slots.iter().any(|slot| {
@@ -131,10 +132,10 @@
     }
 
     /// Whether a service would fetch its image for too long there, while it
-    /// could have the place of lesser work beside an image.
+    /// could have the place of lower-priority work beside an image.
     fn better_to_make_room(&self, job: &Job, at: usize, pass: &Pass) -> bool {
         let spec = &job.spec;
-        // Jobs whose tasks depend on one another's zones take what there is.
+        // Jobs whose tasks depend on one another's zones attempt_number what there is.
         let free_of_zones = !spec.one_zone && (!spec.scatter || spec.tasks == 1);
         spec.kind == JobKind::Service
             && free_of_zones
@@ -142,13 +143,13 @@
             && pass.slots.iter().enumerate().any(|(other, slot)| {
                 allowed(spec, &slot.machine_type, &slot.zone, slot.spot)
                     && !self.slot_is_late(spec, pass, other)
-                    && self.hosts_lesser_at(slot, spec)
+                    && self.hosts_lower_priority_at(slot, spec)
             })
     }
 
-    fn hosts_lesser_at(&self, slot: &Slot, spec: &JobSpec) -> bool {
+    fn hosts_lower_priority_at(&self, slot: &Slot, spec: &JobSpec) -> bool {
         let machine = self.machines.get(&slot.id);
-        machine.is_some_and(|machine| hosts_lesser(machine, spec))
+        machine.is_some_and(|machine| hosts_lower_priority(machine, spec))
     }
 
     /// Whether a job would start too late there for want of its image.
@@ -167,7 +168,7 @@
         within.is_some_and(|within| self.fetch_takes(spec, slot, *within))
     }
 
-    /// Whether fetching a job's image there may take longer than that.
+    /// Whether fetching a job's image there may attempt_number longer than that.
     fn fetch_takes(&self, spec: &JobSpec, slot: &Slot, longest: Duration) -> bool {
         self.types.get(&*slot.machine_type).is_some_and(|kind| {
             kind.fetch_gb_per_s > 0.0
@@ -188,16 +189,16 @@
                 *zones.entry(machine.zone.clone()).or_insert(0) += 1;
             }
         }
-        let unaccounted = job.unaccounted();
-        if job.spec.scatter && unaccounted > 0 && !self.placement_known(job) {
+        let unreconciled_tasks = job.unreconciled_tasks();
+        if job.spec.scatter && unreconciled_tasks > 0 && !self.placement_known(job) {
             // They may all be in any zone with machines that are unaccounted for.
             let machines = self
-                .unresolved
+                .unreconciled
                 .iter()
                 .filter_map(|id| self.machines.get(id));
             let unknown: BTreeSet<Arc<str>> = machines.map(|m| m.zone.clone()).collect();
             for zone in unknown {
-                *zones.entry(zone).or_insert(0) += unaccounted;
+                *zones.entry(zone).or_insert(0) += unreconciled_tasks;
             }
         }
         zones
@@ -235,7 +236,7 @@
 }
 
 /// Whether a machine has a task of lower priority that takes as much as one of this job.
-fn hosts_lesser(machine: &Machine, spec: &JobSpec) -> bool {
+fn hosts_lower_priority(machine: &Machine, spec: &JobSpec) -> bool {
     machine.load.tasks.iter().any(|(other, _)| {
         other.priority < spec.priority && other.cores >= spec.cores && other.mem_gb >= spec.mem_gb
     })
--- a/src/coordination/shard/placement/mod.rs
+++ b/src/coordination/shard/placement/mod.rs
@@ -45,7 +45,7 @@
     /// Whether a job's waiting tasks are surely nowhere.
     pub(super) fn placement_known(&self, job: &Job) -> bool {
         // Jobs accepted after our fencing token began were never an earlier leader's.
-        self.unresolved.is_empty() || job.mod_revision > self.fencing_token.revision()
+        self.unreconciled.is_empty() || job.mod_revision > self.fencing_token.revision()
     }
 
     /// How many of a job's waiting tasks may be started. While machines are
@@ -58,11 +58,11 @@
     fn startable(&self, job: &Job) -> u32 {
         if self.placement_known(job) {
             job.waiting()
-        } else if job.spec.one_zone && job.unaccounted() > 0 {
+        } else if job.spec.one_zone && job.unreconciled_tasks() > 0 {
             // Nobody knows which zone the others are in.
             0
         } else {
-            job.surely_nowhere()
+            job.known_unplaced()
         }
     }
 
@@ -146,8 +146,8 @@
             if placed == 0 || left == 0 {
                 queue.pop_front();
                 // Nothing gives way to a job that fails everywhere.
-                let suspect = self.jobs.get(&id).is_some_and(Job::is_suspect);
-                if left > 0 && !suspect {
+                let is_suspect = self.jobs.get(&id).is_some_and(Job::is_suspect);
+                if left > 0 && !is_suspect {
                     tally.stuck.push(id);
                 }
             }
@@ -233,7 +233,7 @@
                 break;
             };
             let spec = job.spec.clone();
-            if self.placeable(job) == 0 || !self.within_limit(&pass.usage, &spec) {
+            if self.placeable(job) == 0 || !self.within_quota_limit(&pass.usage, &spec) {
                 break;
             }
             let all = self.placement_known(job);
@@ -254,8 +254,8 @@
     }
 
     fn launch(&mut self, id: &JobId, index: u32, machine_id: &MachineId, now: Instant) {
-        let take = self.new_take();
-        self.launch_as(id, index, machine_id, take, now);
+        let attempt_number = self.new_attempt_number();
+        self.launch_as(id, index, machine_id, attempt_number, now);
     }
 
     pub(super) fn launch_as(
@@ -263,7 +263,7 @@
         id: &JobId,
         index: u32,
         machine_id: &MachineId,
-        take: u64,
+        attempt_number: u64,
         now: Instant,
     ) {
         let (Some(job), Some(machine)) = (self.jobs.get_mut(id), self.machines.get_mut(machine_id))
@@ -276,9 +276,9 @@
             job: id.clone(),
             index,
         };
-        tracing::debug!(%task, take, machine = %machine_id, "launch");
+        tracing::debug!(%task, attempt_number, machine = %machine_id, "launch");
         machine.attempts.insert(
-            (task, take),
+            (task, attempt_number),
             Attempt::new(Some(job.spec.clone()), Phase::Launching, now),
         );
         self.writes.progress_changed(now);
--- a/src/coordination/shard/placement/usage.rs
+++ b/src/coordination/shard/placement/usage.rs
@@ -39,15 +39,19 @@
     pub(in crate::coordination::shard) fn usage(&self) -> Usage {
         let mut usage = Usage::default();
         for machine in self.machines.values() {
-            let unresolved = self.unresolved.contains(&machine.id);
-            let unknown = if unresolved { 1 } else { machine.load.unknown };
+            let unreconciled = self.unreconciled.contains(&machine.id);
+            let unknown = if unreconciled {
+                1
+            } else {
+                machine.load.unknown
+            };
             if unknown > 0
                 && let Some(kind) = self.types.get(&*machine.machine_type)
             {
                 usage.unknown.cores += kind.cores * f64::from(unknown);
                 usage.unknown.accelerators += kind.accelerators * f64::from(unknown);
             }
-            if !unresolved {
+            if !unreconciled {
                 for (spec, count) in &machine.load.tasks {
                     usage.add(spec, *count);
                 }
@@ -57,7 +61,7 @@
     }
 
     /// Whether one more task of a job stays within its team's limit.
-    pub(in crate::coordination::shard) fn within_limit(
+    pub(in crate::coordination::shard) fn within_quota_limit(
         &self,
         usage: &Usage,
         spec: &JobSpec,
@@ -79,7 +83,7 @@
     }
 
     /// Whether a team would still be within its guarantee with one more task.
-    pub(in crate::coordination::shard) fn within_guarantee(
+    pub(in crate::coordination::shard) fn within_quota(
         &self,
         usage: &Usage,
         spec: &JobSpec,
@@ -97,7 +101,7 @@
         let share = self.policy.share_of(&spec.team);
         let used = usage.of(&spec.team);
         (
-            !self.within_guarantee(usage, spec),
+            !self.within_quota(usage, spec),
             (used.cores + used.accelerators) / share,
         )
     }
--- a/src/coordination/shard/plan/capacity.rs
+++ b/src/coordination/shard/plan/capacity.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use super::startup;
+use crate::coordination::shard::autoscaler::PLAN_EVERY;
 use crate::coordination::shard::boot_times::Overdue;
-use crate::coordination::shard::fleet::PLAN_EVERY;
 use crate::coordination::shard::machines::Amounts;
 use crate::coordination::shard::placement::allowed;
 use crate::coordination::shard::{Machine, Shard};
@@ -17,7 +17,7 @@
 /// Over how long the room that a priority finds is averaged.
 const ROOM_MEMORY: Duration = Duration::from_secs(60);
 
-/// How long a machine may take to come up, in times of what is usual, before the plan
+/// How long a machine may attempt_number to come up, in times of what is usual, before the plan
 /// counts on it no more; a few seconds are added.
 const LATEST_START: f64 = 2.0;
 const LATEST_START_MARGIN: Duration = Duration::from_secs(3);
@@ -135,8 +135,8 @@
         let mut capacities: Vec<Capacity> = machines
             .filter_map(|machine| self.capacity_of(machine, now))
             .collect();
-        for booking in self.fleet.bookings.values() {
-            let rental = &booking.rental;
+        for pending_rental in self.autoscaler.pending_rentals.values() {
+            let rental = &pending_rental.rental;
             let Some(kind) = self.types.get(&rental.machine_type) else {
                 continue;
             };
@@ -165,7 +165,7 @@
         if self.is_leaving(machine) {
             return None;
         }
-        let coming = machine.heard.is_none() && !machine.admitted;
+        let coming = machine.last_contact.is_none() && !machine.admitted;
         if coming {
             let age = now.saturating_duration_since(machine.rented);
             let usual = startup(kind).mul_f64(self.boot_patience_factor(machine, now));
@@ -173,7 +173,9 @@
             if overdue && !self.counts_though_overdue(machine, now) {
                 return None;
             }
-        } else if machine.heard.is_some() && machine.silence(now) > self.policy.suspect {
+        } else if machine.last_contact.is_some()
+            && machine.since_last_contact(now) > self.policy.suspect_after
+        {
             return None;
         }
         let ready_in_s = if coming {
@@ -218,12 +220,12 @@
     /// Takes in which machines are not up though they should be. In a zone of which nothing
     /// is heard they may well be up.
     pub(super) fn note_overdue_boots(&mut self, now: Instant) {
-        let silent_zones = self.silent_zones(now);
+        let unreachable_zones = self.unreachable_zones(now);
         let coming = self.machines.values().filter(|machine| {
-            machine.heard.is_none()
+            machine.last_contact.is_none()
                 && !machine.admitted
                 && !self.is_leaving(machine)
-                && !silent_zones.contains(&machine.zone)
+                && !unreachable_zones.contains(&machine.zone)
         });
         let overdue = coming.filter_map(|machine| {
             let kind = self.types.get(&*machine.machine_type)?;
@@ -238,16 +240,16 @@
             })
         });
         let overdue: Vec<Overdue> = overdue.collect();
-        self.fleet.boot_times.note_overdue(&overdue, now);
+        self.autoscaler.boot_times.note_overdue(&overdue, now);
     }
 
     /// Whether a machine is on its way out, or can't be reached.
     fn is_leaving(&self, machine: &Machine) -> bool {
         machine.deleting
             || machine.cordoned
-            || machine.notice.is_some()
+            || machine.preemption_notice.is_some()
             || machine.vanished
-            || (machine.heard.is_none() && self.cut_off.contains(&*machine.zone))
+            || (machine.last_contact.is_none() && self.cut_off.contains(&*machine.zone))
     }
 
     /// Takes the room of the moment into the averages.
@@ -262,7 +264,7 @@
         for (priority, spec) in specs {
             let cheap = capacities.iter().filter(|capacity| !capacity.costly);
             let now = cores_for(&spec, cheap);
-            let usual = self.fleet.usual_cores.entry(priority).or_insert(now);
+            let usual = self.autoscaler.usual_cores.entry(priority).or_insert(now);
             *usual += (now - *usual) * weight;
         }
     }
--- a/src/coordination/shard/plan/demand.rs
+++ b/src/coordination/shard/plan/demand.rs
@@ -130,7 +130,7 @@
     fn enqueue(&self, job: &Job, queue: &mut Queue) -> Option<u32> {
         let waiting = job.waiting().min(job.tries_left()).min(MOST_FORESEEN);
         let mut count = 0;
-        while count < waiting && self.within_limit(&queue.usage, &job.spec) {
+        while count < waiting && self.within_quota_limit(&queue.usage, &job.spec) {
             queue.usage.add(&job.spec, 1);
             count += 1;
         }
@@ -151,7 +151,7 @@
             // The average is that of all zones.
             return now;
         }
-        let usual = self.fleet.usual_cores.get(&job.spec.priority).copied();
+        let usual = self.autoscaler.usual_cores.get(&job.spec.priority).copied();
         now.max(usual.unwrap_or(0.0))
     }
 
@@ -272,7 +272,7 @@
     fn foreseen(&self, now: Instant) -> Vec<Demand> {
         let quickest = self.quickest();
         let mut demands = Vec::new();
-        for (class, history) in &self.fleet.classes {
+        for (class, history) in &self.autoscaler.classes {
             let within = self.policy.wait_within.get(class).copied();
             if within.is_none_or(|within| within > quickest) {
                 continue;
@@ -304,17 +304,17 @@
     fn note_work(&mut self, now: Instant) {
         let unfinished = self.jobs.values();
         // A job that fails everywhere has no use for more room than a try takes.
-        let unfinished = unfinished.filter(|job| job.over.is_none() && !job.is_suspect());
+        let unfinished = unfinished.filter(|job| job.final_stage.is_none() && !job.is_suspect());
         let teams: BTreeSet<&str> = unfinished.map(|job| &*job.spec.team).collect();
         for team in teams {
-            self.fleet.note_work(team, now);
+            self.autoscaler.note_work(team, now);
         }
     }
 
     /// Whether a team has work, or had some lately. A new leader doesn't know of jobs
     /// that ended before it began, and takes that for the time of the last.
     fn has_had_work(&self, team: &str, now: Instant) -> bool {
-        let last = self.fleet.last_work(team).unwrap_or(self.acquired);
+        let last = self.autoscaler.last_work(team).unwrap_or(self.acquired);
         now.saturating_duration_since(last) <= self.policy.guarantee_hold
     }
 
@@ -346,7 +346,7 @@
     /// The kind of job to keep a team's room for: its own rather than another's, and
     /// an array rather than a service.
     fn typical_of(&self, team: &str) -> Option<Arc<JobSpec>> {
-        let classes = self.fleet.classes.values();
+        let classes = self.autoscaler.classes.values();
         let specs = classes.map(|history| &history.spec);
         let rank = |spec: &&Arc<JobSpec>| {
             let batch = spec.kind == JobKind::Batch;
--- a/src/coordination/shard/plan/mod.rs
+++ b/src/coordination/shard/plan/mod.rs
@@ -10,9 +10,9 @@
 
 pub(super) use capacity::{Capacity, Readiness};
 use demand::{Demand, OfferFilter};
-use offer::{Crowds, Offer};
+use offer::{MachineCounts, Offer};
 
-use super::fleet::{MOST_PER_RENTAL, MachineKind};
+use super::autoscaler::{MOST_PER_RENTAL, MachineKind};
 use super::placement::allowed;
 use super::{Machine, Shard};
 use crate::protocol::JobId;
@@ -22,7 +22,7 @@
 struct Plan {
     /// Room that is there or will be, less what is planned for.
     capacities: Vec<Capacity>,
-    crowds: Crowds,
+    machine_counts: MachineCounts,
     /// Machines to be rented.
     wanted: BTreeMap<MachineKind, u32>,
     /// Where the room of jobs bound to one zone is planned.
@@ -95,7 +95,7 @@
         let demands = self.demands(&capacities, now);
         let mut plan = Plan {
             capacities,
-            crowds: self.crowds(),
+            machine_counts: self.machine_counts(),
             wanted: BTreeMap::new(),
             zones: BTreeMap::new(),
         };
@@ -105,22 +105,28 @@
             *class_left.entry(demand.spec.class.clone()).or_default() += demand.count;
         }
         for demand in demands {
-            let companions = class_left.entry(demand.spec.class.clone()).or_default();
-            *companions -= demand.count;
-            self.plan_for(&demand, *companions, &mut plan, now);
+            let following_tasks = class_left.entry(demand.spec.class.clone()).or_default();
+            *following_tasks -= demand.count;
+            self.plan_for(&demand, *following_tasks, &mut plan, now);
         }
         self.act_on(plan, now);
     }
 
     /// Finds room for a demand, on new machines if need be; so many more tasks of its
     /// class follow.
-    fn plan_for(&self, demand: &Demand, companions: u32, plan: &mut Plan, now: Instant) {
+    fn plan_for(&self, demand: &Demand, following_tasks: u32, plan: &mut Plan, now: Instant) {
         let zone = self.planned_zone(demand, plan, now);
         let zone = zone.as_deref();
         let latest_s = self.latest_s(demand, zone, plan, now);
         let mut left = plan.take_room(demand, zone, latest_s);
         while left > 0 {
-            let offer = self.best_offer(demand, left + companions, zone, &plan.crowds, now);
+            let offer = self.best_offer(
+                demand,
+                left + following_tasks,
+                zone,
+                &plan.machine_counts,
+                now,
+            );
             let Some(offer) = offer else {
                 return;
             };
@@ -146,57 +152,61 @@
     /// others if one that is rented now would come sooner. So it is for all work where
     /// machines come much later than usual.
     fn latest_s(&self, demand: &Demand, zone: Option<&str>, plan: &Plan, now: Instant) -> f64 {
-        let boots = &self.fleet.boot_times;
+        let boots = &self.autoscaler.boot_times;
         let matters = demand.spec.is_gang() || boots.in_trouble(now);
         let Some(slack) = demand.slack_s.filter(|_| matters) else {
             return f64::INFINITY;
         };
-        let offer = self.best_offer(demand, demand.count, zone, &plan.crowds, now);
+        let offer = self.best_offer(demand, demand.count, zone, &plan.machine_counts, now);
         let soonest = offer.map_or(f64::INFINITY, |offer| offer.ready_in_s);
         slack.max(soonest)
     }
 
     /// How many times longer than usual a machine that is not up yet takes.
     pub(super) fn boot_slowness(&self, machine: &Machine, now: Instant) -> f64 {
-        let boots = &self.fleet.boot_times;
+        let boots = &self.autoscaler.boot_times;
         boots.slowness(&machine.machine_type, &machine.zone, now)
     }
 
     /// How many times longer than usual a machine that is not up yet is waited for.
     pub(super) fn boot_patience_factor(&self, machine: &Machine, now: Instant) -> f64 {
-        let boots = &self.fleet.boot_times;
+        let boots = &self.autoscaler.boot_times;
         boots.patience(&machine.machine_type, &machine.zone, now)
     }
 
     /// Seconds until a machine that is rented now is up, if it takes as long as it often
     /// does, and has lately.
     fn boot_s(&self, kind: &MachineType, zone: &str, now: Instant) -> f64 {
-        let slowness = self.fleet.boot_times.slowness(&kind.name, zone, now);
+        let slowness = self.autoscaler.boot_times.slowness(&kind.name, zone, now);
         startup(kind).as_secs_f64() * BOOT_MARGIN * slowness
     }
 
     /// Rents what is wanted and gives back what isn't.
     fn act_on(&mut self, plan: Plan, now: Instant) {
         let growing = plan.wanted.keys().any(|kind| !kind.spot)
-            || self.fleet.bookings.values().any(|b| !b.rental.spot);
+            || self
+                .autoscaler
+                .pending_rentals
+                .values()
+                .any(|b| !b.rental.spot);
         self.reopen(&plan.capacities);
-        // Work that nobody has accounted for yet is in no plan.
-        let accounted = self.unresolved.is_empty();
+        // Work that nobody has reconciled yet is in no plan.
+        let accounted = self.unreconciled.is_empty();
         if accounted {
             self.consolidate(&plan.capacities, !growing, now);
         }
         for (kind, count) in plan.wanted {
             self.request_machines(kind, count.min(MOST_PER_RENTAL));
         }
-        self.give_back(&plan.capacities, now);
+        self.delete_spare_machines(&plan.capacities, now);
     }
 
-    fn crowds(&self) -> Crowds {
-        let mut crowds = Crowds::default();
+    fn machine_counts(&self) -> MachineCounts {
+        let mut machine_counts = MachineCounts::default();
         for machine in self.machines.values() {
-            crowds.add(&machine.machine_type, &machine.zone);
+            machine_counts.add(&machine.machine_type, &machine.zone);
         }
-        crowds
+        machine_counts
     }
 
     /// Where a job's room is wanted, if it has to be in one zone; all of its demands go
@@ -221,7 +231,7 @@
     }
 
     fn offered_zone(&self, demand: &Demand, plan: &Plan, now: Instant) -> Option<Arc<str>> {
-        let offer = self.best_offer(demand, demand.count, None, &plan.crowds, now)?;
+        let offer = self.best_offer(demand, demand.count, None, &plan.machine_counts, now)?;
         Some(offer.zone.as_str().into())
     }
 
--- a/src/coordination/shard/plan/offer.rs
+++ b/src/coordination/shard/plan/offer.rs
@@ -7,7 +7,7 @@
 use super::BOOT_MARGIN;
 use super::demand::{Demand, OfferFilter};
 use crate::coordination::shard::Shard;
-use crate::coordination::shard::fleet::{LEAST_CHARGE, MachineKind};
+use crate::coordination::shard::autoscaler::{LEAST_CHARGE, MachineKind};
 use crate::coordination::shard::machines::Amounts;
 use crate::coordination::shard::placement::allowed;
 use crate::protocol::cloud::MachineType;
@@ -34,9 +34,9 @@
 
 /// How many machines of a type are in a zone.
 #[derive(Debug, Default)]
-pub(super) struct Crowds(HashMap<Arc<str>, HashMap<Arc<str>, f64>>);
+pub(super) struct MachineCounts(HashMap<Arc<str>, HashMap<Arc<str>, f64>>);
 
-impl Crowds {
+impl MachineCounts {
     /// Counts a machine.
     pub(super) fn add(&mut self, machine_type: &Arc<str>, zone: &Arc<str>) {
         let zones = self.0.entry(machine_type.clone()).or_default();
@@ -80,7 +80,7 @@
         demand: &Demand,
         left: u32,
         only: Option<&str>,
-        crowds: &Crowds,
+        machine_counts: &MachineCounts,
         now: Instant,
     ) -> Option<Offer> {
         let mut best: Option<(f64, Offer)> = None;
@@ -96,7 +96,7 @@
                         spot,
                         ready_in_s,
                     };
-                    let Some(cost) = self.cost_of(&offer, demand, left, crowds, now) else {
+                    let Some(cost) = self.cost_of(&offer, demand, left, machine_counts, now) else {
                         continue;
                     };
                     if best.as_ref().is_none_or(|(least, _)| cost < *least) {
@@ -115,7 +115,7 @@
         offer: &Offer,
         demand: &Demand,
         left: u32,
-        crowds: &Crowds,
+        machine_counts: &MachineCounts,
         now: Instant,
     ) -> Option<f64> {
         let spec = &demand.spec;
@@ -128,7 +128,7 @@
         };
         if fits == 0
             || !allowed(spec, &offer.kind.name, &offer.zone, offer.spot)
-            || self.fleet.refuses(&kind, now)
+            || self.autoscaler.refuses(&kind, now)
         {
             return None;
         }
@@ -148,7 +148,7 @@
                 cost *= LATE_GANG;
             }
         }
-        Some(cost * (1.0 + crowds.of(&offer.kind.name, &offer.zone) * CROWDING))
+        Some(cost * (1.0 + machine_counts.of(&offer.kind.name, &offer.zone) * CROWDING))
     }
 }
 
--- a/src/coordination/shard/policy.rs
+++ b/src/coordination/shard/policy.rs
@@ -22,7 +22,7 @@
 
 /// Share of the key-value store's writes that the shard's own facts (roster,
 /// rentals) may use; jobs' facts need the rest.
-const FACT_WRITE_SHARE: f64 = 0.3;
+const RECORD_WRITE_SHARE: f64 = 0.3;
 
 /// The least that a team's share counts as.
 const LEAST_SHARE: f64 = 1.0;
@@ -33,8 +33,8 @@
 /// What the shard's decisions depend on besides its state.
 #[derive(Debug, Clone)]
 pub struct Policy {
-    /// This controller's label.
-    pub label: String,
+    /// This controller's node id.
+    pub node_id: String,
     /// The teams by name.
     pub teams: BTreeMap<String, TeamPolicy>,
     /// Longest good wait for a start, by class.
@@ -51,7 +51,7 @@
     /// How long a gang's task waits for the others.
     pub gang_wait: Duration,
     /// How long another controller may go on answering workers on its own.
-    pub alone: Duration,
+    pub advance_delegation: Duration,
     /// Changes that one transaction may have.
     pub txn_ops: usize,
     /// Bytes that one value may have.
@@ -63,11 +63,11 @@
     /// Changes a second for snapshots.
     pub snapshot_writes_per_s: f64,
     /// Changes a second for the shard's own facts.
-    pub fact_writes_per_s: f64,
+    pub record_writes_per_s: f64,
     /// Silence after which a machine gets no new tasks.
-    pub suspect: Duration,
+    pub suspect_after: Duration,
     /// Silence after which a machine is given back.
-    pub abandon: Duration,
+    pub dead_after: Duration,
     /// Capacity held ready, as a multiple of what runs.
     pub headroom: f64,
     /// How long a machine may stay idle before it is given back.
@@ -85,7 +85,7 @@
         let state = given.kv.planned();
         let operator = &settings.operator;
         Self {
-            label: settings.platform.label.clone(),
+            node_id: settings.platform.node_id.clone(),
             teams: given
                 .teams
                 .iter()
@@ -105,15 +105,15 @@
             heartbeat_interval: given.workers.heartbeat_interval(),
             worker_lease: given.workers.lease(),
             gang_wait: given.workers.gang_wait(),
-            alone: advance_delegation::longest(settings),
+            advance_delegation: advance_delegation::longest(settings),
             txn_ops: state.txn_ops,
             value_bytes: state.value_bytes(),
             snapshot: operator.snapshot(),
             staleness: operator.staleness(),
             snapshot_writes_per_s: state.write_rps * operator.snapshot_write_share,
-            fact_writes_per_s: state.write_rps * FACT_WRITE_SHARE,
-            suspect: given.workers.latest_heartbeat() + operator.suspect_late(),
-            abandon: given.workers.latest_heartbeat() + operator.abandon_late(),
+            record_writes_per_s: state.write_rps * RECORD_WRITE_SHARE,
+            suspect_after: given.workers.latest_heartbeat() + operator.suspect_late(),
+            dead_after: given.workers.latest_heartbeat() + operator.abandon_late(),
             headroom: operator.headroom,
             idle: operator.idle(),
             guarantee_hold: operator.guarantee_hold(),
@@ -142,17 +142,17 @@
     /// How long a worker that answers may go without a heartbeat of its own. One whose
     /// leader has just ended takes its time to find the next.
     pub fn heartbeat_overdue(&self) -> Duration {
-        self.suspect.max(self.worker_lease / 2)
+        self.suspect_after.max(self.worker_lease / 2)
     }
 
     /// How long after our last answer left a worker's lease has surely ended:
     /// its own clock may run slow, and ours fast.
-    pub fn lease_surely_over(&self) -> Duration {
+    pub fn worker_lease_bound(&self) -> Duration {
         drift::longest(self.worker_lease) + LEASE_MARGIN
     }
 }
 
-/// The times of the aims of one kind, by class.
+/// The times of the objectives of one kind, by class.
 fn within(objectives: &[Objective], kind: &str) -> HashMap<String, Duration> {
     objectives
         .iter()
@@ -164,7 +164,7 @@
         .collect()
 }
 
-/// The multiples of deadlines that aims name, by class.
+/// The multiples of deadlines that objectives name, by class.
 fn deadline_times(objectives: &[Objective]) -> HashMap<String, Vec<f64>> {
     let mut times: HashMap<String, Vec<f64>> = HashMap::new();
     for aim in objectives.iter().filter(|aim| aim.kind == "deadline") {
--- a/src/coordination/shard/preemption.rs
+++ b/src/coordination/shard/preemption.rs
@@ -51,7 +51,7 @@
             stops: Vec::new(),
             chosen: HashSet::new(),
         };
-        // Gangs have no other way to room, while arrays take what falls free: they
+        // Gangs have no other way to room, while arrays attempt_number what falls free: they
         // are counted apart.
         let (mut gangs, mut others) = (0, 0);
         for job in stuck.iter().filter_map(|id| self.jobs.get(id)) {
@@ -150,14 +150,14 @@
             let machine = self.machines.get(&slot.id);
             machine.is_some_and(|machine| machine.load.stopping)
         };
-        let guaranteed = self.within_guarantee(&making.usage, spec)
+        let guaranteed = self.within_quota(&making.usage, spec)
             && making.chosen.is_empty()
             && !pass.slots.iter().any(stopping);
         let mut prices: Option<BTreeMap<(Duration, usize), Victims>> = None;
         for _ in 0..self.placeable(job) {
-            if !self.within_limit(&making.usage, spec) {
-                // Its team's own lesser work may hold the whole limit.
-                if let Some((machine, key)) = self.lesser_of_team(spec, now) {
+            if !self.within_quota_limit(&making.usage, spec) {
+                // Its team's own lower-priority work may hold the whole limit.
+                if let Some((machine, key)) = self.lower_priority_of_team(spec, now) {
                     making.stops.push(Stop {
                         machine,
                         key,
@@ -247,7 +247,7 @@
         now: Instant,
     ) -> Option<((Duration, usize), Victims)> {
         let machine = self.machines.get(&pass.slots[at].id)?;
-        if !(guaranteed || machine.load.has_lesser(spec.priority)) {
+        if !(guaranteed || machine.load.has_lower_priority(spec.priority)) {
             return None;
         }
         let mut candidates: Vec<_> = machine
@@ -277,9 +277,13 @@
 
     /// The cheapest task of lower priority of the same team, unless one is
     /// being stopped already.
-    fn lesser_of_team(&self, spec: &JobSpec, now: Instant) -> Option<(MachineId, (TaskId, u64))> {
+    fn lower_priority_of_team(
+        &self,
+        spec: &JobSpec,
+        now: Instant,
+    ) -> Option<(MachineId, (TaskId, u64))> {
         let mut best: Option<(Priority, Duration, &MachineId, &(TaskId, u64))> = None;
-        let lesser = |machine: &&Machine| machine.load.has_lesser(spec.priority);
+        let lesser = |machine: &&Machine| machine.load.has_lower_priority(spec.priority);
         for machine in self.machines.values().filter(lesser) {
             for (key, attempt) in machine.attempts.iter().filter(|(_, a)| !a.ended()) {
                 let Some(other) = &attempt.spec else {
--- a/src/coordination/shard/cluster.rs
+++ b/src/coordination/shard/recovery.rs
@@ -1,4 +1,4 @@
-//! Take-over: from what is stored to a shard that can act.
+//! Failover: from what is stored to a shard that can act.
 
 use crate::protocol::FencingToken;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -6,19 +6,19 @@
 
 use serde_json::Value;
 
-use super::fleet::Fleet;
+use super::autoscaler::Autoscaler;
 use super::{Job, Machine, Machines, Policy, Shard, writes};
 use crate::coordination::lease::DELEGATION_TIME;
 use crate::protocol::MachineId;
-use crate::storage::records::{BookingRecord, JobRecord, RosterRecord};
+use crate::storage::records::{JobRecord, RentalRecord, RosterRecord};
 use crate::storage::snapshot;
 
 /// Bits of a task's attempt number below the fencing token's.
-const TAKE_BITS: u32 = 24;
+const ATTEMPT_BITS: u32 = 24;
 
 /// A machine of the stored roster.
 #[derive(Debug, Clone)]
-pub struct LoadedMachine {
+pub struct RecoveredMachine {
     /// The machine's name.
     pub id: String,
     /// The page that holds it.
@@ -29,24 +29,24 @@
 
 /// What was read after the fencing token was raised.
 #[derive(Debug, Default, Clone)]
-pub struct Loaded {
+pub struct RecoveredState {
     /// Unfinished jobs: id, version of the record, record.
     pub jobs: Vec<(String, u64, JobRecord)>,
     /// The machines of all pages.
-    pub roster: Vec<LoadedMachine>,
+    pub roster: Vec<RecoveredMachine>,
     /// The snapshot's chunks by key.
     pub chunks: BTreeMap<String, Value>,
     /// Rentals that are not yet answered.
-    pub bookings: Vec<BookingRecord>,
+    pub pending_rentals: Vec<RentalRecord>,
 }
 
 impl Shard {
     /// A shard just acquired. Everything loaded must have been read after the
     /// leadership record was written.
-    pub fn take_over(
+    pub fn recover(
         policy: Policy,
         fencing_token: FencingToken,
-        loaded: Loaded,
+        recovered: RecoveredState,
         now: Instant,
         wall_ms: u64,
     ) -> Self {
@@ -58,18 +58,18 @@
             types: BTreeMap::new(),
             jobs: BTreeMap::new(),
             machines: Machines::default(),
-            gone: HashMap::new(),
-            unresolved: BTreeSet::new(),
-            fleet: Fleet::default(),
-            writes: writes::Writer::default(),
+            deleted_machines: HashMap::new(),
+            unreconciled: BTreeSet::new(),
+            autoscaler: Autoscaler::default(),
+            writes: writes::WriteQueue::default(),
             delegations: Default::default(),
             answers_by_others: None,
-            presumed: HashMap::new(),
+            snapshot_placements: HashMap::new(),
             delegating_since: None,
             cut_off: BTreeSet::new(),
             // A task's attempt number never repeats, whatever was lost: the
             // fencing token is in it.
-            next_take: fencing_token.revision() << TAKE_BITS,
+            next_attempt_number: fencing_token.revision() << ATTEMPT_BITS,
             next_command: 0,
             main_zone: None,
             needs_pass: true,
@@ -77,19 +77,22 @@
             counted: None,
             out: Vec::new(),
         };
-        for (id, mod_revision, record) in loaded.jobs {
+        for (id, mod_revision, record) in recovered.jobs {
             let age = Duration::from_millis(wall_ms.saturating_sub(record.at_ms));
             let at = now.checked_sub(age).unwrap_or(now);
-            shard.fleet.note_arrival(&record.spec, at, now);
+            shard.autoscaler.note_arrival(&record.spec, at, now);
             let id = id.as_str().into();
             shard.jobs.insert(
                 std::sync::Arc::clone(&id),
                 Job::new(id, mod_revision, record),
             );
         }
-        for (id, progress) in snapshot::decode(loaded.chunks.values()) {
+        for (id, progress) in snapshot::decode(recovered.chunks.values()) {
             for machine in progress.placed.values() {
-                *shard.presumed.entry(machine.as_str().into()).or_default() += 1;
+                *shard
+                    .snapshot_placements
+                    .entry(machine.as_str().into())
+                    .or_default() += 1;
             }
             if let Some(job) = shard.jobs.get_mut(id.as_str()) {
                 for (from, to) in progress.done.ranges() {
@@ -99,15 +102,15 @@
                 }
             }
         }
-        shard.writes.written = loaded.chunks;
+        shard.writes.written = recovered.chunks;
         // A delegate of the last leader may have answered workers until just now.
         // Or one that was cut off goes on answering them by its advance delegation.
-        let kept = DELEGATION_TIME.max(shard.policy.alone);
-        let lease_over = now + shard.policy.lease_surely_over() + kept;
-        for LoadedMachine { id, page, record } in loaded.roster {
+        let kept = DELEGATION_TIME.max(shard.policy.advance_delegation);
+        let lease_expires_at = now + shard.policy.worker_lease_bound() + kept;
+        for RecoveredMachine { id, page, record } in recovered.roster {
             let id: MachineId = id.as_str().into();
             shard.writes.roster.load(page, id.clone(), record.clone());
-            let mut machine = Machine::new(id.clone(), now, lease_over);
+            let mut machine = Machine::new(id.clone(), now, lease_expires_at);
             machine.describe(
                 &record.addr,
                 &record.machine_type,
@@ -115,16 +118,16 @@
                 record.spot,
             );
             machine.admitted = true;
-            shard.unresolved.insert(id.clone());
+            shard.unreconciled.insert(id.clone());
             shard.machines.insert(machine);
-            if record.returning {
+            if record.deleting {
                 shard.begin_deletion(&id, now, "its return was on record");
             } else {
                 shard.probe(&id, 1);
             }
         }
-        for booking in loaded.bookings {
-            shard.resume_booking(booking.rental);
+        for pending_rental in recovered.pending_rentals {
+            shard.resume_rental(pending_rental.rental);
         }
         let complete: Vec<_> = shard
             .jobs
@@ -139,8 +142,8 @@
         shard
     }
 
-    pub(super) fn new_take(&mut self) -> u64 {
-        self.next_take += 1;
-        self.next_take
+    pub(super) fn new_attempt_number(&mut self) -> u64 {
+        self.next_attempt_number += 1;
+        self.next_attempt_number
     }
 }
