--- a/src/coordination/shard/returns.rs
+++ b/src/coordination/shard/scale_in.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::fleet::{CLOUD_RETRY, LEAST_CHARGE, MachineKind};
+use super::autoscaler::{CLOUD_RETRY, LEAST_CHARGE, MachineKind};
 use super::plan::{Capacity, startup};
 use super::{Action, Machine, Shard};
 use crate::protocol::MachineId;
@@ -20,7 +20,7 @@
 
 /// Share of a zone's machines that are silent if it is likely cut off, and how many it has
 /// to have for that.
-const ZONE_SILENT_SHARE: f64 = 0.9;
+const ZONE_UNREACHABLE_SHARE: f64 = 0.9;
 const LEAST_ZONE: usize = 3;
 
 /// Times of a usual heartbeat after which a machine that was taken is given up.
@@ -37,19 +37,19 @@
 
 /// How much of the shard is silent.
 #[derive(Debug, Clone)]
-struct SilenceOverview {
-    many_silent: bool,
+struct ReachabilityOverview {
+    many_unreachable: bool,
     /// Zones of which next to nothing is heard: likely cut off, and back some time.
-    silent_zones: HashSet<Arc<str>>,
-    /// New machines take much longer than usual: silent ones may be back sooner.
+    unreachable_zones: HashSet<Arc<str>>,
+    /// New machines attempt_number much longer than usual: silent ones may be back sooner.
     late_boots: bool,
     /// The same for machines that answer, but whose own heartbeats don't come.
     many_without_own_heartbeats: bool,
-    few_unaccounted: bool,
+    few_unreconciled: bool,
 }
 
 /// The zones of which next to nothing is heard.
-fn silent_zones<'a>(
+fn unreachable_zones<'a>(
     expected: impl Iterator<Item = &'a Machine>,
     silent: impl Iterator<Item = &'a Machine>,
 ) -> HashSet<Arc<str>> {
@@ -62,7 +62,7 @@
         *all_in.entry(machine.zone.clone()).or_default() += 1;
     }
     let is_silent = |(_, silent): &(&Arc<str>, &usize), all: usize| {
-        all >= LEAST_ZONE && (**silent as f64) >= all as f64 * ZONE_SILENT_SHARE
+        all >= LEAST_ZONE && (**silent as f64) >= all as f64 * ZONE_UNREACHABLE_SHARE
     };
     let zones = silent_in.iter();
     let zones = zones.filter(|entry| is_silent(entry, all_in.get(entry.0).copied().unwrap_or(0)));
@@ -71,8 +71,8 @@
 
 impl Shard {
     /// Gives back machines that are silent, so that their tasks can move.
-    pub(super) fn abandon_lost(&mut self, now: Instant) {
-        let overview = self.silence_overview(now);
+    pub(super) fn delete_lost_machines(&mut self, now: Instant) {
+        let overview = self.reachability_overview(now);
         let expected = self.machines.values().filter(|m| m.expects_heartbeats());
         let lost: Vec<(MachineId, &str)> = expected
             .filter_map(|m| Some((m.id.clone(), self.why_lost(m, &overview, now)?)))
@@ -83,40 +83,43 @@
     }
 
     /// How long a machine has been silent under this leader.
-    fn silence_under_us(&self, machine: &Machine, now: Instant) -> Duration {
-        let heard = machine.heard.unwrap_or(self.acquired);
-        now.saturating_duration_since(heard.max(self.acquired))
+    fn since_last_contact_under_leader(&self, machine: &Machine, now: Instant) -> Duration {
+        let last_contact = machine.last_contact.unwrap_or(self.acquired);
+        now.saturating_duration_since(last_contact.max(self.acquired))
     }
 
     /// Whether a machine answers, but its own heartbeats don't come.
     fn heartbeats_missing(&self, machine: &Machine, now: Instant) -> bool {
-        machine.heard.is_some()
+        machine.last_contact.is_some()
             && machine.since_own_heartbeat(now) >= self.policy.heartbeat_overdue()
     }
 
     /// The zones of which next to nothing is heard.
-    pub(super) fn silent_zones(&self, now: Instant) -> HashSet<Arc<str>> {
+    pub(super) fn unreachable_zones(&self, now: Instant) -> HashSet<Arc<str>> {
         let expected = self.machines.values().filter(|m| m.expects_heartbeats());
-        let is_silent = |m: &&Machine| self.silence_under_us(m, now) >= self.policy.suspect;
-        silent_zones(expected.clone(), expected.filter(is_silent))
+        let is_silent = |m: &&Machine| {
+            self.since_last_contact_under_leader(m, now) >= self.policy.suspect_after
+        };
+        unreachable_zones(expected.clone(), expected.filter(is_silent))
     }
 
     /// How much is silent at once: when it is much, the trouble is more likely ours.
-    fn silence_overview(&self, now: Instant) -> SilenceOverview {
+    fn reachability_overview(&self, now: Instant) -> ReachabilityOverview {
         let expected = self.machines.values().filter(|m| m.expects_heartbeats());
         let total = expected.clone().count();
         let much = |count: usize| count > 1 && count * 3 > total;
         let silent = expected.clone();
-        let silent = silent.filter(|m| self.silence_under_us(m, now) >= self.policy.suspect);
+        let silent = silent
+            .filter(|m| self.since_last_contact_under_leader(m, now) >= self.policy.suspect_after);
         let without_own_heartbeats = expected.filter(|m| self.heartbeats_missing(m, now));
-        SilenceOverview {
-            many_silent: much(silent.count()),
-            silent_zones: self.silent_zones(now),
-            late_boots: self.fleet.boot_times.in_trouble(now),
+        ReachabilityOverview {
+            many_unreachable: much(silent.count()),
+            unreachable_zones: self.unreachable_zones(now),
+            late_boots: self.autoscaler.boot_times.in_trouble(now),
             many_without_own_heartbeats: much(without_own_heartbeats.count()),
             // The last few that nobody can account for hold up all that waits; when
-            // most are accounted for, the trouble is not ours.
-            few_unaccounted: self.unresolved.len() * FEW_LEFT <= total.max(FEW_LEFT * 2),
+            // most are reconciled, the trouble is not ours.
+            few_unreconciled: self.unreconciled.len() * FEW_LEFT <= total.max(FEW_LEFT * 2),
         }
     }
 
@@ -124,30 +127,33 @@
     fn why_lost(
         &self,
         machine: &Machine,
-        overview: &SilenceOverview,
+        overview: &ReachabilityOverview,
         now: Instant,
     ) -> Option<&'static str> {
-        let silence = self.silence_under_us(machine, now);
+        let since_last_contact = self.since_last_contact_under_leader(machine, now);
         let unanswered = machine.unanswered >= PROBES_TO_ABANDON;
-        let in_silent_zone = overview.silent_zones.contains(&machine.zone);
-        let taken = machine.vanished || machine.notice.is_some_and(|at| at <= now);
-        if taken && silence >= self.policy.heartbeat_interval.mul_f64(SOON) {
+        let in_silent_zone = overview.unreachable_zones.contains(&machine.zone);
+        let taken = machine.vanished || machine.preemption_notice.is_some_and(|at| at <= now);
+        if taken && since_last_contact >= self.policy.heartbeat_interval.mul_f64(SOON) {
             return Some("the cloud has taken it");
         }
         if unanswered && !self.left_to_delegates(machine, now) {
-            if overview.few_unaccounted && self.unresolved.contains(&machine.id) {
-                return Some("it alone is not accounted for");
+            if overview.few_unreconciled && self.unreconciled.contains(&machine.id) {
+                return Some("it alone is not reconciled");
             }
             let may_be_back = overview.late_boots && in_silent_zone;
-            if silence >= self.policy.abandon && !overview.many_silent && !may_be_back {
+            if since_last_contact >= self.policy.dead_after
+                && !overview.many_unreachable
+                && !may_be_back
+            {
                 return Some("its worker is silent");
             }
         }
-        if now <= machine.lease_over || self.others_may_answer() {
+        if now <= machine.lease_expires_at || self.others_may_answer() {
             return None;
         }
-        let many_silent = overview.many_silent || in_silent_zone;
-        if silence >= self.patience(machine, many_silent) {
+        let many_unreachable = overview.many_unreachable || in_silent_zone;
+        if since_last_contact >= self.patience(machine, many_unreachable) {
             return Some("its worker's lease is over");
         }
         let without_own_heartbeats = machine.since_own_heartbeat(now);
@@ -166,7 +172,7 @@
         if many {
             lease * 4
         } else if self.answered_in_cut(machine) {
-            lease + self.policy.alone
+            lease + self.policy.advance_delegation
         } else {
             lease
         }
@@ -187,7 +193,7 @@
             why,
             "machine given back"
         );
-        self.record_return(id);
+        self.record_deletion(id);
     }
 
     /// Asks the cloud to delete machines whose return is on record.
@@ -210,9 +216,9 @@
                         zone: machine.zone.to_string(),
                         spot: machine.spot,
                     };
-                    self.fleet.note_freed(&kind);
+                    self.autoscaler.note_freed(&kind);
                 }
-                self.gone.insert(id.clone(), now);
+                self.deleted_machines.insert(id.clone(), now);
             } else if let Some(machine) = self.machines.get_mut(id) {
                 machine.deletion_retry = Some(now + CLOUD_RETRY);
             }
@@ -234,7 +240,7 @@
     }
 
     /// Gives back what is empty and in no plan, and what never came up.
-    pub(super) fn give_back(&mut self, capacities: &[Capacity], now: Instant) {
+    pub(super) fn delete_spare_machines(&mut self, capacities: &[Capacity], now: Instant) {
         let spare: HashSet<&MachineId> = capacities
             .iter()
             .filter(|capacity| !capacity.used)
@@ -244,7 +250,7 @@
         let mut late: Vec<(Arc<str>, Arc<str>)> = Vec::new();
         for machine in self.machines.values().filter(|m| !m.deleting) {
             let age = now.saturating_duration_since(machine.rented);
-            if machine.heard.is_none() && !machine.admitted {
+            if machine.last_contact.is_none() && !machine.admitted {
                 if age > self.boot_patience(machine, now) {
                     late.push((machine.machine_type.clone(), machine.zone.clone()));
                     back.push((machine.id.clone(), "it never came up"));
@@ -258,10 +264,10 @@
             let idle = machine
                 .idle_since
                 .is_some_and(|since| now.saturating_duration_since(since) >= self.policy.idle);
-            if machine.cordoned || machine.draining || machine.notice.is_some() {
+            if machine.cordoned || machine.draining || machine.preemption_notice.is_some() {
                 back.push((machine.id.clone(), "it is empty and gets no more tasks"));
             } else if idle
-                && self.unresolved.is_empty()
+                && self.unreconciled.is_empty()
                 && spare.contains(&machine.id)
                 && age + Duration::from_secs(5) > LEAST_CHARGE
             {
@@ -269,7 +275,7 @@
             }
         }
         for (machine_type, zone) in late {
-            let boots = &mut self.fleet.boot_times;
+            let boots = &mut self.autoscaler.boot_times;
             boots.note_given_up(&machine_type, &zone, now);
         }
         for (id, why) in back {
--- a/src/coordination/shard/snapshots.rs
+++ b/src/coordination/shard/snapshots.rs
@@ -3,15 +3,15 @@
 use std::time::Instant;
 
 use super::writes::Finish;
-use super::{Fact, Job, Phase, Shard};
+use super::{Job, Phase, Shard, WritePurpose};
 use crate::protocol::kv::Mutation;
-use crate::protocol::workers::Ending;
+use crate::protocol::workers::AttemptOutcome;
 use crate::storage::snapshot;
 
 /// About what a placement takes of a snapshot, and what its job takes.
 const PLACEMENT_BYTES: usize = 18;
 const JOB_BYTES: usize = 54;
-/// Share of the staleness bound that writing all placements may take.
+/// Share of the staleness bound that writing all placements may attempt_number.
 const PLACEMENT_TIME_SHARE: f64 = 0.5;
 
 /// Where a job's tasks are, by number.
@@ -26,20 +26,20 @@
 
 impl Shard {
     /// Takes a snapshot if one is due, and queues the chunks that changed.
-    pub(super) fn begin_cycle(&mut self, now: Instant) {
-        let due = match self.writes.last_cycle {
+    pub(super) fn begin_snapshot_round(&mut self, now: Instant) {
+        let due = match self.writes.last_round {
             Some(last) => now.saturating_duration_since(last) >= self.policy.snapshot,
             None => true,
         };
         if !due {
             return;
         }
-        self.writes.last_cycle = Some(now);
+        self.writes.last_round = Some(now);
         let with_placements = self.placements_fit();
         let rows: Vec<_> = self
             .jobs
             .values()
-            .filter(|job| job.over.is_none())
+            .filter(|job| job.final_stage.is_none())
             .map(|job| {
                 let placed = if with_placements {
                     placements(job)
@@ -60,7 +60,7 @@
         for (key, value) in parts {
             if self.writes.written.get(key) != Some(value) {
                 self.writes.chunks.push_back((
-                    Fact::Chunk(key.clone(), Some(value.clone())),
+                    WritePurpose::Chunk(key.clone(), Some(value.clone())),
                     Mutation::put(key.clone(), value.clone()),
                 ));
             }
@@ -68,13 +68,13 @@
         for key in self.writes.written.keys() {
             if !chunks.contains_key(key) {
                 self.writes.chunks.push_back((
-                    Fact::Chunk(key.clone(), None),
+                    WritePurpose::Chunk(key.clone(), None),
                     Mutation::delete(key.clone()),
                 ));
             }
         }
         self.writes.covered = self.unrecorded_finishes();
-        self.writes.cycle = true;
+        self.writes.round_in_progress = true;
     }
 
     /// Whether a snapshot that tells where all tasks are can be written soon enough. What
@@ -96,7 +96,7 @@
         let mut finishes = Vec::new();
         for machine in self.machines.values() {
             for (key, attempt) in &machine.attempts {
-                if attempt.phase == Phase::Ended(Ending::Done) && !attempt.clearable {
+                if attempt.phase == Phase::Ended(AttemptOutcome::Done) && !attempt.clearable {
                     finishes.push((machine.id.clone(), key.clone()));
                 }
             }
@@ -105,8 +105,8 @@
     }
 
     /// The whole snapshot is written: workers may forget what it holds.
-    pub(super) fn end_cycle(&mut self) {
-        self.writes.cycle = false;
+    pub(super) fn end_snapshot_round(&mut self) {
+        self.writes.round_in_progress = false;
         self.writes.dirty_since = self.writes.dirty_next.take();
         for (machine, key) in std::mem::take(&mut self.writes.covered) {
             if let Some(attempt) = self
--- a/src/coordination/shard/summary.rs
+++ b/src/coordination/shard/summary.rs
@@ -19,7 +19,7 @@
             waiting,
             self.machines.len(),
             attempts,
-            self.unresolved.len(),
+            self.unreconciled.len(),
             ordinary,
             spot,
         )
@@ -66,7 +66,7 @@
             let state = match machine {
                 m if m.deleting => "being returned",
                 m if m.draining => "being emptied",
-                m if m.heard.is_none() => "not heard yet",
+                m if m.last_contact.is_none() => "not heard yet",
                 m if m.open(now, &self.policy) => "open",
                 _ => "closed",
             };
@@ -77,7 +77,9 @@
                 machine.zone,
                 if machine.spot { " spot" } else { "" },
                 machine.attempts.len(),
-                machine.heard.map(|_| machine.silence(now)),
+                machine
+                    .last_contact
+                    .map(|_| machine.since_last_contact(now)),
             ));
         }
         text
--- a/src/coordination/shard/tests/failures.rs
+++ b/src/coordination/shard/tests/failures.rs
@@ -4,9 +4,9 @@
 
 use super::script::{Script, TOKEN, listed, stops};
 use super::world::{self, policy, record};
-use crate::coordination::shard::{CommandOutcome, Loaded, Policy};
+use crate::coordination::shard::{CommandOutcome, Policy, RecoveredState};
 use crate::protocol::users::{JobKind, JobSpec, Stage};
-use crate::protocol::workers::{Command, Ending, TaskState, TaskStatus, WorkerHeartbeat};
+use crate::protocol::workers::{AttemptOutcome, Command, TaskState, TaskStatus, WorkerHeartbeat};
 
 const MACHINES: [&str; 6] = ["vm-1", "vm-2", "vm-3", "vm-4", "vm-5", "vm-6"];
 
@@ -43,10 +43,10 @@
     let keys: Vec<_> = listed_still.map(|(key, _)| key.clone()).collect();
     let tasks: Vec<TaskStatus> = keys
         .into_iter()
-        .map(|(task, take)| {
+        .map(|(task, attempt_number)| {
             let state = rule(&task.job, id);
-            let ending = (state == TaskState::Ended).then_some(Ending::Error);
-            listed(&task.to_string(), take, state, ending)
+            let outcome = (state == TaskState::Ended).then_some(AttemptOutcome::Error);
+            listed(&task.to_string(), attempt_number, state, outcome)
         })
         .collect();
     script.heartbeat_of(id, TOKEN, tasks)
@@ -84,14 +84,14 @@
     let keys: Vec<_> = script.machine(id).attempts.keys().cloned().collect();
     let tasks = keys
         .into_iter()
-        .map(|(task, take)| {
-            let done = Some(Ending::Done);
-            listed(&task.to_string(), take, TaskState::Ended, done)
+        .map(|(task, attempt_number)| {
+            let done = Some(AttemptOutcome::Done);
+            listed(&task.to_string(), attempt_number, TaskState::Ended, done)
         })
         .collect();
     let heartbeat = script.heartbeat_of(id, TOKEN, tasks);
     script.shard.heartbeat(&heartbeat, script.now);
-    script.settle();
+    script.reconcile();
 }
 
 /// Found by reading: a machine was given up once any two jobs had failed on it, and a
@@ -218,14 +218,14 @@
 #[test]
 fn a_job_that_fails_everywhere_holds_no_room_for_a_guarantee_and_rents_nothing() {
     let policy = Policy {
-        alone: Duration::ZERO,
+        advance_delegation: Duration::ZERO,
         ..policy()
     };
-    let mut script = Script::under(policy, Loaded::default());
+    let mut script = Script::under(policy, RecoveredState::default());
     for id in MACHINES.iter().chain(&MACHINES) {
         script.heartbeat(id, Vec::new());
     }
-    // Its team is guaranteed eight cores; what waits would take all machines and more.
+    // Its team is guaranteed eight cores; what waits would attempt_number all machines and more.
     script.submit("run-9", spec("red", 4.0, 40));
     for _ in 0..60 {
         second(&mut script, &MACHINES, &fails_everywhere);
@@ -253,8 +253,8 @@
     let tried = (0..80).any(|_| second(&mut script, &MACHINES, &fetches) > 0);
     assert!(tried);
     assert!(!script.shard.jobs()["run-9"].live().is_empty());
-    script.shard.job_gone("run-9", Some(Stage::Cancelled));
-    script.settle();
+    script.shard.job_finished("run-9", Some(Stage::Cancelled));
+    script.reconcile();
     let told: Vec<Command> = script
         .batches()
         .into_iter()
@@ -271,9 +271,9 @@
 /// and the job is still there.
 #[test]
 fn a_job_that_fails_everywhere_outlives_a_change_of_leader() {
-    let mut script = Script::new(Loaded {
+    let mut script = Script::new(RecoveredState {
         jobs: vec![("run-9".into(), 5, record(spec("blue", 1.0, 24)))],
-        ..Loaded::default()
+        ..RecoveredState::default()
     });
     for id in MACHINES.iter().chain(&MACHINES) {
         script.heartbeat(id, Vec::new());
--- a/src/coordination/shard/tests/gang_troubles.rs
+++ b/src/coordination/shard/tests/gang_troubles.rs
@@ -5,10 +5,10 @@
 use super::gangs::{all_are, as_it_is, gang, launched, lines, machines, north, stopped};
 use super::script::{Script, listed, roster};
 use super::world::{machine_types, record};
-use crate::coordination::shard::{Action, CommandOutcome, Loaded, RentalOutcome};
+use crate::coordination::shard::{Action, CommandOutcome, RecoveredState, RentalOutcome};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::{JobSpec, Stage};
-use crate::protocol::workers::{Command, Ending, TaskState};
+use crate::protocol::workers::{AttemptOutcome, Command, TaskState};
 
 fn second(n: u64) -> Duration {
     Duration::from_secs(n)
@@ -31,7 +31,7 @@
 /// of the last one is left, not even on a machine that can't be asked.
 #[test]
 fn a_gang_as_large_as_its_teams_limit_begins_again_only_when_all_of_it_is_gone() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     north(&mut script, &["vm-1", "vm-2", "vm-3", "vm-4"]);
     let whole = JobSpec {
         team: "red".into(),
@@ -48,7 +48,7 @@
         &mut script,
         &hosts[0],
         TaskState::Ended,
-        Some(Ending::Error),
+        Some(AttemptOutcome::Error),
     );
     for _ in 0..3 {
         script.pass(second(1));
@@ -58,19 +58,23 @@
         &mut script,
         &hosts[1],
         TaskState::Ended,
-        Some(Ending::Peers),
+        Some(AttemptOutcome::GangPeerLost),
     );
     script.pass(second(1));
     let again = launched(&mut script);
     assert_eq!(again.len(), 2);
-    assert!(again.iter().all(|(.., take)| *take != first[0].2));
+    assert!(
+        again
+            .iter()
+            .all(|(.., attempt_number)| *attempt_number != first[0].2)
+    );
 }
 
 /// A gang spread over zones isn't squeezed into one while the other is cut off, and
 /// one bound to the cut zone is started nowhere else.
 #[test]
 fn a_cut_zone_neither_squeezes_a_spread_gang_nor_moves_a_bound_one() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     let hosts = [("vm-1", "north"), ("vm-2", "north"), ("vm-3", "south")];
     machines(&mut script, &hosts);
     let bound = JobSpec {
@@ -100,8 +104,13 @@
     assert_eq!(live, 1, "it may run behind the cut");
     // Back again: there is room for half of it in each zone.
     script.shard.set_cut_off([].into());
-    script.shard.job_gone("run-1", Some(Stage::Cancelled));
-    all_are(&mut script, "vm-3", TaskState::Ended, Some(Ending::Stopped));
+    script.shard.job_finished("run-1", Some(Stage::Cancelled));
+    all_are(
+        &mut script,
+        "vm-3",
+        TaskState::Ended,
+        Some(AttemptOutcome::Stopped),
+    );
     script.pass(second(1));
     let mut started: Vec<String> = launched(&mut script).into_iter().map(|l| l.0).collect();
     started.sort();
@@ -113,20 +122,25 @@
 /// revives that attempt nor stops the present one.
 #[test]
 fn a_late_heartbeat_of_an_earlier_attempt_changes_nothing() {
-    for (state, ending) in [
+    for (state, outcome) in [
         (TaskState::Waiting, None),
-        (TaskState::Ended, Some(Ending::Peers)),
-        (TaskState::Ended, Some(Ending::Alone)),
+        (TaskState::Ended, Some(AttemptOutcome::GangPeerLost)),
+        (TaskState::Ended, Some(AttemptOutcome::GangIncomplete)),
     ] {
-        let mut script = Script::new(Loaded::default());
+        let mut script = Script::new(RecoveredState::default());
         let (host, other) = running_pair(&mut script);
-        let old = lines(&mut script, &host, state, ending);
+        let old = lines(&mut script, &host, state, outcome);
         // The first attempt ends, and the second runs.
         for id in [&host, &other] {
-            all_are(&mut script, id, TaskState::Ended, Some(Ending::Peers));
+            all_are(
+                &mut script,
+                id,
+                TaskState::Ended,
+                Some(AttemptOutcome::GangPeerLost),
+            );
         }
         script.pass(second(4));
-        let take = launched(&mut script)[0].2;
+        let attempt_number = launched(&mut script)[0].2;
         for id in ["vm-1", "vm-2"] {
             all_are(&mut script, id, TaskState::Running, None);
         }
@@ -136,7 +150,10 @@
         assert_eq!(launched(&mut script), []);
         assert_eq!(stopped(&mut script), []);
         let job = &script.shard.jobs()["run-1"];
-        assert_eq!((job.gang.take, job.live().len()), (take, 2));
+        assert_eq!(
+            (job.gang.attempt_number, job.live().len()),
+            (attempt_number, 2)
+        );
     }
 }
 
@@ -144,15 +161,25 @@
 /// first holds, and no task of it is started again.
 #[test]
 fn a_gang_cancelled_as_it_completes_is_not_started_again() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     let (told, other) = running_pair(&mut script);
-    all_are(&mut script, &told, TaskState::Ended, Some(Ending::Done));
+    all_are(
+        &mut script,
+        &told,
+        TaskState::Ended,
+        Some(AttemptOutcome::Done),
+    );
     let finishes = |action: &Action| matches!(action, Action::Finish { .. });
     assert!(script.actions.iter().any(finishes));
-    script.shard.job_gone("run-1", Some(Stage::Cancelled));
+    script.shard.job_finished("run-1", Some(Stage::Cancelled));
     script.pass(second(1));
     assert_eq!(launched(&mut script), []);
-    all_are(&mut script, &other, TaskState::Ended, Some(Ending::Done));
+    all_are(
+        &mut script,
+        &other,
+        TaskState::Ended,
+        Some(AttemptOutcome::Done),
+    );
     script.pass(second(1));
     assert_eq!(launched(&mut script), []);
     assert!(
@@ -167,13 +194,18 @@
 #[test]
 fn a_stop_that_reached_half_of_a_gang_is_completed_by_the_next_leader() {
     for reached in [false, true] {
-        let mut script = Script::new(Loaded {
+        let mut script = Script::new(RecoveredState {
             jobs: vec![("run-1".into(), 5, record(gang(2, 8.0)))],
             roster: vec![roster("vm-1"), roster("vm-2")],
-            ..Loaded::default()
+            ..RecoveredState::default()
         });
         north(&mut script, &["vm-3", "vm-4"]);
-        let saved = listed("run-1/0", 7, TaskState::Ended, Some(Ending::Stopped));
+        let saved = listed(
+            "run-1/0",
+            7,
+            TaskState::Ended,
+            Some(AttemptOutcome::Stopped),
+        );
         script.heartbeat("vm-1", vec![saved]);
         for _ in 0..3 {
             script.pass(second(1));
@@ -186,10 +218,15 @@
             let stops = |c: &Command| matches!(c, Command::Stop { .. });
             assert!(answer.iter().any(stops), "it can't go on alone");
             assert!(script.launches().is_empty());
-            let ended = listed("run-1/1", 7, TaskState::Ended, Some(Ending::Peers));
+            let ended = listed(
+                "run-1/1",
+                7,
+                TaskState::Ended,
+                Some(AttemptOutcome::GangPeerLost),
+            );
             script.heartbeat("vm-2", vec![ended]);
         } else {
-            let over = script.machine("vm-2").lease_over;
+            let over = script.machine("vm-2").lease_expires_at;
             while script.now <= over {
                 for id in ["vm-1", "vm-3", "vm-4"] {
                     script.heartbeat(id, Vec::new());
@@ -209,10 +246,15 @@
 /// does go on, it is stopped.
 #[test]
 fn a_gang_whose_machine_hangs_and_goes_on_is_not_begun_beside_it() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     let (hangs, other) = running_pair(&mut script);
     north(&mut script, &["vm-3", "vm-4"]);
-    all_are(&mut script, &other, TaskState::Ended, Some(Ending::Peers));
+    all_are(
+        &mut script,
+        &other,
+        TaskState::Ended,
+        Some(AttemptOutcome::GangPeerLost),
+    );
     for _ in 0..5 {
         script.pass(second(1));
         for batch in script.batches() {
@@ -228,11 +270,16 @@
     // It goes on, and says that its task runs.
     let heartbeat = lines(&mut script, &hangs, TaskState::Running, None);
     script.shard.heartbeat(&heartbeat, script.now);
-    script.settle();
+    script.reconcile();
     let stop = script.machine(&hangs).attempts.values().next();
     assert_eq!(stop.and_then(|attempt| attempt.stop), Some(Duration::ZERO));
     assert_eq!(script.shard.jobs()["run-1"].live().len(), 1);
-    all_are(&mut script, &hangs, TaskState::Ended, Some(Ending::Peers));
+    all_are(
+        &mut script,
+        &hangs,
+        TaskState::Ended,
+        Some(AttemptOutcome::GangPeerLost),
+    );
     script.pass(second(2));
     assert_eq!(
         script.shard.jobs()["run-1"].live().len(),
@@ -245,7 +292,7 @@
 /// goes to one of them, and the other doesn't hold its places for ever.
 #[test]
 fn of_two_gangs_that_wait_for_the_same_room_one_starts_and_one_lets_go() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     north(&mut script, &["vm-1", "vm-2", "vm-3", "vm-4"]);
     script.submit("run-1", gang(2, 8.0));
     script.submit("run-2", gang(2, 8.0));
@@ -268,7 +315,7 @@
     script.pass(second(1));
     north(&mut script, &["vm-5"]);
     assert_eq!(launched(&mut script).len(), 1);
-    // Its tasks wait no longer than a replacement could take.
+    // Its tasks wait no longer than a replacement could attempt_number.
     let stays: Vec<&String> = hosts
         .iter()
         .filter(|id| !dead.iter().any(|d| **d == ***id))
--- a/src/coordination/shard/tests/gangs.rs
+++ b/src/coordination/shard/tests/gangs.rs
@@ -5,10 +5,10 @@
 
 use super::script::{Script, TOKEN, listed, obey, roster};
 use super::world::{GANG_WAIT, record, spec};
-use crate::coordination::shard::{Action, Attempt, CommandOutcome, Loaded, Phase};
+use crate::coordination::shard::{Action, Attempt, CommandOutcome, Phase, RecoveredState};
 use crate::protocol::TaskId;
 use crate::protocol::users::{JobKind, JobSpec, Priority, Stage};
-use crate::protocol::workers::{Command, Ending, TaskState, TaskStatus, WorkerHeartbeat};
+use crate::protocol::workers::{AttemptOutcome, Command, TaskState, TaskStatus, WorkerHeartbeat};
 
 fn second(n: u64) -> Duration {
     Duration::from_secs(n)
@@ -30,8 +30,8 @@
         heartbeat.zone = (*zone).into();
         script.shard.heartbeat(&heartbeat, script.now);
         // Once for its admission, and once for what that allows.
-        script.settle();
-        script.settle();
+        script.reconcile();
+        script.reconcile();
     }
 }
 
@@ -71,14 +71,14 @@
     script: &mut Script,
     id: &str,
     state: TaskState,
-    ending: Option<Ending>,
+    outcome: Option<AttemptOutcome>,
 ) -> WorkerHeartbeat {
     let keys: Vec<(TaskId, u64)> = script.machine(id).attempts.keys().cloned().collect();
-    let line = |(task, take): &(TaskId, u64)| TaskStatus {
+    let line = |(task, attempt_number): &(TaskId, u64)| TaskStatus {
         task: task.clone(),
-        attempt: *take,
+        attempt: *attempt_number,
         state,
-        ending,
+        outcome,
     };
     let zone = script.machine(id).zone.to_string();
     let mut heartbeat = script.heartbeat_of(id, TOKEN, keys.iter().map(line).collect());
@@ -87,23 +87,28 @@
 }
 
 /// All that is on a machine's books is reported in one state.
-pub(super) fn all_are(script: &mut Script, id: &str, state: TaskState, ending: Option<Ending>) {
-    let heartbeat = lines(script, id, state, ending);
+pub(super) fn all_are(
+    script: &mut Script,
+    id: &str,
+    state: TaskState,
+    outcome: Option<AttemptOutcome>,
+) {
+    let heartbeat = lines(script, id, state, outcome);
     script.shard.heartbeat(&heartbeat, script.now);
-    script.settle();
+    script.reconcile();
 }
 
 /// A heartbeat of a machine that shows what its books say.
 pub(super) fn as_it_is(script: &mut Script, id: &str) -> WorkerHeartbeat {
-    let line = |((task, take), attempt): (&(TaskId, u64), &Attempt)| {
-        let (state, ending) = match attempt.phase {
+    let line = |((task, attempt_number), attempt): (&(TaskId, u64), &Attempt)| {
+        let (state, outcome) = match attempt.phase {
             Phase::Launching | Phase::Fetching => (TaskState::Fetching, None),
             Phase::Waiting => (TaskState::Waiting, None),
             Phase::Running => (TaskState::Running, None),
             Phase::Saving => (TaskState::Saving, None),
-            Phase::Ended(ending) => (TaskState::Ended, Some(ending)),
+            Phase::Ended(outcome) => (TaskState::Ended, Some(outcome)),
         };
-        listed(&task.to_string(), *take, state, ending)
+        listed(&task.to_string(), *attempt_number, state, outcome)
     };
     let machine = script.machine(id);
     let tasks = machine.attempts.iter().map(line).collect();
@@ -132,20 +137,23 @@
 
 #[test]
 fn a_gang_is_launched_whole_under_one_number_or_not_at_all() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     north(&mut script, &["vm-1"]);
     script.submit("run-1", gang(4, 3.0));
     assert_eq!(launched(&mut script), [], "two of four have room");
     north(&mut script, &["vm-2"]);
     let launches = launched(&mut script);
     let tasks: BTreeSet<u32> = launches.iter().map(|(_, task, _)| *task).collect();
-    let takes: BTreeSet<u64> = launches.iter().map(|(.., take)| *take).collect();
+    let takes: BTreeSet<u64> = launches
+        .iter()
+        .map(|(.., attempt_number)| *attempt_number)
+        .collect();
     assert_eq!((tasks.len(), takes.len()), (4, 1));
 }
 
 #[test]
 fn a_gang_counts_whole_for_its_teams_limit() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     north(&mut script, &["vm-1", "vm-2", "vm-3"]);
     let limited = |tasks| JobSpec {
         team: "red".into(),
@@ -156,12 +164,17 @@
     assert_eq!(launched(&mut script).len(), 3);
     script.submit("run-2", limited(2));
     assert_eq!(launched(&mut script), []);
-    script.shard.job_gone("run-1", Some(Stage::Cancelled));
-    script.settle();
+    script.shard.job_finished("run-1", Some(Stage::Cancelled));
+    script.reconcile();
     assert_eq!(stopped(&mut script).len(), 3);
     for id in ["vm-1", "vm-2", "vm-3"] {
         if !script.machine(id).attempts.is_empty() {
-            all_are(&mut script, id, TaskState::Ended, Some(Ending::Stopped));
+            all_are(
+                &mut script,
+                id,
+                TaskState::Ended,
+                Some(AttemptOutcome::Stopped),
+            );
         }
     }
     assert_eq!(launched(&mut script).len(), 2);
@@ -169,7 +182,7 @@
 
 #[test]
 fn a_gang_bound_to_one_zone_is_placed_where_all_of_it_fits() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     machines(
         &mut script,
         &[("vm-1", "north"), ("vm-2", "south"), ("vm-3", "south")],
@@ -186,10 +199,10 @@
 }
 
 /// Two gangs that each fit once: the one that comes first gathers room, and the
-/// small work behind it doesn't take each place as it falls free.
+/// small work behind it doesn't attempt_number each place as it falls free.
 #[test]
 fn room_is_gathered_for_a_gang_and_small_work_does_not_starve_it() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     north(&mut script, &["vm-1", "vm-2"]);
     script.submit("run-1", spec("blue", 4.0, 4));
     obey(&mut script, "vm-1");
@@ -200,7 +213,12 @@
     script.pass(second(4));
     // One machine falls free, and then the other.
     for (id, expected) in [("vm-1", 0), ("vm-2", 2)] {
-        all_are(&mut script, id, TaskState::Ended, Some(Ending::Done));
+        all_are(
+            &mut script,
+            id,
+            TaskState::Ended,
+            Some(AttemptOutcome::Done),
+        );
         let launches = launched(&mut script);
         assert_eq!(launches.len(), expected, "{id}: {launches:?}");
     }
@@ -213,7 +231,7 @@
 #[test]
 fn room_for_a_gang_is_made_whole_or_not_at_all() {
     for (machines, made) in [(1, 0), (2, 2)] {
-        let mut script = Script::new(Loaded::default());
+        let mut script = Script::new(RecoveredState::default());
         north(&mut script, &["vm-1", "vm-2"][..machines]);
         let lesser = JobSpec {
             priority: Priority::BestEffort,
@@ -231,7 +249,7 @@
 #[test]
 fn a_notice_for_one_machine_stops_the_whole_gang_in_time_to_save() {
     for (left, grace) in [(12.0, 12.0), (3.0, 0.0)] {
-        let mut script = Script::new(Loaded::default());
+        let mut script = Script::new(RecoveredState::default());
         north(&mut script, &["vm-1", "vm-2"]);
         script.submit("run-1", gang(2, 8.0));
         assert_eq!(launched(&mut script).len(), 2);
@@ -239,17 +257,17 @@
             all_are(&mut script, id, TaskState::Running, None);
         }
         assert_eq!(stopped(&mut script), []);
-        let mut notice = lines(&mut script, "vm-1", TaskState::Running, None);
-        notice.notice_s = Some(left);
-        script.shard.heartbeat(&notice, script.now);
-        script.settle();
+        let mut preemption_notice = lines(&mut script, "vm-1", TaskState::Running, None);
+        preemption_notice.preemption_notice_s = Some(left);
+        script.shard.heartbeat(&preemption_notice, script.now);
+        script.reconcile();
         let both = [("vm-1".to_owned(), grace), ("vm-2".to_owned(), grace)];
         assert_eq!(stopped(&mut script), both);
         // While they save, the notice grows shorter: nothing cuts them off.
         let mut later = lines(&mut script, "vm-1", TaskState::Saving, None);
-        later.notice_s = Some(1.0);
+        later.preemption_notice_s = Some(1.0);
         script.shard.heartbeat(&later, script.now);
-        script.settle();
+        script.reconcile();
         assert_eq!(stopped(&mut script), []);
     }
 }
@@ -258,17 +276,22 @@
 /// others keep waiting.
 #[test]
 fn a_task_lost_before_the_start_is_replaced_under_the_same_number() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     north(&mut script, &["vm-1", "vm-2", "vm-3"]);
     script.submit("run-1", gang(2, 8.0));
     let launches = launched(&mut script);
-    let take = launches[0].2;
+    let attempt_number = launches[0].2;
     let (stays, lost) = (launches[0].0.clone(), launches[1].0.clone());
     all_are(&mut script, &stays, TaskState::Waiting, None);
-    all_are(&mut script, &lost, TaskState::Ended, Some(Ending::Error));
+    all_are(
+        &mut script,
+        &lost,
+        TaskState::Ended,
+        Some(AttemptOutcome::Error),
+    );
     let again = launched(&mut script);
     assert_eq!(again.len(), 1);
-    assert_eq!((again[0].1, again[0].2), (launches[1].1, take));
+    assert_eq!((again[0].1, again[0].2), (launches[1].1, attempt_number));
     assert!(
         again[0].0 != stays && again[0].0 != lost,
         "it would not start there"
@@ -279,7 +302,7 @@
         &mut script,
         &again[0].0,
         TaskState::Ended,
-        Some(Ending::Error),
+        Some(AttemptOutcome::Error),
     );
     script.batches();
     script.now += GANG_WAIT / 2;
@@ -287,19 +310,24 @@
     assert_eq!(stopped(&mut script), [(stays.clone(), 0.0)]);
     // The next one has another number, and begins when nothing of this one is left.
     assert_eq!(launched(&mut script), []);
-    all_are(&mut script, &stays, TaskState::Ended, Some(Ending::Stopped));
+    all_are(
+        &mut script,
+        &stays,
+        TaskState::Ended,
+        Some(AttemptOutcome::Stopped),
+    );
     north(&mut script, &["vm-4", "vm-5"]);
     script.pass(second(3));
     let next = launched(&mut script);
     assert_eq!(next.len(), 2);
-    assert!(next.iter().all(|(.., new)| *new != take));
+    assert!(next.iter().all(|(.., new)| *new != attempt_number));
 }
 
 /// A task lost from a running gang ends the attempt: the others are stopped, and the
 /// next attempt begins only when each of them is proven gone.
 #[test]
 fn a_task_lost_from_a_running_gang_ends_the_attempt_whole() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     north(&mut script, &["vm-1", "vm-2", "vm-3", "vm-4"]);
     script.submit("run-1", gang(2, 8.0));
     let launches = launched(&mut script);
@@ -311,23 +339,31 @@
     let mut anew = script.heartbeat_of(&lost, TOKEN, Vec::new());
     anew.agent_epoch = 2;
     script.shard.heartbeat(&anew, script.now);
-    script.settle();
+    script.reconcile();
     assert_eq!(launched(&mut script), [], "the other may be running yet");
     let stop = script.machine(&left).attempts.values().next();
     assert_eq!(stop.and_then(|a| a.stop), Some(Duration::ZERO));
     script.pass(second(1));
     stopped(&mut script);
-    all_are(&mut script, &left, TaskState::Ended, Some(Ending::Peers));
+    all_are(
+        &mut script,
+        &left,
+        TaskState::Ended,
+        Some(AttemptOutcome::GangPeerLost),
+    );
     let next = launched(&mut script);
     assert_eq!(next.len(), 2);
-    assert!(next.iter().all(|(.., take)| *take != launches[0].2));
+    assert!(
+        next.iter()
+            .all(|(.., attempt_number)| *attempt_number != launches[0].2)
+    );
 }
 
 /// One done task means that all are, also one whose machine was lost at that moment:
 /// the gang is neither run again nor left unfinished.
 #[test]
 fn with_one_done_task_the_whole_gang_is_done() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     north(&mut script, &["vm-1", "vm-2"]);
     script.submit("run-1", gang(2, 8.0));
     let launches = launched(&mut script);
@@ -335,7 +371,12 @@
     for id in [&told, &lost] {
         all_are(&mut script, id, TaskState::Running, None);
     }
-    all_are(&mut script, &told, TaskState::Ended, Some(Ending::Done));
+    all_are(
+        &mut script,
+        &told,
+        TaskState::Ended,
+        Some(AttemptOutcome::Done),
+    );
     assert!(script.shard.jobs()["run-1"].all_done());
     let mut anew = script.heartbeat_of(&lost, TOKEN, Vec::new());
     anew.agent_epoch = 2;
@@ -349,12 +390,17 @@
 /// A gang that never came together isn't tried the same way at once.
 #[test]
 fn a_gang_that_waited_in_vain_pauses_before_it_is_tried_again() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     north(&mut script, &["vm-1", "vm-2"]);
     script.submit("run-1", gang(2, 8.0));
     let launches = launched(&mut script);
     for (id, ..) in &launches {
-        all_are(&mut script, id, TaskState::Ended, Some(Ending::Alone));
+        all_are(
+            &mut script,
+            id,
+            TaskState::Ended,
+            Some(AttemptOutcome::GangIncomplete),
+        );
     }
     assert_eq!(launched(&mut script), []);
     for id in ["vm-1", "vm-2"] {
@@ -370,10 +416,10 @@
 fn a_new_leader_rebuilds_a_gang_and_starts_nothing_beside_it() {
     let old = |state| vec![listed("run-1/0", 7, state, None)];
     for started in [false, true] {
-        let mut script = Script::new(Loaded {
+        let mut script = Script::new(RecoveredState {
             jobs: vec![("run-1".into(), 5, record(gang(2, 8.0)))],
             roster: vec![roster("vm-1"), roster("vm-2")],
-            ..Loaded::default()
+            ..RecoveredState::default()
         });
         north(&mut script, &["vm-3"]);
         let state = if started {
@@ -397,19 +443,23 @@
             assert_eq!((stop, again), (Some(Duration::ZERO), 1), "it ends whole");
         } else {
             assert_eq!((stop, again), (None, 2), "the missing task is started");
-            let take = |id: &str| {
+            let attempt_number = |id: &str| {
                 let attempts = &script.machine(id).attempts;
                 attempts
                     .iter()
-                    .map(|((_, take), a)| (*take, a.phase))
+                    .map(|((_, attempt_number), a)| (*attempt_number, a.phase))
                     .next()
             };
-            let other = if take("vm-2").is_some() {
+            let other = if attempt_number("vm-2").is_some() {
                 "vm-2"
             } else {
                 "vm-3"
             };
-            assert_eq!(take(other), Some((7, Phase::Launching)), "by its number");
+            assert_eq!(
+                attempt_number(other),
+                Some((7, Phase::Launching)),
+                "by its number"
+            );
         }
     }
 }
@@ -418,14 +468,14 @@
 /// the next attempt back, also on a machine that nobody can ask.
 #[test]
 fn an_attempt_begins_only_when_nothing_of_an_earlier_one_can_exist() {
-    let mut script = Script::new(Loaded {
+    let mut script = Script::new(RecoveredState {
         jobs: vec![("run-1".into(), 5, record(gang(2, 8.0)))],
         roster: vec![roster("vm-1")],
-        ..Loaded::default()
+        ..RecoveredState::default()
     });
     north(&mut script, &["vm-2", "vm-3"]);
-    let lease_over = script.machine("vm-1").lease_over;
-    while script.now < lease_over {
+    let lease_expires_at = script.machine("vm-1").lease_expires_at;
+    while script.now < lease_expires_at {
         for batch in script.batches() {
             let outcome = match &*batch.0 {
                 "vm-1" => CommandOutcome::NoAnswer,
@@ -447,7 +497,7 @@
 /// replacement under the same number goes elsewhere, however well it would fit there.
 #[test]
 fn a_refused_task_is_replaced_on_a_machine_that_does_not_know_its_attempt() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     north(&mut script, &["vm-1", "vm-2"]);
     script.submit("run-1", gang(2, 8.0));
     let launches = launched(&mut script);
@@ -457,7 +507,7 @@
         &mut script,
         &refused,
         TaskState::Ended,
-        Some(Ending::NoRoom),
+        Some(AttemptOutcome::NoRoom),
     );
     // Long enough for another try, and the machine has room again.
     script.pass(second(1));
@@ -467,19 +517,19 @@
     assert_eq!(again, [("vm-3".to_owned(), launches[1].1, launches[1].2)]);
 }
 
-/// After a take-over one task of a gang is seen, and seen to end; the other may be on a
+/// After a attempt_number-over one task of a gang is seen, and seen to end; the other may be on a
 /// machine that nobody has heard from. No attempt begins beside it.
 #[test]
 fn a_gang_of_which_one_task_may_exist_somewhere_is_not_begun_again() {
-    let mut script = Script::new(Loaded {
+    let mut script = Script::new(RecoveredState {
         jobs: vec![("run-1".into(), 5, record(gang(2, 8.0)))],
         roster: vec![roster("vm-1"), roster("vm-2")],
-        ..Loaded::default()
+        ..RecoveredState::default()
     });
     north(&mut script, &["vm-3", "vm-4"]);
-    let line = |state, ending| vec![listed("run-1/0", 7, state, ending)];
+    let line = |state, outcome| vec![listed("run-1/0", 7, state, outcome)];
     script.heartbeat("vm-1", line(TaskState::Waiting, None));
-    let ended = Some(Ending::Error);
+    let ended = Some(AttemptOutcome::Error);
     script.heartbeat("vm-1", line(TaskState::Ended, ended));
     for _ in 0..3 {
         script.pass(second(1));
--- a/src/coordination/shard/tests/idle.rs
+++ b/src/coordination/shard/tests/idle.rs
@@ -4,7 +4,7 @@
 
 use super::script::{Script, obey};
 use super::world::{policy, spec};
-use crate::coordination::shard::{Action, Loaded, Policy};
+use crate::coordination::shard::{Action, Policy, RecoveredState};
 use crate::protocol::users::{JobSpec, Stage};
 
 fn deletions(script: &mut Script) -> usize {
@@ -26,10 +26,10 @@
 /// A team that is guaranteed 8 cores, and a machine that ran a job of it.
 fn after_a_job(job: JobSpec) -> Script {
     let policy = Policy {
-        alone: Duration::ZERO,
+        advance_delegation: Duration::ZERO,
         ..policy()
     };
-    let mut script = Script::under(policy, Loaded::default());
+    let mut script = Script::under(policy, RecoveredState::default());
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", job);
     obey(&mut script, "vm-1");
@@ -39,7 +39,7 @@
         script.shard.heartbeat(&heartbeat, script.now);
     }
     assert_eq!(deletions(&mut script), 0, "it has work");
-    script.shard.job_gone("run-1", Some(Stage::Cancelled));
+    script.shard.job_finished("run-1", Some(Stage::Cancelled));
     script.heartbeat("vm-1", Vec::new());
     script
 }
@@ -77,7 +77,7 @@
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("red", 1.0, 1));
     obey(&mut script, "vm-1");
-    script.shard.job_gone("run-1", Some(Stage::Cancelled));
+    script.shard.job_finished("run-1", Some(Stage::Cancelled));
     idle_for(&mut script, 100);
     assert_eq!(
         deletions(&mut script),
--- a/src/coordination/shard/tests/late_machines.rs
+++ b/src/coordination/shard/tests/late_machines.rs
@@ -60,7 +60,7 @@
         self.script
             .shard
             .rental_answered(&rental.request, rented, self.script.now);
-        self.script.settle();
+        self.script.reconcile();
     }
 
     /// A machine comes up; its worker heartbeats.
@@ -75,7 +75,7 @@
         heartbeat.zone = zone;
         heartbeat.spot = spot;
         self.script.shard.heartbeat(&heartbeat, self.script.now);
-        self.script.settle();
+        self.script.reconcile();
     }
 }
 
@@ -131,7 +131,7 @@
     }
     rented.pass(2 * USUAL_S);
     assert_eq!(rented.machines.len(), 11, "one in its place");
-    assert!(rented.script.machine(&names[0]).heard.is_none());
+    assert!(rented.script.machine(&names[0]).last_contact.is_none());
     // Heartbeats of the others go on, so that only the one is silent.
     for _ in 0..5 * USUAL_S {
         for name in &names[1..] {
@@ -181,7 +181,7 @@
 }
 
 /// A zone is cut off just as machines boot there: these may be up, and say nothing of how
-/// long others take.
+/// long others attempt_number.
 #[test]
 fn machines_that_are_awaited_in_a_silent_zone_are_no_trouble_with_boots() {
     let mut rented = Rented::for_work();
@@ -200,9 +200,10 @@
     for _ in 0..65 {
         rented.pass(1);
         let machines = rented.script.shard.machines().values();
-        let heard = machines.filter(|machine| machine.zone != zone);
-        let heard: Vec<String> = heard.map(|machine| machine.id.to_string()).collect();
-        for name in heard {
+        let last_contact = machines.filter(|machine| machine.zone != zone);
+        let last_contact: Vec<String> =
+            last_contact.map(|machine| machine.id.to_string()).collect();
+        for name in last_contact {
             let mut heartbeat = rented.script.running(&name);
             heartbeat.zone = rented.script.machine(&name).zone.to_string();
             rented.script.shard.heartbeat(&heartbeat, rented.script.now);
@@ -211,8 +212,8 @@
     let now = rented.script.now;
     let shard = &rented.script.shard;
     let awaited = shard.machines().values();
-    let awaited = awaited.filter(|m| m.zone == zone && m.heard.is_none());
+    let awaited = awaited.filter(|m| m.zone == zone && m.last_contact.is_none());
     assert!(awaited.count() >= 3);
-    assert!(shard.silent_zones(now).contains(&zone));
-    assert_eq!(shard.fleet.boot_times.slowness("m8", &zone, now), 1.0);
+    assert!(shard.unreachable_zones(now).contains(&zone));
+    assert_eq!(shard.autoscaler.boot_times.slowness("m8", &zone, now), 1.0);
 }
--- a/src/coordination/shard/tests/limits.rs
+++ b/src/coordination/shard/tests/limits.rs
@@ -7,9 +7,9 @@
 
 use super::script::{Script, TOKEN, listed, obey, roster};
 use super::world::{policy, record, spec};
-use crate::coordination::shard::{Action, Loaded, LoadedMachine, Policy, ShardWrite};
+use crate::coordination::shard::{Action, Policy, RecoveredMachine, RecoveredState, ShardWrite};
 use crate::protocol::kv::Mutation;
-use crate::protocol::workers::{Ending, TaskState};
+use crate::protocol::workers::{AttemptOutcome, TaskState};
 
 /// The limits before, and after.
 const BEFORE: usize = 16_384;
@@ -56,7 +56,7 @@
 
 /// Lets the shard write until it has nothing more to write.
 fn write_all(script: &mut Script, store: &mut Store) {
-    script.shard.settle(script.now);
+    script.shard.reconcile(script.now);
     for _ in 0..1_000 {
         let writes: Vec<ShardWrite> = script
             .shard
@@ -88,22 +88,22 @@
     let policy = Policy {
         value_bytes,
         txn_ops,
-        alone: Duration::ZERO,
+        advance_delegation: Duration::ZERO,
         snapshot_writes_per_s: 1e4,
-        fact_writes_per_s: 1e4,
+        record_writes_per_s: 1e4,
         ..policy()
     };
-    let roster: Vec<LoadedMachine> = (0..150).map(|n| roster(&format!("vm-{n:06}"))).collect();
+    let roster: Vec<RecoveredMachine> = (0..150).map(|n| roster(&format!("vm-{n:06}"))).collect();
     let jobs = (0..120).map(|n| {
         let id = format!("run-{n:06}");
         (id, 5, record(spec("blue", 0.1, 40)))
     });
-    let loaded = Loaded {
+    let recovered = RecoveredState {
         jobs: jobs.collect(),
         roster,
-        ..Loaded::default()
+        ..RecoveredState::default()
     };
-    Script::under(policy, loaded)
+    Script::under(policy, recovered)
 }
 
 /// Fills machines with tasks, some of which are done, so that the snapshot is large.
@@ -113,7 +113,7 @@
         let tasks = (0..40)
             .map(|index| {
                 let task = format!("run-{n:06}/{index}");
-                let done = (index % 3 == 0).then_some(Ending::Done);
+                let done = (index % 3 == 0).then_some(AttemptOutcome::Done);
                 let state = done.map_or(TaskState::Running, |_| TaskState::Ended);
                 listed(&task, 7, state, done)
             })
@@ -158,7 +158,7 @@
 fn a_large_snapshot_does_not_starve_the_facts() {
     let mut script = many(AFTER, 4);
     script.shard.policy.snapshot_writes_per_s = 7.5;
-    script.shard.policy.fact_writes_per_s = 4.5;
+    script.shard.policy.record_writes_per_s = 4.5;
     let mut store = Store::lowered();
     busy(&mut script);
     // Every few seconds the whole snapshot differs, and a fact waits every second.
@@ -169,7 +169,7 @@
                 .map(|index| {
                     let task = format!("run-{n:06}/{index}");
                     let ended = index % 3 == 0 || (index % 20) < step / 20;
-                    let done = ended.then_some(Ending::Done);
+                    let done = ended.then_some(AttemptOutcome::Done);
                     let state = done.map_or(TaskState::Running, |_| TaskState::Ended);
                     listed(&task, 7, state, done)
                 })
@@ -196,7 +196,7 @@
     let mut store = Store::lowered();
     busy(&mut script);
     script.submit("run-900000", spec("blue", 1.0, 1));
-    script.settle();
+    script.reconcile();
     obey(&mut script, "vm-000050");
     let gone = "vm-000140".into();
     script
--- a/src/coordination/shard/tests/meetings.rs
+++ b/src/coordination/shard/tests/meetings.rs
@@ -4,10 +4,10 @@
 
 use super::script::{Script, TOKEN, listed, obey, one_old_job, roster, stops};
 use super::world::{record, spec};
-use crate::coordination::shard::{CommandOutcome, HeartbeatOutcome, Loaded};
+use crate::coordination::shard::{CommandOutcome, HeartbeatOutcome, RecoveredState};
 use crate::protocol::cloud::{Listed, ListedState};
 use crate::protocol::users::{JobSpec, Stage};
-use crate::protocol::workers::{Command, Ending, TaskState};
+use crate::protocol::workers::{AttemptOutcome, Command, TaskState};
 
 fn second(n: u64) -> Duration {
     Duration::from_secs(n)
@@ -19,20 +19,20 @@
 #[test]
 fn a_cancelled_job_on_a_machine_that_can_not_be_asked_counts_until_it_is_gone() {
     // The team's limit is 16 cores; its job may hold eight of them on vm-1.
-    let mut script = Script::new(Loaded {
+    let mut script = Script::new(RecoveredState {
         jobs: vec![("run-1".into(), 5, record(spec("red", 8.0, 1)))],
         roster: vec![roster("vm-1")],
-        ..Loaded::default()
+        ..RecoveredState::default()
     });
     for id in ["vm-2", "vm-3"] {
         script.heartbeat(id, Vec::new());
     }
-    script.shard.job_gone("run-1", Some(Stage::Cancelled));
+    script.shard.job_finished("run-1", Some(Stage::Cancelled));
     script.submit("run-2", spec("red", 8.0, 2));
     let launched = script.launches().len();
     assert_eq!(launched, 1, "the other half may be in use on vm-1");
-    let lease = script.shard.policy.lease_surely_over();
-    let lease_over = script.machine("vm-1").lease_over;
+    let lease = script.shard.policy.worker_lease_bound();
+    let lease_expires_at = script.machine("vm-1").lease_expires_at;
     let end = script.now + lease + second(3);
     let mut second_start = None;
     while script.now < end && second_start.is_none() {
@@ -53,7 +53,7 @@
         }
     }
     let at = second_start.expect("the team gets its limit back");
-    assert!(at > lease_over, "its worker's lease was not over");
+    assert!(at > lease_expires_at, "its worker's lease was not over");
 }
 
 /// Workers that can't open connections to any controller, while commands reach
@@ -61,12 +61,12 @@
 /// machine went on getting work, which it lost again and again.
 #[test]
 fn a_machine_whose_heartbeats_do_not_come_gets_no_work_and_goes_back() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     for id in ["vm-1", "vm-2", "vm-3", "vm-4"] {
         script.heartbeat(id, Vec::new());
     }
-    let silence = script.shard.policy.heartbeat_overdue();
-    let lease = script.shard.policy.lease_surely_over();
+    let since_last_contact = script.shard.policy.heartbeat_overdue();
+    let lease = script.shard.policy.worker_lease_bound();
     let answers = |script: &mut Script| {
         for id in ["vm-2", "vm-3", "vm-4"] {
             script.heartbeat(id, Vec::new());
@@ -78,7 +78,7 @@
         script.pass(second(1));
     };
     let start = script.now;
-    while script.now - start <= silence {
+    while script.now - start <= since_last_contact {
         answers(&mut script);
     }
     let policy = script.shard.policy.clone();
@@ -99,7 +99,7 @@
     assert!(!script.machine("vm-2").deleting);
 }
 
-/// After a take-over a machine that answers gets work at once: its worker takes a while
+/// After a attempt_number-over a machine that answers gets work at once: its worker takes a while
 /// to find the new leader, however long ago the cloud says that it was rented.
 #[test]
 fn a_new_leader_does_not_wait_for_the_heartbeats_of_machines_that_answer() {
@@ -125,9 +125,9 @@
 /// from the last heartbeat that was answered, whatever direct answers show since.
 #[test]
 fn an_answer_to_a_command_renews_no_lease() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     script.heartbeat("vm-1", Vec::new());
-    let lease_over = script.machine("vm-1").lease_over;
+    let lease_expires_at = script.machine("vm-1").lease_expires_at;
     for _ in 0..10 {
         script.pass(second(2));
         for batch in script.probes() {
@@ -135,11 +135,11 @@
             script.answered(&batch, CommandOutcome::Executed(heartbeat));
         }
     }
-    assert_eq!(script.machine("vm-1").lease_over, lease_over);
+    assert_eq!(script.machine("vm-1").lease_expires_at, lease_expires_at);
     assert!(
         script
             .machine("vm-1")
-            .heard
+            .last_contact
             .is_some_and(|at| script.now - at < second(8))
     );
 }
@@ -148,22 +148,27 @@
 /// arrive is repeated with each answer, since that answer renews the lease.
 #[test]
 fn a_stop_that_is_under_way_is_repeated_with_the_answer() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
     obey(&mut script, "vm-1");
-    script.shard.job_gone("run-1", Some(Stage::Cancelled));
-    script.settle();
+    script.shard.job_finished("run-1", Some(Stage::Cancelled));
+    script.reconcile();
     let held_up = script.batches();
     assert_eq!(held_up.len(), 1);
     assert_eq!(stops(&held_up[0].2), 1);
-    let take = script
+    let attempt_number = script
         .machine("vm-1")
         .attempts
         .keys()
         .next()
-        .map(|(_, take)| *take);
-    let line = listed("run-1/0", take.expect("it runs"), TaskState::Running, None);
+        .map(|(_, attempt_number)| *attempt_number);
+    let line = listed(
+        "run-1/0",
+        attempt_number.expect("it runs"),
+        TaskState::Running,
+        None,
+    );
     let commands = script.heartbeat("vm-1", vec![line]);
     assert_eq!(stops(&commands), 1);
 }
@@ -173,7 +178,7 @@
 #[test]
 fn a_heartbeat_held_back_until_a_new_leader_has_acted_changes_nothing() {
     let mut script = Script::new(one_old_job(1, &["vm-1"]));
-    let runs = |take| vec![listed("run-1/0", take, TaskState::Running, None)];
+    let runs = |attempt_number| vec![listed("run-1/0", attempt_number, TaskState::Running, None)];
     let before = script.heartbeat_of("vm-1", TOKEN - 1, Vec::new());
     let mut agent_epoch = script.heartbeat_of("vm-1", TOKEN - 1, runs(3));
     agent_epoch.agent_epoch = 0;
@@ -181,7 +186,7 @@
     script.heartbeat("vm-1", runs(7));
     for held_back in [before, agent_epoch, under_ours] {
         script.shard.heartbeat(&held_back, script.now);
-        script.settle();
+        script.reconcile();
         assert!(script.launches().is_empty(), "run-1/0 runs on vm-1");
         assert_eq!(script.shard.view("run-1").map(|view| view.running), Some(1));
     }
@@ -192,7 +197,7 @@
 /// record is listed still.
 #[test]
 fn tasks_that_end_far_apart_are_each_counted_once_across_a_take_over() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 3));
     obey(&mut script, "vm-1");
@@ -202,11 +207,11 @@
         .keys()
         .map(|(_, t)| *t)
         .collect();
-    let line = |n: usize, ending: Option<Ending>| {
-        let state = ending.map_or(TaskState::Running, |_| TaskState::Ended);
-        listed(&format!("run-1/{n}"), takes[n], state, ending)
+    let line = |n: usize, outcome: Option<AttemptOutcome>| {
+        let state = outcome.map_or(TaskState::Running, |_| TaskState::Ended);
+        listed(&format!("run-1/{n}"), takes[n], state, outcome)
     };
-    let done = Some(Ending::Done);
+    let done = Some(AttemptOutcome::Done);
     script.heartbeat("vm-1", vec![line(0, done), line(1, None), line(2, None)]);
     // The snapshot holds the first; the second ends after it.
     script.pass(second(4));
@@ -218,11 +223,11 @@
         commands.iter().any(clear)
     };
     assert!(clears(&commands, 0) && !clears(&commands, 1));
-    let mut next = Script::new(Loaded {
+    let mut next = Script::new(RecoveredState {
         jobs: vec![("run-1".into(), TOKEN + 2, record(spec("blue", 1.0, 3)))],
         roster: vec![roster("vm-1")],
         chunks,
-        ..Loaded::default()
+        ..RecoveredState::default()
     });
     next.sequence = script.sequence;
     next.heartbeat("vm-1", vec![line(1, done), line(2, None)]);
@@ -236,7 +241,7 @@
 /// others of its tasks run: what is lost comes back in that zone and no other.
 #[test]
 fn what_a_one_zone_job_loses_starts_again_in_its_zone_alone() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     let bound = JobSpec {
         one_zone: true,
         ..spec("blue", 4.0, 3)
@@ -260,7 +265,7 @@
         heartbeat.sequence = script.sequence;
         let outcome = script.shard.heartbeat(&heartbeat, script.now);
         assert!(matches!(outcome, HeartbeatOutcome::Answer(_)));
-        script.settle();
+        script.reconcile();
     };
     let heartbeat = {
         let mut heartbeat = script.heartbeat_of("vm-9", TOKEN, Vec::new());
@@ -273,7 +278,7 @@
     let mut anew = script.heartbeat_of(first, TOKEN, Vec::new());
     anew.agent_epoch = 2;
     script.shard.heartbeat(&anew, script.now);
-    script.settle();
+    script.reconcile();
     let launches = script.launches();
     assert!(
         launches.iter().all(|(id, ..)| &**id != "vm-9"),
@@ -295,7 +300,7 @@
 fn a_long_task_behind_a_cut_is_neither_doubled_nor_forgotten() {
     let mut script = Script::new(one_old_job(1, &["vm-1"]));
     script.heartbeat("vm-2", Vec::new());
-    let lease = script.shard.policy.lease_surely_over();
+    let lease = script.shard.policy.worker_lease_bound();
     // Its heartbeats come, under the earlier leader's fencing token; our answers don't arrive.
     let begun = script.now;
     let mut sequence = script.sequence;
--- a/src/coordination/shard/tests/random.rs
+++ b/src/coordination/shard/tests/random.rs
@@ -12,7 +12,7 @@
 /// A day of submissions, cancels, crashes, cuts, hangs and deaths.
 fn play(seed: u64) -> World {
     let mut world = World::new(seed);
-    world.take_over();
+    world.recover();
     let mut submitted = 0_u32;
     for _ in 0..60 {
         let lucky: f64 = world.rng.random();
@@ -51,7 +51,7 @@
             world.crash_leader();
             let gap = if world.rng.random_bool(0.5) { 1 } else { 9_000 };
             world.run(Duration::from_millis(gap));
-            world.take_over();
+            world.recover();
         } else if lucky < 0.9 {
             let machines = world.machines();
             if !machines.is_empty() {
@@ -138,7 +138,7 @@
 fn ten_changes_of_leader_in_two_minutes_lose_nothing() {
     for seed in 0..8 {
         let mut world = World::new(seed);
-        world.take_over();
+        world.recover();
         burden(&mut world, 12);
         for change in 0..10 {
             world.run(Duration::from_secs(9));
@@ -148,7 +148,7 @@
             world.crash_leader();
             let gap = if change % 2 == 0 { 100 } else { 3_000 };
             world.run(Duration::from_millis(gap));
-            world.take_over();
+            world.recover();
         }
         settles(world, &format!("seed {seed}"));
     }
@@ -159,12 +159,12 @@
 fn all_controllers_away_for_longer_than_a_lease_lose_no_job() {
     for seed in 0..8 {
         let mut world = World::new(seed);
-        world.take_over();
+        world.recover();
         burden(&mut world, 8);
         world.run(Duration::from_secs(20));
         world.crash_leader();
         world.run(LEASE + Duration::from_secs(13));
-        world.take_over();
+        world.recover();
         world.run(Duration::from_secs(20));
         settles(world, &format!("seed {seed}"));
     }
@@ -178,7 +178,7 @@
         let mut world = World::new(seed);
         world.late = 0.3;
         world.loss = 0.1;
-        world.take_over();
+        world.recover();
         burden(&mut world, 30);
         for round in 0..12 {
             world.run(Duration::from_secs(10));
@@ -197,7 +197,7 @@
 fn deaf_and_mute_machines_outlast_no_cancellation() {
     for seed in 0..8 {
         let mut world = World::new(seed);
-        world.take_over();
+        world.recover();
         burden(&mut world, 10);
         for round in 0..6 {
             world.run(Duration::from_secs(8));
@@ -216,7 +216,7 @@
             if round % 2 == 1 {
                 world.crash_leader();
                 world.run(Duration::from_secs(1));
-                world.take_over();
+                world.recover();
             }
         }
         world.run(Duration::from_secs(60));
--- a/src/coordination/shard/tests/scale.rs
+++ b/src/coordination/shard/tests/scale.rs
@@ -8,7 +8,9 @@
 
 use super::script::{Script, TOKEN, listed};
 use super::world::{self, machine_types, policy, record};
-use crate::coordination::shard::{Action, CommandOutcome, Loaded, LoadedMachine, Policy, Shard};
+use crate::coordination::shard::{
+    Action, CommandOutcome, Policy, RecoveredMachine, RecoveredState, Shard,
+};
 use crate::protocol::kv::Mutation;
 use crate::protocol::users::JobSpec;
 use crate::protocol::workers::{Command, TaskState, WorkerHeartbeat};
@@ -47,10 +49,10 @@
 /// The limits of the smaller deployments: 8 KiB, 8 changes, 20 changes a second.
 fn small_store() -> Policy {
     Policy {
-        alone: Duration::ZERO,
+        advance_delegation: Duration::ZERO,
         idle: Duration::from_secs(86_400),
         snapshot_writes_per_s: 10.0,
-        fact_writes_per_s: 6.0,
+        record_writes_per_s: 6.0,
         ..policy()
     }
 }
@@ -66,7 +68,7 @@
 
 impl Cluster {
     fn new() -> Self {
-        let mut script = Script::under(small_store(), Loaded::default());
+        let mut script = Script::under(small_store(), RecoveredState::default());
         script.actions.clear();
         Self {
             script,
@@ -80,8 +82,9 @@
     fn heartbeat_of(&mut self, n: usize) -> WorkerHeartbeat {
         let fencing_token = self.script.shard.fencing_token.revision();
         let tasks = self.running.get(&n).into_iter().flatten();
-        let tasks =
-            tasks.map(|(task, take)| listed(&task.to_string(), *take, TaskState::Running, None));
+        let tasks = tasks.map(|(task, attempt_number)| {
+            listed(&task.to_string(), *attempt_number, TaskState::Running, None)
+        });
         let tasks = tasks.collect();
         let mut heartbeat = self.script.heartbeat_of(&name(n), fencing_token, tasks);
         heartbeat.zone = zone(n).into();
@@ -100,7 +103,7 @@
     /// Settles, and does what is decided: commands are executed and answered, writes are
     /// applied within the limits.
     fn act(&mut self) {
-        self.script.shard.settle(self.script.now);
+        self.script.shard.reconcile(self.script.now);
         loop {
             let actions = self.script.shard.take_actions();
             if actions.is_empty() {
@@ -109,7 +112,7 @@
             for action in actions {
                 self.carry_out(action);
             }
-            self.script.shard.settle(self.script.now);
+            self.script.shard.reconcile(self.script.now);
         }
     }
 
@@ -140,7 +143,7 @@
                     _ => self.carry_out(action),
                 }
             }
-            self.script.shard.settle(self.script.now);
+            self.script.shard.reconcile(self.script.now);
         }
     }
 
@@ -216,7 +219,7 @@
     }
 
     /// The machines of the stored roster.
-    fn roster(&self) -> Vec<LoadedMachine> {
+    fn roster(&self) -> Vec<RecoveredMachine> {
         let prefix = keys::roster_prefix();
         let pages = self
             .store
@@ -227,7 +230,7 @@
             let machines = read_page(value).expect("a page of the roster");
             machines
                 .into_iter()
-                .map(move |(id, record)| LoadedMachine { id, page, record })
+                .map(move |(id, record)| RecoveredMachine { id, page, record })
         });
         machines.collect()
     }
@@ -239,7 +242,7 @@
             .store
             .iter()
             .filter(|(key, _)| key.starts_with(&snapshot));
-        let loaded = Loaded {
+        let recovered = RecoveredState {
             jobs: jobs
                 .iter()
                 .map(|(id, tasks)| {
@@ -254,14 +257,14 @@
             chunks: chunks
                 .map(|(key, value)| (key.clone(), value.clone()))
                 .collect(),
-            bookings: Vec::new(),
+            pending_rentals: Vec::new(),
         };
         let fencing_token = self.script.shard.fencing_token.revision() + 10_000;
         let now = self.script.now;
-        self.script.shard = Shard::take_over(
+        self.script.shard = Shard::recover(
             small_store(),
             FencingToken::new(fencing_token),
-            loaded,
+            recovered,
             now,
             0,
         );
@@ -286,7 +289,7 @@
     // Pages of some seventy entries, each written a few times at the most.
     assert!(cluster.mutations < 300, "{} changes", cluster.mutations);
     cluster.heartbeat_all(|_| true);
-    cluster.script.shard.job_put(
+    cluster.script.shard.job_accepted(
         "run-1",
         TOKEN + 1,
         record(spec("blue", 8.0, TASKS)),
@@ -325,7 +328,7 @@
     cluster
         .script
         .shard
-        .job_put("run-1", TOKEN + 1, job, cluster.script.now);
+        .job_accepted("run-1", TOKEN + 1, job, cluster.script.now);
     for _ in 0..5 {
         cluster.heartbeat_all(|_| true);
         cluster.pass(1);
@@ -377,7 +380,7 @@
     }
     let open = cluster.script.shard.machines().values();
     let open = open
-        .filter(|m| m.agent_epoch == Some(2) && m.synced && !m.deleting)
+        .filter(|m| m.agent_epoch == Some(2) && m.token_acknowledged && !m.deleting)
         .count();
     assert_eq!(open, MACHINES / 4);
 }
@@ -388,7 +391,7 @@
         machine_type: "m8".into(),
         zone: zone(n).into(),
         spot: n.is_multiple_of(3),
-        returning: false,
+        deleting: false,
     }
 }
 
@@ -439,18 +442,18 @@
     assert!(writes < 1_000, "{writes} writes");
 }
 
-/// Sixty thousand single tasks: where all of them are would take longer to write than
+/// Sixty thousand single tasks: where all of them are would attempt_number longer to write than
 /// changes may go unrecorded, so that nothing would be started any more.
 #[test]
 fn a_swarm_of_tasks_does_not_hold_up_the_starts() {
     let policy = small_store();
     let staleness = policy.staleness;
     let machines = 2_000;
-    let mut script = Script::under(policy, Loaded::default());
+    let mut script = Script::under(policy, RecoveredState::default());
     for n in 0..60_000 {
         let id = format!("run-{n:06}");
         let job = record(spec("blue", 0.25, 1));
-        script.shard.job_put(&id, TOKEN + 1, job, script.now);
+        script.shard.job_accepted(&id, TOKEN + 1, job, script.now);
     }
     for n in 0..machines {
         let tasks = (0..30).map(|k| {
@@ -466,7 +469,7 @@
         script.now += Duration::from_secs(1);
         // Something starts every second.
         script.shard.writes.progress_changed(script.now);
-        script.shard.settle(script.now);
+        script.shard.reconcile(script.now);
         loop {
             let writes: Vec<_> = script.shard.take_actions();
             let writes = writes.into_iter().filter_map(|action| match action {
--- a/src/coordination/shard/tests/script.rs
+++ b/src/coordination/shard/tests/script.rs
@@ -6,12 +6,13 @@
 
 use super::world::{machine_types, policy, record, spec};
 use crate::coordination::shard::{
-    Action, CommandOutcome, HeartbeatOutcome, Loaded, LoadedMachine, Machine, Policy, Shard,
+    Action, CommandOutcome, HeartbeatOutcome, Machine, Policy, RecoveredMachine, RecoveredState,
+    Shard,
 };
 use crate::protocol::cloud::Rental;
 use crate::protocol::kv::Mutation;
 use crate::protocol::users::JobSpec;
-use crate::protocol::workers::{Command, Ending, TaskState, TaskStatus, WorkerHeartbeat};
+use crate::protocol::workers::{AttemptOutcome, Command, TaskState, TaskStatus, WorkerHeartbeat};
 use crate::protocol::{MachineId, TaskId};
 use crate::storage::keys;
 use crate::storage::records::RosterRecord;
@@ -27,8 +28,8 @@
     pub(super) written: BTreeMap<String, serde_json::Value>,
 }
 
-pub(super) fn roster(id: &str) -> LoadedMachine {
-    LoadedMachine {
+pub(super) fn roster(id: &str) -> RecoveredMachine {
+    RecoveredMachine {
         id: id.to_owned(),
         page: 0,
         record: RosterRecord {
@@ -36,51 +37,57 @@
             machine_type: "m8".into(),
             zone: "north".into(),
             spot: false,
-            returning: false,
+            deleting: false,
         },
     }
 }
 
 pub(super) fn listed(
     task: &str,
-    take: u64,
+    attempt_number: u64,
     state: TaskState,
-    ending: Option<Ending>,
+    outcome: Option<AttemptOutcome>,
 ) -> TaskStatus {
     TaskStatus {
         task: TaskId::parse(task).expect("task id"),
-        attempt: take,
+        attempt: attempt_number,
         state,
-        ending,
+        outcome,
     }
 }
 
 impl Script {
     /// Without other controllers.
-    pub(super) fn new(loaded: Loaded) -> Self {
-        Self::among(Duration::ZERO, loaded)
+    pub(super) fn new(recovered: RecoveredState) -> Self {
+        Self::among(Duration::ZERO, recovered)
     }
 
     /// Among controllers that may answer workers on their own for so long.
-    pub(super) fn among(alone: Duration, loaded: Loaded) -> Self {
-        Self::under(Policy { alone, ..policy() }, loaded)
+    pub(super) fn among(advance_delegation: Duration, recovered: RecoveredState) -> Self {
+        Self::under(
+            Policy {
+                advance_delegation,
+                ..policy()
+            },
+            recovered,
+        )
     }
 
     /// Where no team is guaranteed anything: what is not needed goes back.
     pub(super) fn without_guarantees() -> Self {
         let mut policy = Policy {
-            alone: Duration::ZERO,
+            advance_delegation: Duration::ZERO,
             ..policy()
         };
         for team in policy.teams.values_mut() {
             *team = Default::default();
         }
-        Self::under(policy, Loaded::default())
+        Self::under(policy, RecoveredState::default())
     }
 
-    pub(super) fn under(policy: Policy, loaded: Loaded) -> Self {
+    pub(super) fn under(policy: Policy, recovered: RecoveredState) -> Self {
         let now = Instant::now();
-        let mut shard = Shard::take_over(policy, FencingToken::new(TOKEN), loaded, now, 0);
+        let mut shard = Shard::recover(policy, FencingToken::new(TOKEN), recovered, now, 0);
         shard.set_types(&machine_types());
         let mut script = Self {
             shard,
@@ -89,13 +96,13 @@
             actions: Vec::new(),
             written: BTreeMap::new(),
         };
-        script.settle();
+        script.reconcile();
         script
     }
 
     /// Settles, and applies shard writes at once; other actions are kept.
-    pub(super) fn settle(&mut self) {
-        self.shard.settle(self.now);
+    pub(super) fn reconcile(&mut self) {
+        self.shard.reconcile(self.now);
         loop {
             let actions = self.shard.take_actions();
             if actions.is_empty() {
@@ -126,7 +133,7 @@
     pub(super) fn pass(&mut self, time: Duration) {
         self.now += time;
         self.shard.tick(self.now);
-        self.settle();
+        self.reconcile();
     }
 
     pub(super) fn heartbeat_of(
@@ -145,7 +152,7 @@
             agent_epoch: 1,
             sequence: self.sequence,
             fencing_token: FencingToken::new(fencing_token),
-            notice_s: None,
+            preemption_notice_s: None,
             tasks,
         }
     }
@@ -153,7 +160,7 @@
     pub(super) fn heartbeat(&mut self, id: &str, tasks: Vec<TaskStatus>) -> Vec<Command> {
         let heartbeat = self.heartbeat_of(id, TOKEN, tasks);
         let outcome = self.shard.heartbeat(&heartbeat, self.now);
-        self.settle();
+        self.reconcile();
         match outcome {
             HeartbeatOutcome::Answer(commands) => commands,
             HeartbeatOutcome::Refuse => panic!("heartbeat refused"),
@@ -162,8 +169,8 @@
 
     pub(super) fn submit(&mut self, id: &str, spec: JobSpec) {
         self.shard
-            .job_put(id, TOKEN + 1 + self.sequence, record(spec), self.now);
-        self.settle();
+            .job_accepted(id, TOKEN + 1 + self.sequence, record(spec), self.now);
+        self.reconcile();
     }
 
     /// The batches of commands decided since the last call.
@@ -222,11 +229,11 @@
     ) {
         self.shard
             .command_answered(&batch.0, batch.1, &batch.2, outcome, self.now);
-        self.settle();
+        self.reconcile();
     }
 }
 
-pub(super) fn take_of(commands: &[Command]) -> u64 {
+pub(super) fn attempt_number_of(commands: &[Command]) -> u64 {
     commands
         .iter()
         .find_map(|command| match command {
@@ -237,11 +244,11 @@
 }
 
 /// An old job and a roster, as a new leader loads them.
-pub(super) fn one_old_job(tasks: u32, machines: &[&str]) -> Loaded {
-    Loaded {
+pub(super) fn one_old_job(tasks: u32, machines: &[&str]) -> RecoveredState {
+    RecoveredState {
         jobs: vec![("run-1".into(), 5, record(spec("red", 1.0, tasks)))],
         roster: machines.iter().map(|id| roster(id)).collect(),
-        ..Loaded::default()
+        ..RecoveredState::default()
     }
 }
 
@@ -249,8 +256,9 @@
     /// A heartbeat of a machine on which all runs that is on its books.
     pub(super) fn running(&mut self, id: &str) -> WorkerHeartbeat {
         let tasks = self.machine(id).attempts.keys().cloned();
-        let running =
-            |(task, take): (TaskId, u64)| listed(&task.to_string(), take, TaskState::Running, None);
+        let running = |(task, attempt_number): (TaskId, u64)| {
+            listed(&task.to_string(), attempt_number, TaskState::Running, None)
+        };
         let tasks = tasks.map(running).collect();
         self.heartbeat_of(id, TOKEN, tasks)
     }
--- a/src/coordination/shard/tests/scripted.rs
+++ b/src/coordination/shard/tests/scripted.rs
@@ -3,23 +3,23 @@
 use crate::protocol::FencingToken;
 use std::time::{Duration, Instant};
 
-use super::script::{Script, TOKEN, listed, obey, one_old_job, roster, stops, take_of};
+use super::script::{Script, TOKEN, attempt_number_of, listed, obey, one_old_job, roster, stops};
 use super::world::{ALONE, machine_types, policy, record, spec};
 use crate::coordination::shard::{
-    Action, CommandOutcome, Fact, HeartbeatOutcome, Loaded, RentalOutcome, Shard, ShardWrite,
-    delegate_commands,
+    Action, CommandOutcome, HeartbeatOutcome, RecoveredState, RentalOutcome, Shard, ShardWrite,
+    WritePurpose, delegate_commands,
 };
 use crate::protocol::users::{JobKind, JobSpec, Priority};
-use crate::protocol::workers::{Command, Ending, TaskState};
+use crate::protocol::workers::{AttemptOutcome, Command, TaskState};
 use crate::protocol::{MachineId, TaskId};
 
 #[test]
 fn a_machine_is_on_the_roster_before_it_gets_a_task() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     script.submit("run-1", spec("blue", 1.0, 1));
     let heartbeat = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.shard.heartbeat(&heartbeat, script.now);
-    script.shard.settle(script.now);
+    script.shard.reconcile(script.now);
     let actions = script.shard.take_actions();
     let admit = actions
         .iter()
@@ -28,38 +28,43 @@
             _ => None,
         })
         .expect("the admission is written");
-    assert!(matches!(admit.facts[0], Fact::Admit(_)));
+    assert!(matches!(admit.purposes[0], WritePurpose::Admit(_)));
     assert!(!actions.iter().any(|a| matches!(a, Action::Command { .. })));
     script.shard.shard_written(&admit, script.now);
-    script.settle();
+    script.reconcile();
     assert_eq!(script.launches().len(), 1);
 }
 
 #[test]
 fn an_unanswered_launch_is_pinned_and_never_cleared() {
     for (outcome_known, cleared) in [(true, true), (false, false)] {
-        let mut script = Script::new(Loaded::default());
+        let mut script = Script::new(RecoveredState::default());
         script.heartbeat("vm-1", Vec::new());
         script.submit("run-1", spec("blue", 1.0, 1));
         let batch = script.launches().remove(0);
-        let take = take_of(&batch.2);
+        let attempt_number = attempt_number_of(&batch.2);
         if outcome_known {
-            let line = listed("run-1/0", take, TaskState::Fetching, None);
+            let line = listed("run-1/0", attempt_number, TaskState::Fetching, None);
             let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![line]);
             script.answered(&batch, CommandOutcome::Executed(heartbeat));
         } else {
             script.answered(&batch, CommandOutcome::NoAnswer);
             // The next heartbeat is answered with the same launch.
             let commands = script.heartbeat("vm-1", Vec::new());
-            assert_eq!(take_of(&commands), take);
+            assert_eq!(attempt_number_of(&commands), attempt_number);
         }
-        let line = listed("run-1/0", take, TaskState::Ended, Some(Ending::Error));
+        let line = listed(
+            "run-1/0",
+            attempt_number,
+            TaskState::Ended,
+            Some(AttemptOutcome::Error),
+        );
         script.heartbeat("vm-1", vec![line.clone()]);
         script.batches();
         let commands = script.heartbeat("vm-1", vec![line]);
         let clears = commands
             .iter()
-            .any(|c| matches!(c, Command::Clear { attempt, .. } if *attempt == take));
+            .any(|c| matches!(c, Command::Clear { attempt, .. } if *attempt == attempt_number));
         // A late copy of the launch would start what was cleared.
         assert_eq!(clears, cleared);
     }
@@ -69,10 +74,10 @@
 fn attempt_numbers_never_repeat_across_terms() {
     let takes = |fencing_token: u64| {
         let now = Instant::now();
-        let mut shard = Shard::take_over(
+        let mut shard = Shard::recover(
             policy(),
             FencingToken::new(fencing_token),
-            Loaded::default(),
+            RecoveredState::default(),
             now,
             0,
         );
@@ -86,14 +91,14 @@
         };
         let heartbeat = script.heartbeat_of("vm-1", fencing_token, Vec::new());
         script.shard.heartbeat(&heartbeat, now);
-        script.settle();
-        script.shard.job_put(
+        script.reconcile();
+        script.shard.job_accepted(
             "run-1",
             fencing_token + 1,
             record(spec("blue", 1.0, 5)),
             now,
         );
-        script.settle();
+        script.reconcile();
         script
             .launches()
             .into_iter()
@@ -107,15 +112,19 @@
     // The later leader knows nothing of the earlier one's attempts.
     let (first, second) = (takes(7), takes(8));
     assert_eq!(first.len(), 5);
-    assert!(second.iter().all(|take| !first.contains(take)));
+    assert!(
+        second
+            .iter()
+            .all(|attempt_number| !first.contains(attempt_number))
+    );
 }
 
 #[test]
 fn after_a_take_over_old_work_waits_until_every_machine_is_accounted_for() {
-    let mut script = Script::new(Loaded {
+    let mut script = Script::new(RecoveredState {
         jobs: vec![("run-1".into(), 50, record(spec("blue", 1.0, 1)))],
         roster: vec![roster("vm-1"), roster("vm-2")],
-        ..Loaded::default()
+        ..RecoveredState::default()
     });
     let probes = script.batches();
     let heartbeat = script.heartbeat_of("vm-1", TOKEN, Vec::new());
@@ -132,10 +141,10 @@
 
 #[test]
 fn a_heartbeat_under_an_older_fencing_token_proves_nothing() {
-    let mut script = Script::new(Loaded {
+    let mut script = Script::new(RecoveredState {
         jobs: vec![("run-1".into(), 50, record(spec("blue", 1.0, 1)))],
         roster: vec![roster("vm-1")],
-        ..Loaded::default()
+        ..RecoveredState::default()
     });
     let probes = script.batches();
     assert_eq!(
@@ -145,7 +154,7 @@
     );
     let heartbeat = script.heartbeat_of("vm-1", TOKEN - 1, Vec::new());
     script.shard.heartbeat(&heartbeat, script.now);
-    script.settle();
+    script.reconcile();
     assert!(script.launches().is_empty(), "an older launch may land yet");
     assert!(
         script.shard.jobs()["run-1"].live().is_empty(),
@@ -158,52 +167,62 @@
 
 #[test]
 fn a_late_heartbeat_is_not_believed() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     let late = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
     let batch = script.launches().remove(0);
-    let line = listed("run-1/0", take_of(&batch.2), TaskState::Running, None);
+    let line = listed(
+        "run-1/0",
+        attempt_number_of(&batch.2),
+        TaskState::Running,
+        None,
+    );
     let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![line]);
     script.answered(&batch, CommandOutcome::Executed(heartbeat));
     // It is as old as its number says: the task is still there.
     script.shard.heartbeat(&late, script.now);
-    script.settle();
+    script.reconcile();
     assert!(script.launches().is_empty());
     assert_eq!(script.shard.view("run-1").map(|v| v.running), Some(1));
 }
 
 #[test]
 fn a_cancel_stops_a_launch_that_may_still_land() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
     let batch = script.launches().remove(0);
-    let take = take_of(&batch.2);
-    script.shard.job_gone("run-1", None);
-    script.settle();
+    let attempt_number = attempt_number_of(&batch.2);
+    script.shard.job_finished("run-1", None);
+    script.reconcile();
     script.answered(&batch, CommandOutcome::NoAnswer);
     let commands = script.heartbeat("vm-1", Vec::new());
     assert_eq!(
-        take_of(&commands),
-        take,
+        attempt_number_of(&commands),
+        attempt_number,
         "pinned, so that it can't come late"
     );
     assert!(matches!(
         commands.last(),
-        Some(Command::Stop { attempt, grace_s, .. }) if *attempt == take && *grace_s == 0.0
+        Some(Command::Stop { attempt, grace_s, .. }) if *attempt == attempt_number && *grace_s == 0.0
     ));
 }
 
 #[test]
 fn only_a_deletion_that_was_answered_frees_a_machines_tasks() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     script.heartbeat("vm-1", Vec::new());
     let mut job = spec("blue", 1.0, 1);
     job.kind = JobKind::Service;
     script.submit("run-1", job);
     let batch = script.launches().remove(0);
-    let line = listed("run-1/0", take_of(&batch.2), TaskState::Running, None);
+    let line = listed(
+        "run-1/0",
+        attempt_number_of(&batch.2),
+        TaskState::Running,
+        None,
+    );
     let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![line]);
     script.answered(&batch, CommandOutcome::Executed(heartbeat));
     script.heartbeat("vm-2", Vec::new());
@@ -221,16 +240,16 @@
     script
         .shard
         .deletion_answered(std::slice::from_ref(&machine), false, script.now);
-    script.settle();
+    script.reconcile();
     assert!(script.launches().is_empty(), "no answer proves nothing");
     script.shard.deletion_answered(&[machine], true, script.now);
-    script.settle();
+    script.reconcile();
     assert_eq!(script.launches()[0].0, "vm-2".into());
 }
 
 #[test]
 fn nothing_starts_while_changes_go_unrecorded_for_too_long() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
     assert_eq!(script.launches().len(), 1);
@@ -243,8 +262,10 @@
         script.shard.take_actions();
     }
     let late = record(spec("blue", 1.0, 1));
-    script.shard.job_put("run-2", TOKEN + 99, late, script.now);
-    script.shard.settle(script.now);
+    script
+        .shard
+        .job_accepted("run-2", TOKEN + 99, late, script.now);
+    script.shard.reconcile(script.now);
     assert!(
         !script
             .shard
@@ -254,7 +275,7 @@
     );
 }
 
-/// Found on a random day: a machine that was out of reach at a take-over came
+/// Found on a random day: a machine that was out of reach at a attempt_number-over came
 /// back in a new agent epoch, was heard through a probe's answer only, and its
 /// tasks were taken for gone because its former agent epoch's lease was over.
 #[test]
@@ -268,15 +289,15 @@
     let probe = script.batches().remove(0);
     script.now += Duration::from_millis(1900);
     script.shard.tick(script.now);
-    script.settle();
+    script.reconcile();
     let line = listed("run-1/0", 7, TaskState::Running, None);
     let mut heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![line]);
     heartbeat.agent_epoch = 2;
     script.answered(&probe, CommandOutcome::Executed(heartbeat));
     script.heartbeat("vm-3", Vec::new());
-    let lease_over = script.machine("vm-2").lease_over;
+    let lease_expires_at = script.machine("vm-2").lease_expires_at;
     script.pass(Duration::from_secs(3));
-    assert!(script.now > lease_over, "its former agent epoch's is");
+    assert!(script.now > lease_expires_at, "its former agent epoch's is");
     assert!(script.launches().is_empty(), "the task is still there");
     assert_eq!(script.shard.view("run-1").map(|v| v.running), Some(1));
 }
@@ -284,7 +305,7 @@
 /// An agent epoch whose lease is over gets nothing more: only a later one may.
 #[test]
 fn an_ended_agent_epoch_gets_no_tasks() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
     assert_eq!(script.launches().len(), 1);
@@ -293,7 +314,7 @@
     script.batches();
     let late = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.shard.heartbeat(&late, script.now);
-    script.settle();
+    script.reconcile();
     assert!(script.launches().is_empty());
 }
 
@@ -301,15 +322,15 @@
 /// before its launch was sent kept its place for ever.
 #[test]
 fn a_launch_that_was_never_sent_is_taken_back() {
-    let mut script = Script::new(Loaded {
+    let mut script = Script::new(RecoveredState {
         roster: vec![roster("vm-1")],
-        ..Loaded::default()
+        ..RecoveredState::default()
     });
     // The probe is under way, so that launches have to wait.
     let probe = script.batches().remove(0);
     let sync = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.shard.heartbeat(&sync, script.now);
-    script.settle();
+    script.reconcile();
     script.submit("run-1", spec("blue", 8.0, 1));
     assert!(script.launches().is_empty());
     let mut first = spec("blue", 8.0, 1);
@@ -327,19 +348,19 @@
 
 #[test]
 fn a_machine_far_slower_than_others_is_given_up() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     script.heartbeat("vm-1", Vec::new());
     script.heartbeat("vm-2", Vec::new());
     // Eight tasks fill vm-1, two go to vm-2.
     script.submit("run-1", spec("blue", 1.0, 10));
     let batches = script.launches();
-    let lines = |batch: &(MachineId, u64, Vec<Command>), state, ending| {
+    let lines = |batch: &(MachineId, u64, Vec<Command>), state, outcome| {
         batch
             .2
             .iter()
             .filter_map(|command| match command {
                 Command::Launch { task, attempt } => {
-                    Some(listed(&task.to_string(), *attempt, state, ending))
+                    Some(listed(&task.to_string(), *attempt, state, outcome))
                 }
                 _ => None,
             })
@@ -352,7 +373,7 @@
     }
     let (quick, slow) = (&batches[0], &batches[1]);
     script.now += Duration::from_secs(10);
-    let done = lines(quick, TaskState::Ended, Some(Ending::Done));
+    let done = lines(quick, TaskState::Ended, Some(AttemptOutcome::Done));
     assert!(done.len() >= 3, "enough tasks to compare with");
     script.heartbeat(&quick.0, done);
     for _ in 0..21 {
@@ -372,19 +393,19 @@
 /// for a moment only, and good machines looked slow beside them.
 #[test]
 fn tasks_of_an_earlier_leader_say_nothing_of_run_times() {
-    let mut script = Script::new(Loaded {
+    let mut script = Script::new(RecoveredState {
         jobs: vec![("run-1".into(), 50, record(spec("blue", 1.0, 8)))],
         roster: vec![roster("vm-1")],
-        ..Loaded::default()
+        ..RecoveredState::default()
     });
-    let line = |n: u64, state, ending| listed(&format!("run-1/{n}"), 7 + n, state, ending);
+    let line = |n: u64, state, outcome| listed(&format!("run-1/{n}"), 7 + n, state, outcome);
     let running: Vec<_> = (0..8).map(|n| line(n, TaskState::Running, None)).collect();
     script.heartbeat("vm-1", running);
-    // Five end right after the take-over, the others run on.
+    // Five end right after the attempt_number-over, the others run on.
     let later = |ended: u64| {
         (0..8)
             .map(|n| match n < ended {
-                true => line(n, TaskState::Ended, Some(Ending::Done)),
+                true => line(n, TaskState::Ended, Some(AttemptOutcome::Done)),
                 false => line(n, TaskState::Running, None),
             })
             .collect::<Vec<_>>()
@@ -399,7 +420,7 @@
 
 #[test]
 fn a_team_limit_counts_what_may_exist() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     script.heartbeat("vm-1", Vec::new());
     script.heartbeat("vm-2", Vec::new());
     script.heartbeat("vm-3", Vec::new());
@@ -411,7 +432,7 @@
 
 #[test]
 fn a_rental_without_an_answer_is_repeated_under_its_name() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     script.submit("run-1", spec("blue", 8.0, 1));
     script.pass(Duration::from_secs(1));
     let rentals = |script: &mut Script| {
@@ -435,15 +456,27 @@
 
 #[test]
 fn a_finish_is_cleared_only_after_a_snapshot_holds_it() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 2));
     let batch = script.launches().remove(0);
-    let take = take_of(&batch.2);
-    let running = |n: u64| listed(&format!("run-1/{n}"), take + n, TaskState::Running, None);
+    let attempt_number = attempt_number_of(&batch.2);
+    let running = |n: u64| {
+        listed(
+            &format!("run-1/{n}"),
+            attempt_number + n,
+            TaskState::Running,
+            None,
+        )
+    };
     let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![running(0), running(1)]);
     script.answered(&batch, CommandOutcome::Executed(heartbeat));
-    let done = listed("run-1/0", take, TaskState::Ended, Some(Ending::Done));
+    let done = listed(
+        "run-1/0",
+        attempt_number,
+        TaskState::Ended,
+        Some(AttemptOutcome::Done),
+    );
     let clears = |commands: &[Command]| {
         commands
             .iter()
@@ -469,7 +502,7 @@
         HeartbeatOutcome::Refuse => panic!("refused"),
     }
     script.shard.shard_written(&write, script.now);
-    script.settle();
+    script.reconcile();
     script.pass(Duration::from_secs(4));
     let commands = script.heartbeat("vm-1", vec![done, running(1)]);
     assert!(clears(&commands));
@@ -478,7 +511,7 @@
 /// Found at full size: a cut between zones ended half of all replicas.
 #[test]
 fn a_lease_is_not_over_while_another_controller_may_keep_its_worker() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     // The other machine stays, for what may start again there.
     script.shard.policy.guarantee_hold = Duration::from_secs(3600);
     script.heartbeat("vm-1", Vec::new());
@@ -493,7 +526,7 @@
     script.answered(&batch, CommandOutcome::Executed(heartbeat));
     script.heartbeat("vm-1", runs);
     script.shard.delegate("beta", script.now);
-    script.settle();
+    script.reconcile();
     for _ in 0..120 {
         script.pass(Duration::from_secs(1));
         script.heartbeat("vm-2", Vec::new());
@@ -503,7 +536,7 @@
     // The delegation's end is written at once here. The delegate may answer a little
     // longer, and the worker's lease runs from its last answer.
     script.shard.revoke("beta");
-    script.settle();
+    script.reconcile();
     for _ in 0..26 {
         script.pass(Duration::from_secs(1));
         script.heartbeat("vm-2", Vec::new());
@@ -523,14 +556,14 @@
 /// for them, so that lost work elsewhere starts again, and what runs there runs on.
 #[test]
 fn a_delegates_inventory_accounts_for_machines_without_opening_them() {
-    let mut script = Script::new(Loaded {
+    let mut script = Script::new(RecoveredState {
         jobs: vec![("run-1".into(), TOKEN - 1, record(spec("blue", 1.0, 2)))],
         roster: vec![roster("vm-1")],
-        ..Loaded::default()
+        ..RecoveredState::default()
     });
     script.heartbeat("vm-2", Vec::new());
     script.shard.delegate("beta", script.now);
-    script.settle();
+    script.reconcile();
     assert!(script.shard.wants_inventories());
     assert!(script.launches().is_empty(), "both tasks may run on vm-1");
     let runs = vec![listed("run-1/0", 7, TaskState::Running, None)];
@@ -542,7 +575,7 @@
     );
     let heartbeat = script.heartbeat_of("vm-1", TOKEN, runs);
     script.shard.relayed(&heartbeat, script.now);
-    script.settle();
+    script.reconcile();
     assert!(!script.shard.wants_inventories());
     let launches = script.launches();
     assert_eq!(launches.len(), 1, "the task that vm-1 doesn't hold");
@@ -556,7 +589,7 @@
 /// until it has answered.
 #[test]
 fn a_machine_that_does_not_hear_us_gets_no_work_until_it_answers() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
     let batch = script.launches().remove(0);
@@ -566,7 +599,7 @@
     let mut heartbeat = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     heartbeat.agent_epoch = 2;
     script.shard.heartbeat(&heartbeat, script.now);
-    script.settle();
+    script.reconcile();
     let moved = script.launches();
     assert_eq!(moved.len(), 1);
     assert_eq!(&*moved[0].0, "vm-2", "vm-1 is heard, but has not answered");
@@ -589,20 +622,20 @@
 /// lease look longer, or lost tasks would wait for as long as copies come.
 #[test]
 fn a_duplicated_heartbeat_renews_no_lease() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     let first = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.shard.heartbeat(&first, script.now);
     script.heartbeat("vm-1", Vec::new());
-    let lease_over = script.machine("vm-1").lease_over;
+    let lease_expires_at = script.machine("vm-1").lease_expires_at;
     for _ in 0..40 {
         script.now += Duration::from_secs(1);
         script.shard.heartbeat(&first, script.now);
-        script.settle();
+        script.reconcile();
     }
-    assert_eq!(script.machine("vm-1").lease_over, lease_over);
-    let silence = script.machine("vm-1").silence(script.now);
+    assert_eq!(script.machine("vm-1").lease_expires_at, lease_expires_at);
+    let since_last_contact = script.machine("vm-1").since_last_contact(script.now);
     assert!(
-        silence >= Duration::from_secs(40),
+        since_last_contact >= Duration::from_secs(40),
         "a copy is no sign of life"
     );
 }
@@ -611,7 +644,7 @@
 /// heartbeat is no copy, and its worker takes our answer to it.
 #[test]
 fn a_heartbeat_that_an_answer_overtook_renews_the_lease() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     script.heartbeat("vm-1", Vec::new());
     let heartbeat = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
@@ -620,7 +653,7 @@
     script.answered(&batch, CommandOutcome::Executed(answer));
     script.now += Duration::from_secs(10);
     script.shard.heartbeat(&heartbeat, script.now);
-    assert!(script.machine("vm-1").lease_over > script.now + Duration::from_secs(26));
+    assert!(script.machine("vm-1").lease_expires_at > script.now + Duration::from_secs(26));
 }
 
 /// A machine may be back within a fraction of a second, with numbers that begin
@@ -628,14 +661,14 @@
 /// proves it, and its deletion proves that nothing lands there any more.
 #[test]
 fn a_worker_that_starts_over_is_asked_and_its_machine_given_back() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     for _ in 0..5 {
         script.heartbeat("vm-1", Vec::new());
     }
     let mut old = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     old.sequence = 1;
     script.shard.heartbeat(&old, script.now);
-    script.settle();
+    script.reconcile();
     let probe = script.probes().remove(0);
     assert!(!script.machine("vm-1").deleting, "it may be a copy");
     // The answer of a worker that went on has newer numbers.
@@ -644,7 +677,7 @@
     assert!(!script.machine("vm-1").deleting);
     script.now += Duration::from_secs(3);
     script.shard.heartbeat(&old, script.now);
-    script.settle();
+    script.reconcile();
     let probe = script.probes().remove(0);
     script.answered(&probe, CommandOutcome::Refused(old));
     assert!(script.machine("vm-1").deleting);
@@ -654,14 +687,14 @@
 /// as long as its worker was answered through a cut.
 #[test]
 fn a_delegate_stops_what_belongs_to_jobs_that_are_over() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     let heartbeat = script.heartbeat_of(
         "vm-1",
         TOKEN,
         vec![
             listed("run-1/0", 1, TaskState::Running, None),
             listed("run-2/0", 2, TaskState::Running, None),
-            listed("run-2/1", 3, TaskState::Ended, Some(Ending::Done)),
+            listed("run-2/1", 3, TaskState::Ended, Some(AttemptOutcome::Done)),
         ],
     );
     let commands = delegate_commands(&heartbeat, |job| job == "run-1");
@@ -678,9 +711,9 @@
 #[test]
 fn the_last_machine_that_answers_nothing_is_given_back_soon() {
     let ids: Vec<String> = (0..30).map(|n| format!("vm-{n:02}")).collect();
-    let mut script = Script::new(Loaded {
+    let mut script = Script::new(RecoveredState {
         roster: ids.iter().map(|id| roster(id)).collect(),
-        ..Loaded::default()
+        ..RecoveredState::default()
     });
     for step in 0..4 {
         for probe in script.probes() {
@@ -701,14 +734,14 @@
     assert!(!script.machine("vm-20").deleting);
 }
 
-/// Found at full size: after a take-over during a cut, hundreds of machines whose
-/// work nobody had accounted for looked idle and were given back.
+/// Found at full size: after a attempt_number-over during a cut, hundreds of machines whose
+/// work nobody had reconciled looked idle and were given back.
 #[test]
 fn nothing_is_given_back_as_idle_while_machines_are_unaccounted_for() {
-    let mut script = Script::new(Loaded {
+    let mut script = Script::new(RecoveredState {
         jobs: vec![("run-1".into(), TOKEN - 1, record(spec("red", 8.0, 2)))],
         roster: ["vm-0", "vm-1", "vm-2", "vm-3"].map(roster).into(),
-        ..Loaded::default()
+        ..RecoveredState::default()
     });
     // Their delegate keeps vm-0 and vm-3 alive, but says nothing of them.
     script.shard.delegate("beta", script.now);
@@ -725,10 +758,10 @@
 /// Neither a copy of a heartbeat nor a list that lags brings a deleted machine back.
 #[test]
 fn a_copy_does_not_revive_a_deleted_machine() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     let copy = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.shard.heartbeat(&copy, script.now);
-    script.settle();
+    script.reconcile();
     let gone: MachineId = "vm-1".into();
     script
         .shard
@@ -738,7 +771,7 @@
         script.pass(Duration::from_secs(1));
         let outcome = script.shard.heartbeat(&copy, script.now);
         assert_eq!(outcome, HeartbeatOutcome::Refuse);
-        script.settle();
+        script.reconcile();
     }
     assert!(script.shard.machines().get("vm-1").is_none());
     assert!(script.launches().is_empty());
@@ -749,10 +782,10 @@
 /// that might be there, but an earlier leader had started work in it.
 #[test]
 fn a_new_agent_epoch_does_not_account_for_what_an_earlier_leader_started_in_it() {
-    let mut script = Script::new(Loaded {
+    let mut script = Script::new(RecoveredState {
         jobs: vec![("run-1".into(), TOKEN - 1, record(spec("blue", 1.0, 1)))],
         roster: vec![roster("vm-1")],
-        ..Loaded::default()
+        ..RecoveredState::default()
     });
     script.heartbeat("vm-2", Vec::new());
     let copy = script.heartbeat_of("vm-1", TOKEN - 1, Vec::new());
@@ -760,15 +793,15 @@
     let mut real = script.heartbeat_of("vm-1", TOKEN - 1, Vec::new());
     real.agent_epoch = 2;
     script.shard.heartbeat(&real, script.now);
-    script.settle();
+    script.reconcile();
     assert!(
         script.launches().is_empty(),
         "run-1 may run in agent epoch 2"
     );
     let runs = vec![listed("run-1/0", 7, TaskState::Running, None)];
-    let mut synced = script.heartbeat_of("vm-1", TOKEN, runs);
-    synced.agent_epoch = 2;
-    script.shard.heartbeat(&synced, script.now);
+    let mut token_acknowledged = script.heartbeat_of("vm-1", TOKEN, runs);
+    token_acknowledged.agent_epoch = 2;
+    script.shard.heartbeat(&token_acknowledged, script.now);
     script.pass(Duration::from_secs(1));
     assert!(script.launches().is_empty(), "it does");
 }
@@ -778,10 +811,10 @@
 #[test]
 fn what_may_be_kept_by_an_advance_delegation_is_not_over_with_its_lease() {
     let mut script = Script::among(ALONE, one_old_job(1, &["vm-1"]));
-    let lease = script.shard.policy.lease_surely_over();
+    let lease = script.shard.policy.worker_lease_bound();
     let start = script.now;
     let second = Duration::from_secs(1);
-    let unaccounted = |script: &mut Script, time: Duration, kept: Option<Duration>| {
+    let unreconciled_tasks = |script: &mut Script, time: Duration, kept: Option<Duration>| {
         script.now = start + time;
         let kept = kept.map(|time| start + time);
         script.shard.note_answers_by_others(kept, script.now);
@@ -789,16 +822,20 @@
         script.shard.summary().contains("unresolved 1")
     };
     // Under an earlier fencing token, from just before this one began.
-    assert!(unaccounted(&mut script, lease + ALONE - second, None));
+    assert!(unreconciled_tasks(
+        &mut script,
+        lease + ALONE - second,
+        None
+    ));
     // Under ours: someone may still be answering, or did until then.
     let later = lease + ALONE + second;
-    assert!(unaccounted(&mut script, later, Some(later)));
-    assert!(unaccounted(
+    assert!(unreconciled_tasks(&mut script, later, Some(later)));
+    assert!(unreconciled_tasks(
         &mut script,
         later + lease - second,
         Some(later)
     ));
-    assert!(!unaccounted(
+    assert!(!unreconciled_tasks(
         &mut script,
         later + lease + second,
         Some(later)
@@ -824,16 +861,16 @@
     let launches = script.launches();
     assert_eq!(launches.len(), 1);
     assert!(matches!(&launches[0].2[..], [Command::Launch { task, .. }] if task.index == 0));
-    assert!(!script.machine("vm-2").synced);
+    assert!(!script.machine("vm-2").token_acknowledged);
 }
 
 /// The same for a job that may have half of its tasks in a zone: those that
 /// nobody has seen count wherever they may be.
 #[test]
 fn tasks_that_nobody_has_seen_count_in_every_zone_where_they_may_be() {
-    let mut loaded = one_old_job(4, &["vm-1", "vm-2"]);
-    loaded.jobs[0].2.spec.scatter = true;
-    let mut script = Script::new(loaded);
+    let mut recovered = one_old_job(4, &["vm-1", "vm-2"]);
+    recovered.jobs[0].2.spec.scatter = true;
+    let mut script = Script::new(recovered);
     let running = |n| listed(&format!("run-1/{n}"), 7, TaskState::Running, None);
     let probe = script.probes().remove(0);
     let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![running(0), running(1)]);
@@ -845,10 +882,10 @@
 }
 
 /// Found on a burst: each pass saw the one task being stopped as the room for
-/// all that waited, so that a thousand cores of lesser work gave way one by one.
+/// all that waited, so that a thousand cores of lower-priority work gave way one by one.
 #[test]
 fn room_is_made_for_as_many_tasks_as_wait() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     script.heartbeat("vm-1", Vec::new());
     let lesser = JobSpec {
         priority: Priority::BestEffort,
@@ -895,7 +932,7 @@
 /// others, and missed every later time that counts as well.
 #[test]
 fn a_late_job_goes_by_the_next_time_that_it_can_make() {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     script.shard.policy.deadline_times = [("sums".to_owned(), vec![1.0, 1.5])].into();
     script.shard.policy.finish_within = [("sums".to_owned(), Duration::from_secs(250))].into();
     let job = JobSpec {
@@ -930,7 +967,7 @@
     // A task each 5 s, for the 20 s that a slow boot takes, and the root of that.
     let to_come = script.shard.services_to_come(script.now);
     assert!((4.0..8.0).contains(&to_come), "{to_come}");
-    let held = Script::new(Loaded::default());
+    let held = Script::new(RecoveredState::default());
     assert!(held.shard.policy.holds_capacity());
     assert_eq!(held.shard.services_to_come(held.now), 0.0);
 }
--- a/src/coordination/shard/tests/standstill.rs
+++ b/src/coordination/shard/tests/standstill.rs
@@ -5,14 +5,14 @@
 
 use super::script::{Script, listed};
 use super::world::spec;
-use crate::coordination::shard::{Action, CommandOutcome, Loaded};
+use crate::coordination::shard::{Action, CommandOutcome, RecoveredState};
 use crate::protocol::workers::{Command, TaskState};
 
 const MACHINES: [&str; 6] = ["vm-1", "vm-2", "vm-3", "vm-4", "vm-5", "vm-6"];
 
 /// Machines each of which runs a task that fills it.
 fn busy() -> Script {
-    let mut script = Script::new(Loaded::default());
+    let mut script = Script::new(RecoveredState::default());
     for id in MACHINES.iter().chain(&MACHINES) {
         script.heartbeat(id, Vec::new());
     }
@@ -73,8 +73,8 @@
         .iter()
         .map(|id| {
             let attempts = &script.machine(id).attempts;
-            let ((task, take), _) = attempts.first_key_value().expect("a task");
-            listed(&task.to_string(), *take, TaskState::Running, None)
+            let ((task, attempt_number), _) = attempts.first_key_value().expect("a task");
+            listed(&task.to_string(), *attempt_number, TaskState::Running, None)
         })
         .collect();
     script.pass(Duration::from_secs(40));
@@ -88,7 +88,7 @@
     }
     let late = script.heartbeat_of(MACHINES[0], super::script::TOKEN, vec![lines[0].clone()]);
     script.shard.heartbeat(&late, script.now);
-    script.settle();
+    script.reconcile();
     let launched = script.launches();
     assert!(
         launched
--- a/src/coordination/shard/tests/world.rs
+++ b/src/coordination/shard/tests/world.rs
@@ -12,12 +12,12 @@
 use serde_json::Value;
 
 use crate::coordination::shard::{
-    Action, CommandOutcome, HeartbeatOutcome, Job, Loaded, LoadedMachine, Policy, RentalOutcome,
-    Shard, ShardWrite, TeamPolicy,
+    Action, CommandOutcome, HeartbeatOutcome, Job, Policy, RecoveredMachine, RecoveredState,
+    RentalOutcome, Shard, ShardWrite, TeamPolicy,
 };
 use crate::protocol::cloud::{Listed, ListedState, MachineType, Rental};
 use crate::protocol::users::{JobKind, JobSpec, Priority, Stage};
-use crate::protocol::workers::{Command, Ending, TaskState, TaskStatus, WorkerHeartbeat};
+use crate::protocol::workers::{AttemptOutcome, Command, TaskState, TaskStatus, WorkerHeartbeat};
 use crate::protocol::{MachineId, TaskId};
 use crate::storage::keys;
 use crate::storage::records::{FinalRecord, JobRecord, VERSION};
@@ -89,7 +89,7 @@
         ..TeamPolicy::default()
     };
     Policy {
-        label: "n0".into(),
+        node_id: "n0".into(),
         teams: [
             ("red".to_owned(), team(8.0, 16.0)),
             ("blue".to_owned(), team(0.0, 0.0)),
@@ -101,15 +101,15 @@
         heartbeat_interval: Duration::from_secs(3),
         worker_lease: LEASE,
         gang_wait: GANG_WAIT,
-        alone: ALONE,
+        advance_delegation: ALONE,
         txn_ops: 8,
         value_bytes: 8192,
         snapshot: Duration::from_secs(3),
         staleness: Duration::from_secs(15),
         snapshot_writes_per_s: 10.0,
-        fact_writes_per_s: 20.0,
-        suspect: Duration::from_secs(6),
-        abandon: Duration::from_secs(7),
+        record_writes_per_s: 20.0,
+        suspect_after: Duration::from_secs(6),
+        dead_after: Duration::from_secs(7),
         headroom: 0.1,
         idle: Duration::from_secs(10),
         guarantee_hold: Duration::from_secs(30),
@@ -120,7 +120,7 @@
 #[derive(Debug, Clone)]
 struct WorkerTask {
     state: TaskState,
-    ending: Option<Ending>,
+    outcome: Option<AttemptOutcome>,
     fetched: Instant,
     ends: Instant,
     /// A gang's task: since when it waits, or since when it knows that one is gone.
@@ -170,15 +170,15 @@
             agent_epoch: self.agent_epoch,
             sequence: self.sequence,
             fencing_token: self.fencing_token,
-            notice_s: None,
+            preemption_notice_s: None,
             tasks: self
                 .tasks
                 .iter()
-                .map(|((task, take), state)| TaskStatus {
+                .map(|((task, attempt_number), state)| TaskStatus {
                     task: task.clone(),
-                    attempt: *take,
+                    attempt: *attempt_number,
                     state: state.state,
-                    ending: state.ending,
+                    outcome: state.outcome,
                 })
                 .collect(),
         }
@@ -288,7 +288,7 @@
     specs: BTreeMap<String, Arc<JobSpec>>,
     roster: BTreeMap<String, serde_json::Value>,
     chunks: BTreeMap<String, Value>,
-    bookings: BTreeMap<String, serde_json::Value>,
+    pending_rentals: BTreeMap<String, serde_json::Value>,
     rented: BTreeMap<String, Vec<String>>,
     next_machine: u64,
     workers: BTreeMap<String, Worker>,
@@ -329,7 +329,7 @@
             specs: BTreeMap::new(),
             roster: BTreeMap::new(),
             chunks: BTreeMap::new(),
-            bookings: BTreeMap::new(),
+            pending_rentals: BTreeMap::new(),
             rented: BTreeMap::new(),
             next_machine: 0,
             workers: BTreeMap::new(),
@@ -366,7 +366,7 @@
         self.jobs
             .insert(id.to_owned(), (self.revision, record.clone()));
         let (mod_revision, now) = (self.revision, self.now);
-        self.tell(|shard| shard.job_put(id, mod_revision, record, now));
+        self.tell(|shard| shard.job_accepted(id, mod_revision, record, now));
     }
 
     pub fn cancel(&mut self, id: &str) {
@@ -401,14 +401,14 @@
 
     /// A new leader takes over; the old one is gone, its messages are not. While
     /// the key-value store is out, none can.
-    pub fn take_over(&mut self) {
+    pub fn recover(&mut self) {
         if let Some(until) = self.outage_until.filter(|until| *until > self.now) {
             self.run(until - self.now);
         }
         self.revision += 1;
         self.fencing_token = FencingToken::new(self.revision);
         self.leader_run += 1;
-        let loaded = Loaded {
+        let recovered = RecoveredState {
             jobs: self
                 .jobs
                 .iter()
@@ -416,13 +416,13 @@
                 .collect(),
             roster: self.loaded_roster(),
             chunks: self.chunks.clone(),
-            bookings: self
-                .bookings
+            pending_rentals: self
+                .pending_rentals
                 .values()
                 .map(|value| serde_json::from_value(value.clone()).expect("a rental"))
                 .collect(),
         };
-        let mut shard = Shard::take_over(policy(), self.fencing_token, loaded, self.now, 0);
+        let mut shard = Shard::recover(policy(), self.fencing_token, recovered, self.now, 0);
         shard.set_types(&machine_types());
         self.leader = Some(Leader {
             run: self.leader_run,
@@ -431,15 +431,15 @@
         self.act();
     }
 
-    fn loaded_roster(&self) -> Vec<LoadedMachine> {
-        let mut loaded = Vec::new();
+    fn loaded_roster(&self) -> Vec<RecoveredMachine> {
+        let mut recovered = Vec::new();
         for (key, value) in &self.roster {
             let page = key[keys::roster_prefix().len()..].parse().expect("a page");
             for (id, record) in read_page(value).expect("a roster page") {
-                loaded.push(LoadedMachine { id, page, record });
+                recovered.push(RecoveredMachine { id, page, record });
             }
         }
-        loaded
+        recovered
     }
 
     pub fn crash_leader(&mut self) {
@@ -450,7 +450,7 @@
         let now = self.now;
         if let Some(leader) = &mut self.leader {
             event(&mut leader.shard);
-            leader.shard.settle(now);
+            leader.shard.reconcile(now);
         }
         self.act();
     }
@@ -507,8 +507,8 @@
                     let record = self.finals.get(&*job).cloned();
                     let now = self.now;
                     if let Some(leader) = &mut self.leader {
-                        leader.shard.orphan_read(&job, record);
-                        leader.shard.settle(now);
+                        leader.shard.orphan_job_resolved(&job, record);
+                        leader.shard.reconcile(now);
                     }
                     self.act();
                 }
@@ -824,7 +824,7 @@
                 });
             }
             Message::JobOver { job, stage } => {
-                self.tell(|shard| shard.job_gone(&job, Some(stage)));
+                self.tell(|shard| shard.job_finished(&job, Some(stage)));
             }
             Message::Rent { leader, rental } => {
                 let known = self.rented.get(&rental.request).cloned();
@@ -901,8 +901,8 @@
         } else if key.starts_with(&keys::snapshot_prefix()) {
             &mut self.chunks
         } else {
-            assert!(key.starts_with(&keys::booking_prefix()), "{key}");
-            &mut self.bookings
+            assert!(key.starts_with(&keys::rental_prefix()), "{key}");
+            &mut self.pending_rentals
         };
         match value {
             Some(value) => kept.insert(key, value),
@@ -987,7 +987,7 @@
 
     /// Calls off a job whose last task is ending right now, if there is one.
     pub fn cancel_at_end(&mut self) -> bool {
-        let ending = self.jobs.iter().find(|(id, (_, record))| {
+        let outcome = self.jobs.iter().find(|(id, (_, record))| {
             let id: Arc<str> = id.as_str().into();
             let done = |index| {
                 let job = id.clone();
@@ -995,7 +995,7 @@
             };
             (0..record.spec.tasks).all(done)
         });
-        let Some(id) = ending.map(|(id, _)| id.clone()) else {
+        let Some(id) = outcome.map(|(id, _)| id.clone()) else {
             return false;
         };
         self.cancel(&id);
@@ -1045,14 +1045,14 @@
                         .tasks
                         .iter()
                         .any(|((t, _), s)| t == task && s.state != TaskState::Ended);
-                    let (state, ending) = if other {
-                        (TaskState::Ended, Some(Ending::Busy))
+                    let (state, outcome) = if other {
+                        (TaskState::Ended, Some(AttemptOutcome::Busy))
                     } else {
                         (TaskState::Fetching, None)
                     };
                     let state = WorkerTask {
                         state,
-                        ending,
+                        outcome,
                         fetched: now + fetch,
                         ends: now + fetch + run,
                         since: now,
@@ -1065,7 +1065,7 @@
                         && state.state != TaskState::Ended
                     {
                         state.state = TaskState::Ended;
-                        state.ending = Some(Ending::Stopped);
+                        state.outcome = Some(AttemptOutcome::Stopped);
                         worker.next_heartbeat = now;
                     }
                 }
@@ -1114,7 +1114,7 @@
                     let spec = self.specs.get(&*task.job);
                     if self.done.contains(task) {
                         state.state = TaskState::Ended;
-                        state.ending = Some(Ending::Done);
+                        state.outcome = Some(AttemptOutcome::Done);
                     } else if spec.is_some_and(|spec| spec.is_gang()) {
                         state.state = TaskState::Waiting;
                         state.since = now;
@@ -1131,7 +1131,7 @@
                         .is_some_and(|spec| spec.kind == JobKind::Batch);
                     if batch {
                         state.state = TaskState::Ended;
-                        state.ending = Some(Ending::Done);
+                        state.outcome = Some(AttemptOutcome::Done);
                         self.done.insert(task.clone());
                         worker.next_heartbeat = now;
                     }
@@ -1152,9 +1152,9 @@
                 // Its delegate stops what was cancelled before the cut.
                 for ((task, _), state) in &mut worker.tasks {
                     let told = self.cancelled.get(&*task.job);
-                    if told.is_some_and(|at| *at + ALONE <= until) && state.ending.is_none() {
+                    if told.is_some_and(|at| *at + ALONE <= until) && state.outcome.is_none() {
                         state.state = TaskState::Ended;
-                        state.ending = Some(Ending::Stopped);
+                        state.outcome = Some(AttemptOutcome::Stopped);
                     }
                 }
                 self.kept.insert(fencing_token, now);
@@ -1182,53 +1182,54 @@
         let now = self.now;
         let mut attempts: BTreeMap<(Arc<str>, u64), u32> = BTreeMap::new();
         for worker in self.workers.values().filter(|worker| !worker.dead) {
-            for ((task, take), state) in &worker.tasks {
+            for ((task, attempt_number), state) in &worker.tasks {
                 let spec = self.specs.get(&*task.job);
                 if state.state != TaskState::Ended && spec.is_some_and(|spec| spec.is_gang()) {
                     let together = matches!(state.state, TaskState::Waiting | TaskState::Running);
                     let hangs = lasts(worker.hang_until, now);
-                    *attempts.entry((task.job.clone(), *take)).or_default() +=
-                        u32::from(together && !hangs);
+                    *attempts
+                        .entry((task.job.clone(), *attempt_number))
+                        .or_default() += u32::from(together && !hangs);
                 }
             }
         }
-        for ((job, take), together) in attempts {
+        for ((job, attempt_number), together) in attempts {
             let tasks = self.specs.get(&*job).map_or(0, |spec| spec.tasks);
-            let started = self.gangs.contains_key(&(job.clone(), take));
+            let started = self.gangs.contains_key(&(job.clone(), attempt_number));
             if together == tasks && !started {
                 let run = Duration::from_millis(self.rng.random_range(2000..20_000));
-                self.gangs.insert((job.clone(), take), now + run);
+                self.gangs.insert((job.clone(), attempt_number), now + run);
                 self.gang_starts += 1;
             }
-            let ends = self.gangs.get(&(job.clone(), take)).copied();
+            let ends = self.gangs.get(&(job.clone(), attempt_number)).copied();
             let over = together == tasks && ends.is_some_and(|ends| ends <= now);
             let mine = self.workers.values_mut().filter(|w| !w.dead);
             for worker in mine.filter(|w| !lasts(w.hang_until, now)) {
                 let of_gang = |((task, at), state): &(&(TaskId, u64), &mut WorkerTask)| {
-                    task.job == job && *at == take && state.state != TaskState::Ended
+                    task.job == job && *at == attempt_number && state.state != TaskState::Ended
                 };
                 for ((task, _), state) in worker.tasks.iter_mut().filter(of_gang) {
                     let passed = now.saturating_duration_since(state.since);
                     let whole = together == tasks;
-                    let (next, ending) = match state.state {
-                        _ if over => (TaskState::Ended, Some(Ending::Done)),
+                    let (next, outcome) = match state.state {
+                        _ if over => (TaskState::Ended, Some(AttemptOutcome::Done)),
                         TaskState::Waiting if whole => (TaskState::Running, None),
                         TaskState::Running if whole => {
                             state.since = now;
                             continue;
                         }
                         TaskState::Waiting if passed > GANG_WAIT => {
-                            (TaskState::Ended, Some(Ending::Alone))
+                            (TaskState::Ended, Some(AttemptOutcome::GangIncomplete))
                         }
                         TaskState::Running if passed > GANG_PEER => {
-                            (TaskState::Ended, Some(Ending::Peers))
+                            (TaskState::Ended, Some(AttemptOutcome::GangPeerLost))
                         }
                         _ => continue,
                     };
                     if over {
                         self.done.insert(task.clone());
                     }
-                    (state.state, state.ending) = (next, ending);
+                    (state.state, state.outcome) = (next, outcome);
                     worker.next_heartbeat = now;
                 }
             }
--- a/src/coordination/shard/tests/zones.rs
+++ b/src/coordination/shard/tests/zones.rs
@@ -13,8 +13,8 @@
     let mut heartbeat = script.heartbeat_of(id, super::script::TOKEN, Vec::new());
     heartbeat.zone = zone.into();
     script.shard.heartbeat(&heartbeat, script.now);
-    script.settle();
-    script.settle();
+    script.reconcile();
+    script.reconcile();
 }
 
 fn bound(tasks: u32, cores: f64) -> JobSpec {
--- a/src/coordination/shard/writes.rs
+++ b/src/coordination/shard/writes.rs
@@ -12,12 +12,12 @@
 use crate::protocol::kv::Mutation;
 use crate::protocol::{MachineId, TaskId};
 use crate::storage::keys;
-use crate::storage::records::{BookingRecord, RosterRecord, VERSION};
+use crate::storage::records::{RentalRecord, RosterRecord, VERSION};
 use crate::storage::roster::Roster;
 
 /// What a change is for.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Fact {
+pub enum WritePurpose {
     /// The machine may get tasks from now on.
     Admit(MachineId),
     /// The machine may be deleted from now on.
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct ShardWrite {
     /// What the changes are for.
-    pub facts: Vec<Fact>,
+    pub purposes: Vec<WritePurpose>,
     /// The changes themselves.
     pub mutations: Vec<Mutation>,
 }
@@ -46,7 +46,7 @@
 /// A transaction as it is put together.
 #[derive(Debug, Default)]
 struct WriteInProgress {
-    facts: Vec<Fact>,
+    purposes: Vec<WritePurpose>,
     mutations: Vec<Mutation>,
     bytes: usize,
 }
@@ -54,8 +54,8 @@
 impl WriteInProgress {
     /// Whether it holds nothing but chunks of the snapshot.
     fn is_snapshot_only(&self) -> bool {
-        let chunk = |fact: &Fact| matches!(fact, Fact::Chunk(..));
-        self.facts.len() == self.mutations.len() && self.facts.iter().all(chunk)
+        let chunk = |enqueue: &WritePurpose| matches!(enqueue, WritePurpose::Chunk(..));
+        self.purposes.len() == self.mutations.len() && self.purposes.iter().all(chunk)
     }
 }
 
@@ -64,12 +64,12 @@
 
 /// The queue of writes.
 #[derive(Debug, Default)]
-pub struct Writer {
-    facts: VecDeque<(Fact, Mutation)>,
+pub struct WriteQueue {
+    purposes: VecDeque<(WritePurpose, Mutation)>,
     pub(super) roster: Roster,
     /// What follows once the roster's changes are written.
-    entered: Vec<Fact>,
-    pub(super) chunks: VecDeque<(Fact, Mutation)>,
+    entered: Vec<WritePurpose>,
+    pub(super) chunks: VecDeque<(WritePurpose, Mutation)>,
     in_flight: bool,
     /// What the key-value store holds of the snapshot.
     pub(super) written: BTreeMap<String, Value>,
@@ -79,18 +79,18 @@
     pub(super) dirty_next: Option<Instant>,
     /// The finishes that the snapshot being written covers.
     pub(super) covered: Vec<Finish>,
-    pub(super) cycle: bool,
-    pub(super) last_cycle: Option<Instant>,
+    pub(super) round_in_progress: bool,
+    pub(super) last_round: Option<Instant>,
     /// Chunk writes allowed now.
     tokens: f64,
     /// Changes for facts allowed now; below 0 they wait and gather.
-    fact_tokens: f64,
+    record_tokens: f64,
     refilled: Option<Instant>,
 }
 
-impl Writer {
+impl WriteQueue {
     pub fn progress_changed(&mut self, now: Instant) {
-        let since = if self.cycle {
+        let since = if self.round_in_progress {
             &mut self.dirty_next
         } else {
             &mut self.dirty_since
@@ -108,7 +108,7 @@
     pub(super) fn describe(&self, now: Instant) -> String {
         format!(
             "writes: {} facts, {} roster entries and {} chunks wait, {:.0} chunks allowed now, unrecorded for {:?}",
-            self.facts.len(),
+            self.purposes.len(),
             self.entered.len(),
             self.chunks.len(),
             self.tokens.max(0.0),
@@ -118,8 +118,8 @@
         )
     }
 
-    pub(super) fn fact(&mut self, fact: Fact, change: Mutation) {
-        self.facts.push_back((fact, change));
+    pub(super) fn enqueue(&mut self, enqueue: WritePurpose, change: Mutation) {
+        self.purposes.push_back((enqueue, change));
     }
 }
 
@@ -134,22 +134,22 @@
         }
         machine.admission_asked = true;
         let record = roster_record(machine, false);
-        self.enter(id, record, Fact::Admit(id.clone()));
+        self.enter(id, record, WritePurpose::Admit(id.clone()));
     }
 
     /// Records that a machine is to be deleted, before it is.
-    pub(super) fn record_return(&mut self, id: &MachineId) {
+    pub(super) fn record_deletion(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get(id) else {
             return;
         };
         let record = roster_record(machine, true);
-        self.enter(id, record, Fact::Return(id.clone()));
+        self.enter(id, record, WritePurpose::Return(id.clone()));
     }
 
-    fn enter(&mut self, id: &MachineId, record: RosterRecord, fact: Fact) {
+    fn enter(&mut self, id: &MachineId, record: RosterRecord, enqueue: WritePurpose) {
         let most = self.policy.value_bytes;
         self.writes.roster.put(id, record, most);
-        self.writes.entered.push(fact);
+        self.writes.entered.push(enqueue);
     }
 
     /// Takes a machine that is gone off the roster.
@@ -157,46 +157,46 @@
         self.writes.roster.remove(id);
     }
 
-    pub(super) fn record_booking(&mut self, rental: &Rental) {
-        let record = BookingRecord {
+    pub(super) fn record_scale_out(&mut self, rental: &Rental) {
+        let record = RentalRecord {
             v: VERSION,
             rental: rental.clone(),
         };
         if let Ok(value) = serde_json::to_value(record) {
-            self.writes.fact(
-                Fact::RecordScaleOut(rental.clone()),
-                Mutation::put(keys::booking(&rental.request), value),
+            self.writes.enqueue(
+                WritePurpose::RecordScaleOut(rental.clone()),
+                Mutation::put(keys::pending_rental(&rental.request), value),
             );
         }
     }
 
-    pub(super) fn record_answer(&mut self, request: &str) {
-        self.writes.fact(
-            Fact::ClearScaleOut(request.to_owned()),
-            Mutation::delete(keys::booking(request)),
+    pub(super) fn clear_scale_out(&mut self, request: &str) {
+        self.writes.enqueue(
+            WritePurpose::ClearScaleOut(request.to_owned()),
+            Mutation::delete(keys::pending_rental(request)),
         );
     }
 
     /// Starts the next write if none is under way.
-    pub(super) fn pump_writes(&mut self, now: Instant) {
+    pub(super) fn flush_writes(&mut self, now: Instant) {
         self.refill(now);
         if self.writes.in_flight {
             return;
         }
-        if !self.writes.cycle {
-            self.begin_cycle(now);
+        if !self.writes.round_in_progress {
+            self.begin_snapshot_round(now);
         }
         // One change of every transaction is the sequence number's.
         let room = self.policy.txn_ops - 1;
-        let facts_allowed = self.writes.fact_tokens > 0.0;
+        let facts_allowed = self.writes.record_tokens > 0.0;
         let mut write = WriteInProgress::default();
         if facts_allowed {
             self.take_roster_mutations(room, &mut write);
         }
         self.take_queued(room, facts_allowed, &mut write);
         if write.mutations.is_empty() {
-            if self.writes.cycle && self.writes.chunks.is_empty() {
-                self.end_cycle();
+            if self.writes.round_in_progress && self.writes.chunks.is_empty() {
+                self.end_snapshot_round();
             }
             return;
         }
@@ -204,11 +204,11 @@
         if write.is_snapshot_only() {
             self.writes.tokens -= 1.0;
         } else {
-            self.writes.fact_tokens -= 1.0;
+            self.writes.record_tokens -= 1.0;
         }
         self.writes.in_flight = true;
         self.out.push(Action::Write(ShardWrite {
-            facts: write.facts,
+            purposes: write.purposes,
             mutations: write.mutations,
         }));
     }
@@ -228,7 +228,7 @@
             write.mutations.push(change);
         }
         if !self.writes.roster.has_mutations() && !write.mutations.is_empty() {
-            write.facts.append(&mut self.writes.entered);
+            write.purposes.append(&mut self.writes.entered);
         }
     }
 
@@ -239,9 +239,9 @@
         let full = (self.writes.chunks.len().min(room) + 1) as f64;
         let chunks_allowed = self.writes.tokens >= full.min(self.most_chunks());
         while write.mutations.len() < room {
-            let from_facts = facts_allowed && !self.writes.facts.is_empty();
+            let from_facts = facts_allowed && !self.writes.purposes.is_empty();
             let queue = if from_facts {
-                &mut self.writes.facts
+                &mut self.writes.purposes
             } else if self.writes.tokens >= 1.0 && (chunks_allowed || !write.mutations.is_empty()) {
                 &mut self.writes.chunks
             } else {
@@ -254,16 +254,16 @@
             if write.bytes + size > MAX_TXN_BYTES && !write.mutations.is_empty() {
                 return;
             }
-            let Some((fact, change)) = queue.pop_front() else {
+            let Some((enqueue, change)) = queue.pop_front() else {
                 return;
             };
             if from_facts {
-                self.writes.fact_tokens -= 1.0;
+                self.writes.record_tokens -= 1.0;
             } else {
                 self.writes.tokens -= 1.0;
             }
             write.bytes += size;
-            write.facts.push(fact);
+            write.purposes.push(enqueue);
             write.mutations.push(change);
         }
     }
@@ -275,15 +275,16 @@
 
     fn refill(&mut self, now: Instant) {
         let rate = self.policy.snapshot_writes_per_s;
-        let fact_rate = self.policy.fact_writes_per_s;
+        let fact_rate = self.policy.record_writes_per_s;
         let most = self.most_chunks();
         if let Some(last) = self.writes.refilled {
             let passed = now.saturating_duration_since(last).as_secs_f64();
             self.writes.tokens = (self.writes.tokens + passed * rate).min(most);
-            self.writes.fact_tokens = (self.writes.fact_tokens + passed * fact_rate).min(fact_rate);
+            self.writes.record_tokens =
+                (self.writes.record_tokens + passed * fact_rate).min(fact_rate);
         } else {
             self.writes.tokens = rate;
-            self.writes.fact_tokens = fact_rate;
+            self.writes.record_tokens = fact_rate;
         }
         self.writes.refilled = Some(now);
     }
@@ -316,54 +317,56 @@
         }
         // Facts about the roster's entries follow them; all others have a change.
         let mut mutations = mutations.into_iter();
-        for fact in &write.facts {
-            match fact {
-                Fact::Admit(_) | Fact::Return(_) => writes.entered.push(fact.clone()),
+        for enqueue in &write.purposes {
+            match enqueue {
+                WritePurpose::Admit(_) | WritePurpose::Return(_) => {
+                    writes.entered.push(enqueue.clone())
+                }
                 // Snapshots are laid out again.
-                Fact::Chunk(..) => drop(mutations.next()),
+                WritePurpose::Chunk(..) => drop(mutations.next()),
                 _ => {
                     if let Some(change) = mutations.next() {
-                        writes.facts.push_front((fact.clone(), change));
+                        writes.purposes.push_front((enqueue.clone(), change));
                     }
                 }
             }
         }
-        if writes.cycle {
-            writes.cycle = false;
+        if writes.round_in_progress {
+            writes.round_in_progress = false;
             writes.chunks.clear();
             writes.covered.clear();
-            writes.last_cycle = None;
+            writes.last_round = None;
             writes.dirty_since = writes.dirty_since.or(writes.dirty_next.take());
         }
-        self.pump_writes(now);
+        self.flush_writes(now);
     }
 
     /// The transaction under way was applied.
     pub fn shard_written(&mut self, write: &ShardWrite, now: Instant) {
         self.writes.in_flight = false;
         let mut returned = Vec::new();
-        for fact in &write.facts {
-            match fact {
-                Fact::Admit(id) => {
+        for enqueue in &write.purposes {
+            match enqueue {
+                WritePurpose::Admit(id) => {
                     if let Some(machine) = self.machines.get_mut(id) {
                         machine.admitted = true;
                     }
                 }
-                Fact::Return(id) => returned.push(id.clone()),
-                Fact::RecordScaleOut(rental) => self.out.push(Action::Rent(rental.clone())),
-                Fact::Chunk(key, Some(value)) => {
+                WritePurpose::Return(id) => returned.push(id.clone()),
+                WritePurpose::RecordScaleOut(rental) => self.out.push(Action::Rent(rental.clone())),
+                WritePurpose::Chunk(key, Some(value)) => {
                     self.writes.written.insert(key.clone(), value.clone());
                 }
-                Fact::Chunk(key, None) => {
+                WritePurpose::Chunk(key, None) => {
                     self.writes.written.remove(key);
                 }
-                Fact::Revoked(label) => self.revoked(label, now),
-                Fact::ClearScaleOut(_) | Fact::Delegated => {}
+                WritePurpose::Revoked(node_id) => self.revoked(node_id, now),
+                WritePurpose::ClearScaleOut(_) | WritePurpose::Delegated => {}
             }
         }
         self.delete(&returned);
         self.needs_pass = true;
-        self.pump_writes(now);
+        self.flush_writes(now);
     }
 }
 
@@ -379,12 +382,12 @@
     }
 }
 
-fn roster_record(machine: &super::Machine, returning: bool) -> RosterRecord {
+fn roster_record(machine: &super::Machine, deleting: bool) -> RosterRecord {
     RosterRecord {
         addr: machine.addr.clone(),
         machine_type: machine.machine_type.to_string(),
         zone: machine.zone.to_string(),
         spot: machine.spot,
-        returning,
+        deleting,
     }
 }
--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -6,13 +6,13 @@
     /// What operators may want to know, as text.
     pub fn status(&self) -> String {
         let now = self.now();
-        let leader = self.leader_label().unwrap_or_else(|| "unknown".into());
+        let leader = self.leader_id().unwrap_or_else(|| "unknown".into());
         let latencies = self.kv.latencies();
         let inner = self.lock();
         let mut page = format!(
             "controller {} in {}, up {:?}\nleader of the shard: {leader}\n\
              key-value store: {} answers, p50 {:?}, p99 {:?}, longest {:?}\n",
-            self.label(),
+            self.node_id(),
             self.settings.platform.area,
             now.saturating_duration_since(self.started),
             latencies.answered,
@@ -23,14 +23,14 @@
         for view in inner.peers.views.values() {
             page.push_str(&format!(
                 "peer {}: heard {:?} ago, key-value store {}, workers {}, fencing token {:?}\n",
-                view.heartbeat.label,
+                view.heartbeat.node_id,
                 now.saturating_duration_since(view.at),
                 if view.heartbeat.kv_served {
                     "serves it"
                 } else {
                     "doesn't"
                 },
-                view.heartbeat.workers_heard,
+                view.heartbeat.reachable_workers,
                 view.heartbeat.fencing_token,
             ));
         }
--- a/src/coordination/tests/cancellation_knowledge.rs
+++ b/src/coordination/tests/cancellation_knowledge.rs
@@ -16,7 +16,7 @@
 use crate::coordination::peering::cancellations::{
     confirmed_cancellations, note_peer_cancellations,
 };
-use crate::coordination::shard::{Loaded, Shard};
+use crate::coordination::shard::{RecoveredState, Shard};
 use crate::coordination::worker_heartbeats::{HeartbeatDecision, handle_heartbeat};
 use crate::protocol::TaskId;
 use crate::protocol::kv::WatchEvent;
@@ -47,7 +47,7 @@
 
 /// A leader whose shard runs one job, and its peer, which began at the same time.
 /// The key-value store has just let the leader look at the jobs; it answers nobody
-/// any more, and the peer promises all along.
+/// any more, and the peer votes all along.
 struct Gap {
     clock: Arc<FakeClock>,
     leader: Arc<Node>,
@@ -67,9 +67,9 @@
             at_ms: 0,
             spec: spec(),
         };
-        let loaded = Loaded {
+        let recovered = RecoveredState {
             jobs: vec![("run-000001".into(), ACCEPTED, record.clone())],
-            ..Loaded::default()
+            ..RecoveredState::default()
         };
         let lease = Arc::new(ShardLease::new(
             1,
@@ -78,10 +78,10 @@
             now + second(3),
             now,
         ));
-        let shard = Shard::take_over(
+        let shard = Shard::recover(
             leader.policy.clone(),
             FencingToken::new(TOKEN),
-            loaded,
+            recovered,
             now,
             0,
         );
@@ -98,7 +98,7 @@
             lease: lease.clone(),
             shard,
             advance_grants: AdvanceGrants::default(),
-            finished_told: None,
+            finished_notified: None,
             activities: Default::default(),
         });
         let _ = leader.kv.get("o/0/owner", KV_DEADLINE).await;
@@ -120,7 +120,7 @@
             .record_final("run-000001", &last, CANCELLED);
     }
 
-    /// Time passes in an outage; the leader goes on by promises.
+    /// Time passes in an outage; the leader goes on by votes.
     fn pass(&self, time: Duration) {
         self.clock.advance(time);
         self.lease.extended(self.leader.now() + second(1));
@@ -149,7 +149,7 @@
             task: TaskId::parse("run-000001/0").expect("a task"),
             attempt: 1,
             state: TaskState::Running,
-            ending: None,
+            outcome: None,
         }];
         match handle_heartbeat(&self.leader, &heartbeat) {
             HeartbeatDecision::Renewed(answer) => Some(answer.commands),
@@ -190,7 +190,7 @@
 }
 
 /// The same beside a controller that says nothing of what it told: an older
-/// version, or one that can't be reached. The promise alone must not be enough.
+/// version, or one that can't be reached. The vote alone must not be enough.
 #[tokio::test]
 async fn a_leader_that_can_not_know_of_cancellations_lets_leases_end() {
     let mut gap = Gap::new().await;
@@ -252,7 +252,7 @@
         mod_revision: CANCELLED,
     };
     gap.leader.job_index.take(vec![gone], CANCELLED);
-    gap.leader.tell_finished_jobs();
+    gap.leader.notify_finished_jobs();
     assert!(stops(gap.heartbeat()));
     // The watch, far behind, still tells of its acceptance.
     let lease = gap.lease.clone();
@@ -263,9 +263,9 @@
     };
     let known = gap.leader.with_shard(&lease, "jobs", |shard, now| {
         gap.leader
-            .tell_accepted(shard, "run-000001", ACCEPTED, record, now);
+            .notify_job_accepted(shard, "run-000001", ACCEPTED, record, now);
         let job = shard.jobs().get("run-000001");
-        job.is_some_and(|job| job.over.is_none())
+        job.is_some_and(|job| job.final_stage.is_none())
     });
     assert_eq!(known, Some(false), "it is not taken for an open job again");
 }
--- a/src/coordination/tests/mod.rs
+++ b/src/coordination/tests/mod.rs
@@ -47,7 +47,7 @@
         agent_epoch: 1,
         sequence: 1,
         fencing_token: FencingToken::new(fencing_token),
-        notice_s: None,
+        preemption_notice_s: None,
         tasks: Vec::new(),
     }
 }
--- a/src/coordination/tests/peering.rs
+++ b/src/coordination/tests/peering.rs
@@ -13,7 +13,7 @@
 use crate::coordination::node_state::Leadership;
 use crate::coordination::peering::extension::{grant_extension, proves_unowned, vote_on_revival};
 use crate::coordination::peering::heartbeat::{heartbeat_answered, note_heartbeat, own_heartbeat};
-use crate::coordination::shard::{Loaded, Shard};
+use crate::coordination::shard::{RecoveredState, Shard};
 use crate::protocol::peer_messages::{RevivalVote, ReviveLease};
 use crate::protocol::peers::PeerHeartbeat;
 
@@ -27,10 +27,10 @@
         now + Duration::from_secs(3),
         now,
     ));
-    let shard = Shard::take_over(
+    let shard = Shard::recover(
         node.policy.clone(),
         FencingToken::new(fencing_token),
-        Loaded::default(),
+        RecoveredState::default(),
         now,
         0,
     );
@@ -38,7 +38,7 @@
         lease: lease.clone(),
         shard,
         advance_grants: AdvanceGrants::default(),
-        finished_told: None,
+        finished_notified: None,
         activities: Default::default(),
     });
     lease
@@ -73,22 +73,22 @@
 /// workers: it answers neither users nor workers, and leaves the balancer.
 #[tokio::test]
 async fn a_controller_cut_off_from_all_is_unready_and_says_so_at_once() {
-    use crate::coordination::requests::{Ask, answer};
+    use crate::coordination::requests::{UserRequest, answer};
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
     node.lock().types = Some(Vec::new());
     let _ = node.kv.get("o/0/owner", KV_DEADLINE).await;
     let peer = PeerHeartbeat {
-        label: "beta".into(),
+        node_id: "beta".into(),
         ..PeerHeartbeat::default()
     };
     note_heartbeat(&node, peer.clone());
     assert!(node.ready(), "an outage for all: nobody is served anyway");
     clock.advance(Duration::from_secs(3));
     assert!(!node.ready());
-    let reply = answer(&node, Ask::Poll("run-1".into()), false).await;
+    let reply = answer(&node, UserRequest::Poll("run-1".into()), false).await;
     assert_eq!(reply.status, 503);
-    assert!(node.live_lease().is_none() && node.leader_label().is_none());
+    assert!(node.live_lease().is_none() && node.leader_id().is_none());
     note_heartbeat(&node, peer);
     assert!(node.ready());
 }
@@ -102,12 +102,12 @@
     let mut heartbeat = heartbeat(5);
     node.lock().cancellations.caught_up(node.now());
     let leader = PeerHeartbeat {
-        label: "beta".into(),
+        node_id: "beta".into(),
         fencing_token: Some(FencingToken::new(7)),
         ..PeerHeartbeat::default()
     };
     heartbeat_answered(&node, leader, node.now(), None);
-    clock.advance(advance_delegation::LEADER_SILENT);
+    clock.advance(advance_delegation::LEADER_UNREACHABLE_AFTER);
     assert_eq!(
         node.delegated_fencing_token(&heartbeat),
         None,
@@ -118,7 +118,10 @@
         node.delegated_fencing_token(&heartbeat),
         Some(FencingToken::new(7))
     );
-    assert_eq!(own_heartbeat(&node).answered_alone_ago_ms, 0);
+    assert_eq!(
+        own_heartbeat(&node).answered_by_advance_delegation_ago_ms,
+        0
+    );
     heartbeat.fencing_token = FencingToken::new(8);
     assert_eq!(
         node.delegated_fencing_token(&heartbeat),
@@ -128,25 +131,27 @@
     heartbeat.fencing_token = FencingToken::new(7);
     // The leader heard again, even by an old message: it answers, not we.
     let from_leader = PeerHeartbeat {
-        label: "beta".into(),
+        node_id: "beta".into(),
         fencing_token: Some(FencingToken::new(7)),
         ..PeerHeartbeat::default()
     };
     note_heartbeat(&node, from_leader);
     // An older one without a fencing token, which comes late, takes nothing back.
     let before = PeerHeartbeat {
-        label: "beta".into(),
+        node_id: "beta".into(),
         ..PeerHeartbeat::default()
     };
     note_heartbeat(&node, before);
     assert_eq!(node.delegated_fencing_token(&heartbeat), None);
-    clock.advance(advance_delegation::LEADER_SILENT);
+    clock.advance(advance_delegation::LEADER_UNREACHABLE_AFTER);
     assert_eq!(
         node.delegated_fencing_token(&heartbeat),
         Some(FencingToken::new(7))
     );
     let workers = &node.settings.platform.settings.workers;
-    clock.advance(workers.cancel() - workers.lease() - advance_delegation::LEADER_SILENT * 2);
+    clock.advance(
+        workers.cancel() - workers.lease() - advance_delegation::LEADER_UNREACHABLE_AFTER * 2,
+    );
     assert_eq!(
         node.delegated_fencing_token(&heartbeat),
         None,
@@ -155,7 +160,7 @@
 }
 
 /// Refused by the key-value store alone, a leader is replaced, and the service then
-/// falls out for all: the new leader needs the promise of the old, which was never
+/// falls out for all: the new leader needs the vote of the old, which was never
 /// told that its lease has ended. Its fencing token in the new leader's heartbeat tells it.
 #[tokio::test]
 async fn a_leader_that_hears_of_a_later_one_gives_up_and_promises() {
@@ -166,7 +171,7 @@
     let _ = node.kv.get("o/0/owner", KV_DEADLINE).await;
     clock.advance(Duration::from_secs(4));
     let heartbeat = |fencing_token| PeerHeartbeat {
-        label: "n1".into(),
+        node_id: "n1".into(),
         fencing_token: Some(fencing_token),
         ..PeerHeartbeat::default()
     };
--- a/src/coordination/tests/reach.rs
+++ b/src/coordination/tests/reach.rs
@@ -13,7 +13,7 @@
 use crate::clock::FakeClock;
 use crate::coordination::node::Node;
 use crate::coordination::peering::heartbeat::own_heartbeat;
-use crate::coordination::peering::reach::{ask_unheard_workers, note_unfit};
+use crate::coordination::peering::reach::{note_ineligible, probe_unreachable_workers};
 
 const TOKEN: u64 = 7;
 
@@ -26,7 +26,7 @@
         shard.heartbeat(&heartbeat, now)
     });
     clock.advance(Duration::from_secs(20));
-    note_unfit(node);
+    note_ineligible(node);
     node.lock().leadership = None;
 }
 
@@ -40,15 +40,15 @@
     leader_of_a_silent_worker(&clock, &node, ([127, 0, 0, 1], 1).into());
     for _ in 0..20 {
         clock.advance(Duration::from_secs(5));
-        ask_unheard_workers(&node).await;
-        assert!(own_heartbeat(&node).deaf);
+        probe_unreachable_workers(&node).await;
+        assert!(own_heartbeat(&node).ineligible);
     }
     // The machines may be gone: it doesn't wait for them for ever.
     clock.advance(Duration::from_secs(600));
-    ask_unheard_workers(&node).await;
+    probe_unreachable_workers(&node).await;
     clock.advance(Duration::from_secs(60));
-    ask_unheard_workers(&node).await;
-    assert!(!own_heartbeat(&node).deaf);
+    probe_unreachable_workers(&node).await;
+    assert!(!own_heartbeat(&node).ineligible);
 }
 
 #[tokio::test]
@@ -61,9 +61,12 @@
     tokio::spawn(async move { axum::serve(listener, worker).await });
     leader_of_a_silent_worker(&clock, &node, addr);
     clock.advance(Duration::from_secs(5));
-    ask_unheard_workers(&node).await;
-    assert!(own_heartbeat(&node).deaf, "for half a minute in any case");
+    probe_unreachable_workers(&node).await;
+    assert!(
+        own_heartbeat(&node).ineligible,
+        "for half a minute in any case"
+    );
     clock.advance(Duration::from_secs(30));
-    ask_unheard_workers(&node).await;
-    assert!(!own_heartbeat(&node).deaf);
+    probe_unreachable_workers(&node).await;
+    assert!(!own_heartbeat(&node).ineligible);
 }
--- a/src/coordination/tests/scale.rs
+++ b/src/coordination/tests/scale.rs
@@ -41,7 +41,7 @@
                 at_ms: 0,
                 spec: spec.clone(),
             };
-            shard.job_put(&format!("run-{n:06}"), TOKEN + 1, record, now);
+            shard.job_accepted(&format!("run-{n:06}"), TOKEN + 1, record, now);
         }
         for first in (0..BEGUN).step_by(TASKS_ON_ONE) {
             let mut running = heartbeat(TOKEN);
@@ -51,7 +51,7 @@
                     task: TaskId::parse(&format!("run-{n:06}/0")).expect("a task"),
                     attempt: 9,
                     state: TaskState::Running,
-                    ending: None,
+                    outcome: None,
                 })
                 .collect();
             shard.heartbeat(&running, now);
@@ -104,7 +104,7 @@
         spec,
     };
     sender.with_shard(&lease, "jobs", |shard, now| {
-        shard.job_put(&id, TOKEN + 1, record, now)
+        shard.job_accepted(&id, TOKEN + 1, record, now)
     });
     receiver.lock().peers.progress.insert(
         id.clone(),
--- a/src/coordination/worker_heartbeats.rs
+++ b/src/coordination/worker_heartbeats.rs
@@ -61,6 +61,6 @@
             commands,
         });
     }
-    let leader = node.leader_label().filter(|label| label != node.label());
+    let leader = node.leader_id().filter(|node_id| node_id != node.node_id());
     HeartbeatDecision::Elsewhere(Redirect { leader })
 }
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -30,14 +30,14 @@
 /// What a controller knows of itself.
 #[derive(Debug, Clone, Default, PartialEq, Archive, Serialize, Deserialize)]
 pub struct PeerHeartbeat {
-    /// Its label.
-    pub label: String,
+    /// Its node id.
+    pub node_id: String,
     /// Its zone.
     pub zone: String,
     /// Whether the key-value store answered it lately.
     pub kv_served: bool,
     /// Machines whose workers tried to send heartbeats to it lately.
-    pub workers_heard: u32,
+    pub reachable_workers: u32,
     /// Seconds since it started.
     pub up_s: u64,
     /// The fencing token of the shard that it runs, if any.
@@ -47,9 +47,9 @@
     /// From the leader: its unfinished jobs with their tasks done and running.
     pub progress: Vec<Progress>,
     /// Whether it gave the shard up lately because it heard too few workers.
-    pub deaf: bool,
+    pub ineligible: bool,
     /// How long ago it may last have answered workers by an advance delegation.
-    pub answered_alone_ago_ms: u64,
+    pub answered_by_advance_delegation_ago_ms: u64,
 }
 
 /// How far a job is, for display.
@@ -68,7 +68,7 @@
 pub enum PeerAnswer {
     /// The answering controller's own.
     Heartbeat(PeerHeartbeat),
-    /// Whether the promise is given.
+    /// Whether the vote is given.
     LeaseExtension {
         /// Whether it leaves the shard alone for so long.
         granted: bool,
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -26,7 +26,7 @@
 /// Why a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ending {
+pub enum AttemptOutcome {
     /// It has completed.
     Done,
     /// It was stopped by a command.
@@ -44,10 +44,10 @@
     Unknown,
     /// Another task of its gang is gone.
     #[serde(rename = "peers")]
-    Peers,
+    GangPeerLost,
     /// Its gang was not complete in time.
     #[serde(rename = "alone")]
-    Alone,
+    GangIncomplete,
     /// A reason that this version doesn't know.
     #[serde(other)]
     Other,
@@ -67,7 +67,7 @@
     pub state: TaskState,
     /// Why it ended, if it has.
     #[serde(rename = "Coda", default, skip_serializing_if = "Option::is_none")]
-    pub ending: Option<Ending>,
+    pub outcome: Option<AttemptOutcome>,
 }
 
 /// A worker's heartbeat.
@@ -99,7 +99,7 @@
     pub fencing_token: FencingToken,
     /// Seconds until the cloud takes the machine away, if it said so.
     #[serde(rename = "CueS", default)]
-    pub notice_s: Option<f64>,
+    pub preemption_notice_s: Option<f64>,
     /// All tasks on the machine, ended ones too until they are cleared.
     #[serde(rename = "Voices")]
     pub tasks: Vec<TaskStatus>,
@@ -169,7 +169,7 @@
 /// Where a worker should send heartbeats instead.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Redirect {
-    /// The label of the controller to send heartbeats to, if it is known.
+    /// The node id of the controller to send heartbeats to, if it is known.
     #[serde(rename = "Conductor", skip_serializing_if = "Option::is_none")]
     pub leader: Option<String>,
 }
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -38,7 +38,8 @@
     pub refused_s: f64,
     /// How long a controller goes on answering workers without the key-value store
     /// and the leader, at the most.
-    pub keep_alone_s: f64,
+    #[serde(rename = "keep-alone-s")]
+    pub advance_delegation_s: f64,
 }
 
 impl Default for Operator {
@@ -56,7 +57,7 @@
             idle_s: 10.0,
             guarantee_hold_s: 30.0,
             refused_s: 15.0,
-            keep_alone_s: 45.0,
+            advance_delegation_s: 45.0,
         }
     }
 }
@@ -100,7 +101,7 @@
             ("idle-s", self.idle_s, 0.0, 86_400.0),
             ("guarantee-hold-s", self.guarantee_hold_s, 0.0, 86_400.0),
             ("refused-s", self.refused_s, 1.0, 3600.0),
-            ("keep-alone-s", self.keep_alone_s, 0.0, 600.0),
+            ("keep-alone-s", self.advance_delegation_s, 0.0, 600.0),
         ];
         for (field, value, least, most) in ranges {
             if !(least..=most).contains(&value) {
@@ -160,8 +161,8 @@
     }
 
     /// Longest time without the key-value store and the leader.
-    pub fn keep_alone(&self) -> Duration {
-        Duration::from_secs_f64(self.keep_alone_s)
+    pub fn advance_delegation(&self) -> Duration {
+        Duration::from_secs_f64(self.advance_delegation_s)
     }
 }
 
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -10,9 +10,9 @@
 /// Another controller.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Peer {
-    /// Its label.
+    /// Its node id.
     #[serde(rename = "label")]
-    pub label: String,
+    pub node_id: String,
     /// Its zone.
     pub area: String,
     /// Its internal address.
@@ -48,7 +48,7 @@
     pub gpus_max: f64,
 }
 
-/// One of the aims at start and at finish.
+/// One of the objectives at start and at finish.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Objective {
     /// What is aimed at.
@@ -202,7 +202,7 @@
     pub zones: Vec<String>,
     /// The teams.
     pub teams: Vec<Team>,
-    /// The aims at start and at finish.
+    /// The objectives at start and at finish.
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// What applies to workers.
@@ -222,9 +222,9 @@
 /// The whole file.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Platform {
-    /// This controller's label.
+    /// This controller's node id.
     #[serde(rename = "label")]
-    pub label: String,
+    pub node_id: String,
     /// Its zone.
     pub area: String,
     /// The address for users, workers and the balancer.
@@ -267,9 +267,9 @@
     fn rules(&self) -> Vec<Rule> {
         let named = |field, holds, why| Rule { field, holds, why };
         let settings = &self.settings;
-        let itself = self.others.iter().any(|peer| peer.label == self.label);
+        let itself = self.others.iter().any(|peer| peer.node_id == self.node_id);
         let mut rules = vec![
-            named("label", !self.label.is_empty(), "must not be empty"),
+            named("label", !self.node_id.is_empty(), "must not be empty"),
             named("others", !itself, "names this node itself"),
             named(
                 "settings.teams",
--- a/src/storage/inventory.rs
+++ b/src/storage/inventory.rs
@@ -3,7 +3,7 @@
 //! A page holds whole heartbeats. A heartbeat that is larger than a value may be, since the
 //! limits were lowered, is divided into parts, each on a page of its own. An older
 //! version ignores the field with the parts, and so takes no part for a whole heartbeat:
-//! the machine is then accounted for by its worker's lease.
+//! the machine is then reconciled by its worker's lease.
 
 use crate::protocol::FencingToken;
 use std::collections::BTreeMap;
@@ -148,7 +148,7 @@
         agent_epoch: heartbeat.agent_epoch,
         sequence: heartbeat.sequence,
         fencing_token: heartbeat.fencing_token,
-        notice_s: heartbeat.notice_s,
+        preemption_notice_s: heartbeat.preemption_notice_s,
         tasks: Vec::new(),
     }
 }
--- a/src/storage/inventory/tests.rs
+++ b/src/storage/inventory/tests.rs
@@ -10,7 +10,7 @@
         task: TaskId::parse(&format!("run-167419/{index}")).expect("a task"),
         attempt: 33_554_469,
         state: TaskState::Running,
-        ending: None,
+        outcome: None,
     };
     WorkerHeartbeat {
         machine: machine.into(),
@@ -21,7 +21,7 @@
         agent_epoch: 1,
         sequence: 88,
         fencing_token: TOKEN,
-        notice_s: None,
+        preemption_notice_s: None,
         tasks: (0..tasks).map(task).collect(),
     }
 }
@@ -44,7 +44,7 @@
 }
 
 /// Found by reading: a heartbeat larger than a lowered limit was written by nobody, so
-/// that its machine was accounted for by its worker's lease alone.
+/// that its machine was reconciled by its worker's lease alone.
 #[test]
 fn a_heartbeat_larger_than_a_value_is_written_in_parts_and_joined() {
     let mut pending = PendingHeartbeats::default();
--- a/src/storage/job_index.rs
+++ b/src/storage/job_index.rs
@@ -41,7 +41,7 @@
     /// The revision up to which it is complete; None before the first load.
     revision: Option<u64>,
     open: HashSet<String>,
-    over: HashMap<String, (Stage, u32)>,
+    finished: HashMap<String, (Stage, u32)>,
     /// Final jobs in the order in which they came.
     order: VecDeque<String>,
     /// Cancelled jobs by the revision at which they were, the latest ones.
@@ -56,7 +56,11 @@
     fn remember(&mut self, id: &str, stage: Stage, tasks: u32, revision: u64) {
         self.open.remove(id);
         self.endings += 1;
-        if self.over.insert(id.to_owned(), (stage, tasks)).is_none() {
+        if self
+            .finished
+            .insert(id.to_owned(), (stage, tasks))
+            .is_none()
+        {
             self.order.push_back(id.to_owned());
         }
         if stage == Stage::Cancelled {
@@ -69,7 +73,7 @@
         }
         while self.order.len() > MOST_FINAL {
             if let Some(oldest) = self.order.pop_front() {
-                self.over.remove(&oldest);
+                self.finished.remove(&oldest);
             }
         }
     }
@@ -138,7 +142,7 @@
 
     /// A job's final state, if it is known: it needs no look.
     pub fn final_state(&self, id: &str) -> Option<(Stage, u32)> {
-        self.index().over.get(id).copied()
+        self.index().finished.get(id).copied()
     }
 
     /// Notes a final record that was written or read at a revision.
@@ -151,7 +155,7 @@
         let mut index = self.index();
         for (id, revision) in cancelled {
             // Its number of tasks doesn't matter: none of them counts as done.
-            let tasks = index.over.get(&id).map_or(0, |(_, tasks)| *tasks);
+            let tasks = index.finished.get(&id).map_or(0, |(_, tasks)| *tasks);
             index.remember(&id, Stage::Cancelled, tasks, revision);
         }
     }
@@ -177,7 +181,7 @@
     /// Whether a job whose record has this version is known to be over.
     pub fn has_ended(&self, id: &str, mod_revision: u64) -> bool {
         let index = self.index();
-        index.over.contains_key(id)
+        index.finished.contains_key(id)
             || (!index.open.contains(id) && index.revision.is_some_and(|at| mod_revision <= at))
     }
 
@@ -189,7 +193,7 @@
     /// What is known of a job, as of the last look.
     pub fn find(&self, id: &str) -> JobStatus {
         let index = self.index();
-        match index.over.get(id) {
+        match index.finished.get(id) {
             Some((stage, tasks)) => JobStatus::Finished(*stage, *tasks),
             None if index.open.contains(id) => JobStatus::Open,
             None => JobStatus::Unknown,
--- a/src/storage/job_index/tests.rs
+++ b/src/storage/job_index/tests.rs
@@ -38,7 +38,7 @@
             .remember(&format!("run-9{n}"), Stage::Done, 1, 7);
     }
     assert_eq!(job_index.find("run-1"), JobStatus::Unknown);
-    assert_eq!(job_index.index().over.len(), MOST_FINAL);
+    assert_eq!(job_index.index().finished.len(), MOST_FINAL);
 }
 
 #[test]
--- a/src/storage/facts.rs
+++ b/src/storage/job_transition.rs
@@ -6,7 +6,7 @@
 
 /// Moves a job from its unfinished record, at a known version, to its final
 /// one. A job never moves back.
-pub fn end_job(
+pub fn finish_job(
     id: &str,
     mod_revision: u64,
     last: &FinalRecord,
--- a/src/storage/keys.rs
+++ b/src/storage/keys.rs
@@ -33,8 +33,8 @@
 
 /// That a controller may keep workers which the leader can't hear. It stands
 /// beside the leadership record, so that one read tells of both.
-pub fn delegate(label: &str) -> String {
-    format!("o/{SHARD}/keep/{label}")
+pub fn delegate(node_id: &str) -> String {
+    format!("o/{SHARD}/keep/{node_id}")
 }
 
 /// Prefix of what delegates say that their workers hold.
@@ -43,8 +43,8 @@
 }
 
 /// One page of what a delegate says that its workers hold.
-pub fn inventory(label: &str, page: u32) -> String {
-    format!("k/{SHARD}/{label}/{page:04}")
+pub fn inventory(node_id: &str, page: u32) -> String {
+    format!("k/{SHARD}/{node_id}/{page:04}")
 }
 
 /// The shard's sequence number.
@@ -73,21 +73,21 @@
 }
 
 /// Prefix of the rentals that are not yet answered.
-pub fn booking_prefix() -> String {
+pub fn rental_prefix() -> String {
     format!("b/{SHARD}/")
 }
 
 /// A rental that is not yet answered.
-pub fn booking(request: &str) -> String {
+pub fn pending_rental(request: &str) -> String {
     format!("b/{SHARD}/{request}")
 }
 
 /// Prefix of what controllers that can't reach the leader say of the workers.
-pub fn hearing_prefix() -> String {
+pub fn reachability_prefix() -> String {
     format!("h/{SHARD}/")
 }
 
 /// What one controller says of the workers that it hears.
-pub fn hearing(label: &str) -> String {
-    format!("h/{SHARD}/{label}")
+pub fn reachability(node_id: &str) -> String {
+    format!("h/{SHARD}/{node_id}")
 }
--- a/src/storage/kv_client.rs
+++ b/src/storage/kv_client.rs
@@ -65,7 +65,7 @@
 pub struct KvClient {
     addr: SocketAddr,
     clock: Arc<dyn Clock>,
-    facts: HttpClient,
+    requests: HttpClient,
     renewals: HttpClient,
     watches: HttpClient,
     health: Mutex<Health>,
@@ -95,7 +95,7 @@
         Self {
             addr,
             clock,
-            facts: HttpClient::new(),
+            requests: HttpClient::new(),
             renewals: HttpClient::new(),
             watches: HttpClient::new(),
             health: Mutex::new(Health::default()),
@@ -173,7 +173,7 @@
     pub async fn get(&self, key: &str, deadline: Duration) -> Result<Option<KeyValue>, KvError> {
         let path = format!("/store/{key}");
         let answer = self
-            .call(&self.facts, Method::GET, &path, Vec::new(), deadline)
+            .call(&self.requests, Method::GET, &path, Vec::new(), deadline)
             .await?;
         match answer.status {
             StatusCode::OK => parse(&answer).map(Some),
@@ -195,7 +195,7 @@
         loop {
             let path = format!("/store?Prefix={prefix}&After={after}&Most=500");
             let answer = self
-                .call(&self.facts, Method::GET, &path, Vec::new(), deadline)
+                .call(&self.requests, Method::GET, &path, Vec::new(), deadline)
                 .await?;
             if answer.status != StatusCode::OK {
                 return Err(unexpected(&answer));
@@ -219,7 +219,7 @@
     ) -> Result<TransactionOutcome, KvError> {
         let body = serde_json::to_vec(txn).map_err(|e| KvError::Unexpected(e.to_string()))?;
         let answer = self
-            .call(&self.facts, Method::POST, "/txn", body, deadline)
+            .call(&self.requests, Method::POST, "/txn", body, deadline)
             .await?;
         match answer.status {
             StatusCode::OK => {
@@ -297,7 +297,7 @@
         after: u64,
         deadline: Duration,
     ) -> Result<WatchPage, KvError> {
-        self.watch_once(&self.facts, prefix, after, Duration::ZERO, deadline)
+        self.watch_once(&self.requests, prefix, after, Duration::ZERO, deadline)
             .await
     }
 
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,9 +1,9 @@
 //! Hard facts and snapshots in the key-value store.
 
 pub mod budget;
-pub mod facts;
 pub mod inventory;
 pub mod job_index;
+pub mod job_transition;
 pub mod keys;
 pub mod kv_client;
 pub mod records;
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -11,7 +11,7 @@
 pub const SHARD: u32 = 0;
 
 /// Version of the record formats that this program writes. Since 2 the roster
-/// is kept in pages, and jobs that are over stand beside the open ones.
+/// is kept in pages, and finished jobs stand beside the open ones.
 pub const VERSION: u32 = 2;
 
 /// An unfinished job.
@@ -78,15 +78,15 @@
 pub struct LeaderRecord {
     /// The version of its format.
     pub v: u32,
-    /// The leader's label.
+    /// The leader's node id.
     #[serde(rename = "label")]
-    pub label: String,
+    pub node_id: String,
     /// The id of the lease that its record is attached to.
     #[serde(rename = "hold")]
     pub lease: u64,
     /// Tells one run of a controller's process from the next.
     #[serde(rename = "run")]
-    pub run: u64,
+    pub incarnation: u64,
 }
 
 /// That a controller may answer workers which the leader with this fencing token can't hear.
@@ -162,7 +162,7 @@
     pub spot: bool,
     /// It is being given back.
     #[serde(rename = "r", default, skip_serializing_if = "is_false")]
-    pub returning: bool,
+    pub deleting: bool,
 }
 
 fn is_false(flag: &bool) -> bool {
@@ -171,7 +171,7 @@
 
 /// A rental that is not yet answered.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct BookingRecord {
+pub struct RentalRecord {
     /// The version of its format.
     pub v: u32,
     /// The request.
@@ -180,7 +180,7 @@
 
 /// How many workers a controller hears that can't reach the leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct HearingRecord {
+pub struct ReachabilityRecord {
     /// The version of its format.
     pub v: u32,
     /// How many workers.
--- a/src/storage/roster/tests.rs
+++ b/src/storage/roster/tests.rs
@@ -6,7 +6,7 @@
         machine_type: "roomy".into(),
         zone: "north-cellar".into(),
         spot: n.is_multiple_of(2),
-        returning: false,
+        deleting: false,
     }
 }
 
@@ -57,10 +57,14 @@
         assert!(value.to_string().len() <= 2048);
         stored.insert(key, value);
         writes += 1;
-        let loaded = load(&stored);
-        let entries: usize = loaded.pages.values().map(|page| page.machines.len()).sum();
-        assert_eq!(entries, loaded.page_of.len(), "each on one page");
-        assert!(loaded.page_of.len() >= 139);
+        let recovered = load(&stored);
+        let entries: usize = recovered
+            .pages
+            .values()
+            .map(|page| page.machines.len())
+            .sum();
+        assert_eq!(entries, recovered.page_of.len(), "each on one page");
+        assert!(recovered.page_of.len() >= 139);
     }
     assert!(writes > 5, "{writes} writes");
     assert_eq!(load(&stored).page_of.len(), 139);
@@ -102,7 +106,7 @@
     let mut roster = Roster::default();
     let returned = |n: u32| RosterRecord {
         spot: true,
-        returning: true,
+        deleting: true,
         ..record(n)
     };
     for n in 0..200 {
--- a/src/transport/front.rs
+++ b/src/transport/front.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 
 use crate::coordination::node::Node;
-use crate::coordination::requests::{self, Ask, Reply};
+use crate::coordination::requests::{self, UserRequest, UserResponse};
 use crate::coordination::worker_heartbeats::{self, HeartbeatDecision};
 use crate::protocol::workers::WorkerHeartbeat;
 
@@ -35,10 +35,10 @@
 }
 
 async fn unknown_path() -> Response {
-    respond(Reply::not_found())
+    respond(UserResponse::not_found())
 }
 
-fn respond(reply: Reply) -> Response {
+fn respond(reply: UserResponse) -> Response {
     let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     let mut response = (
         status,
@@ -63,26 +63,26 @@
     if node.ready() {
         StatusCode::OK.into_response()
     } else {
-        respond(Reply::unavailable("not ready"))
+        respond(UserResponse::unavailable("not ready"))
     }
 }
 
 async fn submit(State(node): App, body: Body) -> Response {
     let Some(body) = read_body(body).await else {
-        return respond(Reply::malformed(
+        return respond(UserResponse::malformed(
             "the body can't be read or is too large",
             None,
         ));
     };
-    respond(requests::answer(&node, Ask::Submit(body.to_vec()), false).await)
+    respond(requests::answer(&node, UserRequest::Submit(body.to_vec()), false).await)
 }
 
 async fn poll(State(node): App, Path(id): Path<String>) -> Response {
-    respond(requests::answer(&node, Ask::Poll(id), false).await)
+    respond(requests::answer(&node, UserRequest::Poll(id), false).await)
 }
 
 async fn cancel(State(node): App, Path(id): Path<String>) -> Response {
-    respond(requests::answer(&node, Ask::Cancel(id), false).await)
+    respond(requests::answer(&node, UserRequest::Cancel(id), false).await)
 }
 
 /// Workers come again every few seconds: when connections run short, they are
@@ -101,11 +101,11 @@
         .await
         .and_then(|body| serde_json::from_slice::<WorkerHeartbeat>(&body).ok())
     else {
-        return respond(Reply::malformed("not a report", None));
+        return respond(UserResponse::malformed("not a report", None));
     };
     match worker_heartbeats::handle_heartbeat(node, &heartbeat) {
         HeartbeatDecision::Renewed(answer) => json(StatusCode::OK, &answer),
-        HeartbeatDecision::Refused => respond(Reply::unavailable("this machine is gone")),
+        HeartbeatDecision::Refused => respond(UserResponse::unavailable("this machine is gone")),
         HeartbeatDecision::Elsewhere(redirect) => json(StatusCode::MISDIRECTED_REQUEST, &redirect),
     }
 }
--- a/src/transport/internal.rs
+++ b/src/transport/internal.rs
@@ -12,7 +12,7 @@
 
 use crate::coordination::node::Node;
 use crate::coordination::peering::{cancellations, extension, heartbeat};
-use crate::coordination::requests::{self, Ask};
+use crate::coordination::requests::{self, UserRequest};
 use crate::protocol::peer_messages::{
     CANCELLATIONS, CancellationsRequest, REVIVE_LEASE, ReviveLease,
 };
@@ -64,7 +64,7 @@
             granted: extension::grant_extension(&node, Duration::from_millis(millis)),
         },
         Some(PeerRequest::Forward { method, path, body }) => {
-            match Ask::from_forward(&method, &path, body) {
+            match UserRequest::from_forward(&method, &path, body) {
                 Some(ask) => {
                     let reply = requests::answer(&node, ask, true).await;
                     PeerAnswer::Answer {
--- a/src/transport/limit.rs
+++ b/src/transport/limit.rs
@@ -78,7 +78,7 @@
         let counted = Counted {
             stream,
             idle: self.idle,
-            heard: Instant::now(),
+            last_read: Instant::now(),
             check: Box::pin(tokio::time::sleep(self.idle)),
             _permit: permit,
         };
@@ -95,7 +95,7 @@
     stream: TcpStream,
     idle: Duration,
     /// When something was last read.
-    heard: Instant,
+    last_read: Instant,
     /// When to look whether it has been idle for too long.
     check: Pin<Box<Sleep>>,
     _permit: Option<OwnedSemaphorePermit>,
@@ -108,12 +108,12 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if let Poll::Ready(result) = Pin::new(&mut self.stream).poll_read(cx, buf) {
-            self.heard = Instant::now();
+            self.last_read = Instant::now();
             return Poll::Ready(result);
         }
         loop {
             ready!(self.check.as_mut().poll(cx));
-            let left = self.idle.saturating_sub(self.heard.elapsed());
+            let left = self.idle.saturating_sub(self.last_read.elapsed());
             if left.is_zero() {
                 return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
             }
--- a/tests/trial/main.rs
+++ b/tests/trial/main.rs
@@ -19,7 +19,7 @@
 
 struct Controller {
     settings: Value,
-    label: String,
+    node_id: String,
     front: SocketAddr,
     internal: SocketAddr,
     child: Child,
@@ -37,8 +37,8 @@
     listener.local_addr().expect("an address")
 }
 
-fn start(settings: &Value, label: &str, front: SocketAddr, internal: SocketAddr) -> Controller {
-    let path: PathBuf = [env!("CARGO_TARGET_TMPDIR"), &format!("{label}.json")]
+fn start(settings: &Value, node_id: &str, front: SocketAddr, internal: SocketAddr) -> Controller {
+    let path: PathBuf = [env!("CARGO_TARGET_TMPDIR"), &format!("{node_id}.json")]
         .iter()
         .collect();
     std::fs::write(&path, settings.to_string()).expect("a settings file");
@@ -50,14 +50,14 @@
         .expect("the program starts");
     Controller {
         settings: settings.clone(),
-        label: label.to_owned(),
+        node_id: node_id.to_owned(),
         front,
         internal,
         child,
     }
 }
 
-/// Three controllers whose labels begin so, which name their settings files.
+/// Three controllers whose node ids begin so, which name their settings files.
 async fn start_all(name: &str) -> Vec<Controller> {
     start_on(support::kv::Service::default(), name, 10.0).await
 }
@@ -68,22 +68,22 @@
     name: &str,
     worker_lease_s: f64,
 ) -> Vec<Controller> {
-    let labels = [0, 1, 2].map(|n| format!("{name}{n}"));
-    let fronts: Vec<SocketAddr> = labels.iter().map(|_| free_addr()).collect();
-    let internals: Vec<SocketAddr> = labels.iter().map(|_| free_addr()).collect();
+    let node_ids = [0, 1, 2].map(|n| format!("{name}{n}"));
+    let fronts: Vec<SocketAddr> = node_ids.iter().map(|_| free_addr()).collect();
+    let internals: Vec<SocketAddr> = node_ids.iter().map(|_| free_addr()).collect();
     let state = support::serve(support::kv::routes(service)).await;
-    let named = labels.iter().map(|l| l.to_string()).zip(fronts.clone());
+    let named = node_ids.iter().map(|l| l.to_string()).zip(fronts.clone());
     let cloud = support::serve(support::cloud::router(named.collect())).await;
     let mut controllers = Vec::new();
-    for (at, label) in labels.iter().enumerate() {
-        let others: Vec<Value> = labels
+    for (at, node_id) in node_ids.iter().enumerate() {
+        let others: Vec<Value> = node_ids
             .iter()
             .enumerate()
             .filter(|(other, _)| *other != at)
             .map(|(other, l)| json!({ "label": l, "area": "north", "address": internals[other] }))
             .collect();
         let settings = json!({
-            "label": label, "area": "north", "front": fronts[at],
+            "label": node_id, "area": "north", "front": fronts[at],
             "internal_addr": internals[at], "others": others,
             "services": { "cloud": cloud, "state": state },
             "settings": {
@@ -98,7 +98,7 @@
                 "skew_ms": 10,
             },
         });
-        controllers.push(start(&settings, label, fronts[at], internals[at]));
+        controllers.push(start(&settings, node_id, fronts[at], internals[at]));
     }
     controllers
 }
@@ -142,7 +142,7 @@
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    panic!("{path} at {}: last answer {last:?}", to.label);
+    panic!("{path} at {}: last answer {last:?}", to.node_id);
 }
 
 fn job(id: &str, form: &str, tasks: u32) -> Value {
@@ -189,10 +189,10 @@
 /// Ends a controller's process and starts it again at once.
 fn restart(controllers: &mut Vec<Controller>, at: usize) {
     let ended = controllers.remove(at);
-    let (settings, label) = (ended.settings.clone(), ended.label.clone());
+    let (settings, node_id) = (ended.settings.clone(), ended.node_id.clone());
     let (front, internal) = (ended.front, ended.internal);
     drop(ended);
-    controllers.insert(at, start(&settings, &label, front, internal));
+    controllers.insert(at, start(&settings, &node_id, front, internal));
 }
 
 /// Controllers hand over and back, end and return within a fraction of a second,
--- a/tests/trial/meetings.rs
+++ b/tests/trial/meetings.rs
@@ -10,12 +10,12 @@
 use tokio::net::TcpListener;
 use valegap::clock::SteadyClock;
 use valegap::coordination::cancellation_knowledge;
-use valegap::coordination::io::carry_out;
+use valegap::coordination::executor::execute;
 use valegap::coordination::lease::ShardLease;
 use valegap::coordination::node::Node;
 use valegap::coordination::peering::cancellations::ask_for_cancellations;
 use valegap::coordination::peering::extension::{all_grant_extension, all_vote_for_revival};
-use valegap::coordination::requests::{Ask, Reply, answer};
+use valegap::coordination::requests::{UserRequest, UserResponse, answer};
 use valegap::coordination::shard::{Action, ShardWrite};
 use valegap::protocol::FencingToken;
 use valegap::protocol::cloud::MachineType;
@@ -25,21 +25,21 @@
 use valegap::settings::{Operator, Platform, Settings};
 use valegap::storage::kv_client::TransactionOutcome;
 use valegap::storage::records::FinalRecord;
-use valegap::storage::{facts, keys};
+use valegap::storage::{job_transition, keys};
 
 const DEADLINE: Duration = Duration::from_secs(2);
 /// Users wait this long for an answer to a submission or a cancellation.
 const USERS_WAIT: Duration = Duration::from_secs(5);
 
 /// A controller that knows the machine types, without loops of its own.
-fn controller(label: &str, state: SocketAddr) -> Arc<Node> {
-    among(label, state, json!([]))
+fn controller(node_id: &str, state: SocketAddr) -> Arc<Node> {
+    among(node_id, state, json!([]))
 }
 
 /// The same among others.
-fn among(label: &str, state: SocketAddr, others: Value) -> Arc<Node> {
+fn among(node_id: &str, state: SocketAddr, others: Value) -> Arc<Node> {
     let settings = json!({
-        "label": label, "area": "north", "front": "127.0.0.1:0", "internal_addr": "127.0.0.1:0",
+        "label": node_id, "area": "north", "front": "127.0.0.1:0", "internal_addr": "127.0.0.1:0",
         "others": others, "services": { "cloud": "127.0.0.1:1", "state": state },
         "settings": {
             "zones": ["north"],
@@ -84,19 +84,24 @@
         "DurationS": 1.5, "BreathS": 0.0, "FermataS": 0.0 })
 }
 
-async fn submit(node: &Arc<Node>, body: &Value) -> Reply {
-    answer(node, Ask::Submit(body.to_string().into_bytes()), false).await
+async fn submit(node: &Arc<Node>, body: &Value) -> UserResponse {
+    answer(
+        node,
+        UserRequest::Submit(body.to_string().into_bytes()),
+        false,
+    )
+    .await
 }
 
-async fn cancel(node: &Arc<Node>, id: &str) -> Reply {
-    answer(node, Ask::Cancel(id.to_owned()), false).await
+async fn cancel(node: &Arc<Node>, id: &str) -> UserResponse {
+    answer(node, UserRequest::Cancel(id.to_owned()), false).await
 }
 
-async fn poll(node: &Arc<Node>, id: &str) -> Reply {
-    answer(node, Ask::Poll(id.to_owned()), false).await
+async fn poll(node: &Arc<Node>, id: &str) -> UserResponse {
+    answer(node, UserRequest::Poll(id.to_owned()), false).await
 }
 
-fn stage(reply: &Reply) -> String {
+fn stage(reply: &UserResponse) -> String {
     let body: Value = serde_json::from_slice(&reply.body).expect("JSON");
     body["Stage"].as_str().unwrap_or_default().to_owned()
 }
@@ -109,7 +114,7 @@
     let body = submission(id, 1.0).to_string();
     let (_, spec) = parse_submission(body.as_bytes()).expect("a submission");
     let last = FinalRecord::new(Stage::Done, spec);
-    let txn = facts::end_job(id, item.mod_revision, &last).expect("a transaction");
+    let txn = job_transition::finish_job(id, item.mod_revision, &last).expect("a transaction");
     matches!(
         node.kv.txn(&txn, DEADLINE).await,
         Ok(TransactionOutcome::Committed { .. })
@@ -224,9 +229,12 @@
     let key = keys::roster_page(0);
     let write = |value: Value| {
         let mutations = vec![Mutation::put(key.clone(), value)];
-        let facts = Vec::new();
-        let action = Action::Write(ShardWrite { facts, mutations });
-        carry_out(node.clone(), lease.clone(), action)
+        let purposes = Vec::new();
+        let action = Action::Write(ShardWrite {
+            purposes,
+            mutations,
+        });
+        execute(node.clone(), lease.clone(), action)
     };
     service.hold_up(&key);
     write(json!("first")).await;
@@ -250,7 +258,7 @@
     let _ = cut_off.kv.get("o/0/owner", DEADLINE).await;
     let mut lacking = submission("run-000001", 1.0);
     lacking.as_object_mut().expect("an object").remove("Cores");
-    let nowhere = submission("run-000001", 9.0);
+    let unfitting = submission("run-000001", 9.0);
     // Two tasks of five cores: an array's run in turn, a gang's can't together.
     let mut whole = submission("run-000001", 5.0);
     whole["Form"] = json!("group");
@@ -267,7 +275,7 @@
     stranger["Section"] = json!("nobody");
     for node in [&served, &cut_off] {
         assert_eq!(submit(node, &lacking).await.status, 400);
-        assert_eq!(submit(node, &nowhere).await.status, 422);
+        assert_eq!(submit(node, &unfitting).await.status, 422);
         assert_eq!(submit(node, &stranger).await.status, 422);
         assert_eq!(submit(node, &whole).await.status, 422);
         assert_eq!(submit(node, &formless).await.status, 400);
@@ -284,12 +292,20 @@
     );
     let fine = submission("run-000001", 1.0);
     assert_eq!(submit(&cut_off, &fine).await.status, 503);
-    let mut alone = submission("run-000002", 8.0);
-    alone["Form"] = json!("group");
-    alone["Voices"] = json!(1);
-    assert_eq!(submit(&served, &alone).await.status, 201, "a gang of one");
+    let mut gang_of_one = submission("run-000002", 8.0);
+    gang_of_one["Form"] = json!("group");
+    gang_of_one["Voices"] = json!(1);
+    assert_eq!(
+        submit(&served, &gang_of_one).await.status,
+        201,
+        "a gang of one"
+    );
     served.lock().types = None;
-    assert_eq!(submit(&served, &nowhere).await.status, 503, "not known yet");
+    assert_eq!(
+        submit(&served, &unfitting).await.status,
+        503,
+        "not known yet"
+    );
     assert_eq!(submit(&served, &fine).await.status, 503);
     assert_eq!(submit(&served, &lacking).await.status, 400);
 }
@@ -332,7 +348,7 @@
     crate::support::serve(routes).await
 }
 
-/// Beside an older controller a leader goes on by its promises, but no guarantee rests
+/// Beside an older controller a leader goes on by its votes, but no guarantee rests
 /// on what it can't say: it neither speaks for what it told users nor stands aside.
 #[tokio::test]
 async fn an_older_controller_promises_and_says_nothing_more() {
--- a/tests/trial/support/kv.rs
+++ b/tests/trial/support/kv.rs
@@ -93,7 +93,7 @@
 
     /// Carries out a transaction that comes from nowhere; false if it fails.
     pub fn apply(&self, txn: Transaction) -> bool {
-        self.carry_out(txn).status() == StatusCode::OK
+        self.execute(txn).status() == StatusCode::OK
     }
 
     /// The next transaction that writes this key gets no answer, and isn't
@@ -110,7 +110,7 @@
     /// Carries out what was held up: for each whether it changed anything.
     pub fn release(&self) -> Vec<bool> {
         let held = std::mem::take(&mut self.late.lock().expect("late").held);
-        let carried_out = |txn| self.carry_out(txn).status() == StatusCode::OK;
+        let carried_out = |txn| self.execute(txn).status() == StatusCode::OK;
         held.into_iter().map(carried_out).collect()
     }
 
@@ -200,11 +200,11 @@
     if service.holds_up(&txn) {
         std::future::pending::<()>().await;
     }
-    service.carry_out(txn)
+    service.execute(txn)
 }
 
 impl Service {
-    fn carry_out(&self, txn: Transaction) -> Response {
+    fn execute(&self, txn: Transaction) -> Response {
         let mut store = self.store.lock().expect("store");
         store.expire();
         for change in &txn.mutations {
--- a/tests/trial/support/worker.rs
+++ b/tests/trial/support/worker.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpListener;
 use valegap::protocol::TaskId;
 use valegap::protocol::workers::{
-    Command, CommandBatch, Ending, HeartbeatResponse, Redirect, TaskState, TaskStatus,
+    AttemptOutcome, Command, CommandBatch, HeartbeatResponse, Redirect, TaskState, TaskStatus,
     WorkerHeartbeat,
 };
 use valegap::transport::client::HttpClient;
@@ -68,16 +68,16 @@
     addr: String,
     sequence: u64,
     fencing_token: FencingToken,
-    tasks: BTreeMap<(TaskId, u64), (Instant, Option<Ending>)>,
+    tasks: BTreeMap<(TaskId, u64), (Instant, Option<AttemptOutcome>)>,
 }
 
 impl Machine {
     fn heartbeat(&mut self) -> WorkerHeartbeat {
         self.sequence += 1;
-        for ((task, attempt), (launched, ending)) in &mut self.tasks {
+        for ((task, attempt), (launched, outcome)) in &mut self.tasks {
             let started = gang_start(task, *attempt).unwrap_or(Some(*launched));
-            if ending.is_none() && started.is_some_and(|at| at.elapsed() >= RUN) {
-                *ending = Some(Ending::Done);
+            if outcome.is_none() && started.is_some_and(|at| at.elapsed() >= RUN) {
+                *outcome = Some(AttemptOutcome::Done);
             }
         }
         WorkerHeartbeat {
@@ -89,19 +89,19 @@
             agent_epoch: 1,
             sequence: self.sequence,
             fencing_token: self.fencing_token,
-            notice_s: None,
+            preemption_notice_s: None,
             tasks: self
                 .tasks
                 .iter()
-                .map(|((task, attempt), (_, ending))| TaskStatus {
+                .map(|((task, attempt), (_, outcome))| TaskStatus {
                     task: task.clone(),
                     attempt: *attempt,
-                    state: match ending {
+                    state: match outcome {
                         Some(_) => TaskState::Ended,
                         None if gang_start(task, *attempt) == Some(None) => TaskState::Waiting,
                         None => TaskState::Running,
                     },
-                    ending: *ending,
+                    outcome: *outcome,
                 })
                 .collect(),
         }
@@ -116,8 +116,8 @@
                     entry.or_insert((Instant::now(), None));
                 }
                 Command::Stop { task, attempt, .. } => {
-                    if let Some((_, ending)) = self.tasks.get_mut(&(task, attempt)) {
-                        ending.get_or_insert(Ending::Stopped);
+                    if let Some((_, outcome)) = self.tasks.get_mut(&(task, attempt)) {
+                        outcome.get_or_insert(AttemptOutcome::Stopped);
                     }
                 }
                 Command::Clear { task, attempt } => {
@@ -195,9 +195,11 @@
                 next = at;
             } else if answer.status == StatusCode::MISDIRECTED_REQUEST {
                 let redirect: Redirect = serde_json::from_slice(&answer.body).expect("a redirect");
-                let named = redirect
-                    .leader
-                    .and_then(|leader| controllers.iter().position(|(label, _)| *label == leader));
+                let named = redirect.leader.and_then(|leader| {
+                    controllers
+                        .iter()
+                        .position(|(node_id, _)| *node_id == leader)
+                });
                 next = named.unwrap_or(next);
             }
         }
