--- a/tests/upgrade/take_over.rs
+++ b/tests/upgrade/failover.rs
@@ -5,13 +5,13 @@
 use valegap::protocol::FencingToken;
 
 use serde_json::{Value, json};
-use valegap::coordination::loading::StoredShard;
+use valegap::coordination::recovery::StoredRecords;
 use valegap::coordination::shard::{
     Action, CommandOutcome, HeartbeatOutcome, Policy, RentalOutcome, Shard, ShardWrite,
 };
 use valegap::protocol::cloud::MachineType;
 use valegap::protocol::kv::{KeyValue, Mutation};
-use valegap::protocol::workers::{Command, Ending, TaskState, TaskStatus, WorkerHeartbeat};
+use valegap::protocol::workers::{AttemptOutcome, Command, TaskState, TaskStatus, WorkerHeartbeat};
 use valegap::settings::{Operator, Platform, Settings};
 use valegap::storage::keys;
 
@@ -93,27 +93,26 @@
     }
 
     /// A new leader begins.
-    fn take_over(&mut self) -> Shard {
+    fn recover(&mut self) -> Shard {
         self.fencing_token = FencingToken::new(self.fencing_token.revision() + 10);
-        let stored = StoredShard {
+        let stored = StoredRecords {
             jobs: self.items(keys::JOBS),
             roster: self.items(&keys::roster_prefix()),
             snapshot: self.items(&keys::snapshot_prefix()),
-            bookings: self.items(&keys::booking_prefix()),
+            pending_rentals: self.items(&keys::rental_prefix()),
             sequence: None,
             revision: 1,
         };
         let policy = Policy::new(&settings());
         let wall = 1_796_188_712_000;
-        let mut shard =
-            Shard::take_over(policy, self.fencing_token, stored.parse(), self.now, wall);
+        let mut shard = Shard::recover(policy, self.fencing_token, stored.parse(), self.now, wall);
         shard.set_types(&[machine_type()]);
         shard
     }
 
     /// Carries out all that a leader decides, until it decides no more.
-    fn settle(&mut self, shard: &mut Shard) {
-        shard.settle(self.now);
+    fn reconcile(&mut self, shard: &mut Shard) {
+        shard.reconcile(self.now);
         loop {
             let actions = shard.take_actions();
             if actions.is_empty() {
@@ -151,7 +150,7 @@
                 let last =
                     json!({ "v": 2, "stage": "done", "tasks": tasks, "spec": record["spec"] });
                 self.keys.insert(keys::final_job(&job), last);
-                shard.job_gone(&job, Some(valegap::protocol::users::Stage::Done));
+                shard.job_finished(&job, Some(valegap::protocol::users::Stage::Done));
             }
             Action::Delete(machines) => {
                 for machine in &machines {
@@ -162,7 +161,7 @@
             Action::ReadFinal { job } => {
                 let value = self.keys.get(&keys::final_job(&job)).cloned();
                 let record = value.and_then(|value| serde_json::from_value(value).ok());
-                shard.orphan_read(&job, record);
+                shard.orphan_job_resolved(&job, record);
             }
             Action::Fenced { seen } => panic!("fencing token {seen} is about"),
         }
@@ -196,13 +195,13 @@
                     task: task.clone(),
                     attempt: *attempt,
                     state: TaskState::Running,
-                    ending: None,
+                    outcome: None,
                 }),
                 Command::Stop { task, attempt, .. } => {
                     for line in &mut worker.tasks {
                         if line.task == *task && line.attempt == *attempt {
                             line.state = TaskState::Ended;
-                            line.ending.get_or_insert(Ending::Stopped);
+                            line.outcome.get_or_insert(AttemptOutcome::Stopped);
                         }
                     }
                 }
@@ -228,7 +227,7 @@
             if let HeartbeatOutcome::Answer(commands) = shard.heartbeat(&heartbeat, self.now) {
                 self.execute(&machine, &commands);
             }
-            self.settle(shard);
+            self.reconcile(shard);
         }
     }
 
@@ -237,7 +236,7 @@
         for _ in 0..STINT {
             self.now += Duration::from_secs(1);
             shard.tick(self.now);
-            self.settle(shard);
+            self.reconcile(shard);
             self.heartbeat(shard);
         }
     }
@@ -252,7 +251,7 @@
                 .step_by(2)
             {
                 line.state = TaskState::Ended;
-                line.ending = Some(Ending::Done);
+                line.outcome = Some(AttemptOutcome::Done);
             }
         }
     }
@@ -290,8 +289,8 @@
     let running = world.running("run-000001");
     assert!(running > 0, "the recording caught tasks at work");
     for stint in 0..4 {
-        let mut shard = world.take_over();
-        world.settle(&mut shard);
+        let mut shard = world.recover();
+        world.reconcile(&mut shard);
         if stint == 0 {
             // The rental is asked for again by its name, so that it can't be had twice.
             assert_eq!(world.rentals, unanswered);
@@ -314,8 +313,8 @@
         world.complete_some();
     }
     for _ in 0..8 {
-        let mut shard = world.take_over();
-        world.settle(&mut shard);
+        let mut shard = world.recover();
+        world.reconcile(&mut shard);
         world.serve(&mut shard);
         world.complete_some();
     }
--- a/tests/upgrade/frames.rs
+++ b/tests/upgrade/frames.rs
@@ -9,7 +9,7 @@
     RevivalVote, ReviveLease,
 };
 use valegap::protocol::users::JobKind;
-use valegap::protocol::workers::{Ending, TaskState};
+use valegap::protocol::workers::{AttemptOutcome, TaskState};
 use valegap::storage::keys;
 use valegap::storage::records::{InventoryRecord, RosterRecord};
 use valegap::storage::roster::{Roster, read_page};
@@ -86,7 +86,7 @@
     let inventory: InventoryRecord = kept(INVENTORY);
     let tasks = &inventory.heartbeats[0].tasks;
     assert_eq!(tasks[0].state, TaskState::Waiting);
-    assert_eq!(tasks[1].ending, Some(Ending::Peers));
+    assert_eq!(tasks[1].outcome, Some(AttemptOutcome::GangPeerLost));
 }
 
 #[test]
@@ -96,7 +96,7 @@
         machine_type: "lectern".into(),
         zone: "gdansk-loft".into(),
         spot: true,
-        returning: true,
+        deleting: true,
     };
     let mut roster = Roster::default();
     roster.put(&"vm-000231".into(), record.clone(), 8192);
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -5,9 +5,9 @@
 //! in the midst of work: 5161cb0, which knows no gangs, and bee35ef, the version in
 //! production. The recordings were made by running these commits.
 
+mod failover;
 mod frames;
 mod older;
-mod take_over;
 
 use std::collections::BTreeMap;
 
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -10,7 +10,7 @@
 };
 use valegap::protocol::users::{JobKind, Stage};
 use valegap::storage::records::{
-    DelegateRecord, FinalRecord, HearingRecord, JobRecord, LeaderRecord, RosterRecord,
+    DelegateRecord, FinalRecord, JobRecord, LeaderRecord, ReachabilityRecord, RosterRecord,
     SequenceRecord,
 };
 
@@ -67,10 +67,10 @@
 
 fn heartbeat() -> PeerHeartbeat {
     PeerHeartbeat {
-        label: "cellar-1".into(),
+        node_id: "cellar-1".into(),
         zone: "gdansk-loft".into(),
         kv_served: true,
-        workers_heard: 740,
+        reachable_workers: 740,
         up_s: 93,
         fencing_token: Some(FencingToken::new(862)),
         main_zone: Some("poznan-hall".into()),
@@ -79,8 +79,8 @@
             done: 3,
             running: 57,
         }],
-        deaf: false,
-        answered_alone_ago_ms: 4100,
+        ineligible: false,
+        answered_by_advance_delegation_ago_ms: 4100,
     }
 }
 
@@ -137,7 +137,7 @@
     assert_eq!(last.stage, Stage::Cancelled);
     assert_eq!(kept::<LeaderRecord>(LEADER_RECORD).lease, 4);
     assert!(kept::<DelegateRecord>(KEEPER_RECORD).inventory);
-    assert_eq!(kept::<HearingRecord>(HEARING_RECORD).workers, 7);
+    assert_eq!(kept::<ReachabilityRecord>(HEARING_RECORD).workers, 7);
     assert_eq!(kept::<SequenceRecord>(SEQ_RECORD).n, 41);
     assert!(kept::<RosterRecord>(ROSTER_RECORD).spot);
 }
