--- a/src/coordination/shard/commands.rs
+++ b/src/coordination/shard/commands.rs
@@ -6,7 +6,7 @@
 use super::{Action, CommandOutcome, Shard};
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::Command;
-use crate::protocol::{MachineId, TaskId};
+use crate::protocol::{AttemptId, MachineId, TaskId};
 
 /// Pause before commands are sent again by themselves; heartbeats carry them too.
 const COMMAND_RETRY: Duration = Duration::from_secs(1);
@@ -17,7 +17,7 @@
     /// Takes back launches that were never sent and are not wanted any more.
     pub(super) fn withdraw_launches(&mut self, now: Instant) {
         self.machines.refresh();
-        let withdrawn: Vec<(MachineId, (TaskId, u64))> = self
+        let withdrawn: Vec<(MachineId, AttemptId)> = self
             .machines
             .values()
             .filter(|machine| machine.load.has_withdrawable_launch)
@@ -58,7 +58,14 @@
         };
         let mut commands = Vec::new();
         // Clears first, so that what they free can be used by the launches.
-        for ((task, attempt_number), attempt) in &mut machine.attempts {
+        for (
+            AttemptId {
+                task,
+                number: attempt_number,
+            },
+            attempt,
+        ) in &mut machine.attempts
+        {
             if clear_allowed(attempt) {
                 commands.push(Command::Clear {
                     task: task.clone(),
@@ -66,13 +73,27 @@
                 });
             }
         }
-        for ((task, attempt_number), attempt) in &mut machine.attempts {
+        for (
+            AttemptId {
+                task,
+                number: attempt_number,
+            },
+            attempt,
+        ) in &mut machine.attempts
+        {
             if let Some(grace) = stop_to_send(attempt) {
                 commands.push(stop(task, *attempt_number, grace));
                 attempt.in_flight = true;
             }
         }
-        for ((task, attempt_number), attempt) in &mut machine.attempts {
+        for (
+            AttemptId {
+                task,
+                number: attempt_number,
+            },
+            attempt,
+        ) in &mut machine.attempts
+        {
             if attempt.phase == Phase::Launching && !attempt.unanswered && attempt.stop.is_none() {
                 commands.push(Command::Launch {
                     task: task.clone(),
@@ -152,12 +173,7 @@
         let executed = matches!(outcome, CommandOutcome::Executed(_));
         let lost = matches!(outcome, CommandOutcome::NoAnswer);
         for command in sent {
-            let (task, attempt_number) = match command {
-                Command::Launch { task, attempt }
-                | Command::Stop { task, attempt, .. }
-                | Command::Clear { task, attempt } => (task, attempt),
-            };
-            let Some(attempt) = machine.attempts.get_mut(&(task.clone(), *attempt_number)) else {
+            let Some(attempt) = machine.attempts.get_mut(&command.attempt_id()) else {
                 continue;
             };
             attempt.in_flight = false;
@@ -202,10 +218,10 @@
         let Some(machine) = self.machines.get(id) else {
             return;
         };
-        let missing: Vec<(TaskId, u64)> = sent
+        let missing: Vec<AttemptId> = sent
             .iter()
             .filter_map(|command| match command {
-                Command::Launch { task, attempt } => Some((task.clone(), *attempt)),
+                Command::Launch { .. } => Some(command.attempt_id()),
                 _ => None,
             })
             .filter(|key| {
@@ -221,7 +237,7 @@
     }
 
     /// Takes an attempt that can't exist any more off the books.
-    pub(super) fn remove_attempt(&mut self, id: &MachineId, key: &(TaskId, u64), now: Instant) {
+    pub(super) fn remove_attempt(&mut self, id: &MachineId, key: &AttemptId, now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -232,7 +248,7 @@
             machine.idle_since.get_or_insert(now);
         }
         if !attempt.ended() {
-            self.release(id, &key.0);
+            self.release(id, &key.task);
         }
         self.needs_pass = true;
     }
@@ -267,7 +283,7 @@
     /// Nothing that is on the books of a machine can exist any more. Something
     /// else may be there, if it isn't reconciled.
     pub(super) fn remove_attempts(&mut self, id: &MachineId, now: Instant) {
-        let keys: Vec<(TaskId, u64)> = match self.machines.get(id) {
+        let keys: Vec<AttemptId> = match self.machines.get(id) {
             Some(machine) => machine.attempts.keys().cloned().collect(),
             None => return,
         };
--- a/src/coordination/shard/drain.rs
+++ b/src/coordination/shard/drain.rs
@@ -10,7 +10,7 @@
 use super::plan::{Capacity, Readiness};
 use super::{Attempt, Job, Machine, Phase, Shard};
 use crate::protocol::users::{JobKind, JobSpec};
-use crate::protocol::{MachineId, TaskId};
+use crate::protocol::{AttemptId, MachineId};
 
 /// A machine is used at least this long before it is emptied.
 const LEAST_AGE: Duration = Duration::from_secs(60);
@@ -101,7 +101,7 @@
 
     /// Stops a service that is to move; placement finds its new machine as soon
     /// as the worker says that it has ended.
-    fn stop_service(&mut self, id: &MachineId, key: &(TaskId, u64)) {
+    fn stop_service(&mut self, id: &MachineId, key: &AttemptId) {
         if let Some(attempt) = self
             .machines
             .get_mut(id)
@@ -148,7 +148,7 @@
         leaving: &[MachineId],
         at_once: usize,
         capacities: &[Capacity],
-    ) -> Vec<(MachineId, (TaskId, u64))> {
+    ) -> Vec<(MachineId, AttemptId)> {
         let waits = |job: &Job| job.spec.kind == JobKind::Service && job.waiting() > 0;
         let moving = self
             .machines
@@ -365,9 +365,7 @@
 }
 
 /// The services that may be on a machine.
-fn live_services(
-    machine: &Machine,
-) -> impl Iterator<Item = (&(TaskId, u64), &Attempt, &Arc<JobSpec>)> {
+fn live_services(machine: &Machine) -> impl Iterator<Item = (&AttemptId, &Attempt, &Arc<JobSpec>)> {
     machine
         .attempts
         .iter()
--- a/src/coordination/shard/gang.rs
+++ b/src/coordination/shard/gang.rs
@@ -13,7 +13,7 @@
 use super::placement::{Pass, Slot, allowed};
 use super::{Job, Machine, Phase, Shard};
 use crate::protocol::users::JobSpec;
-use crate::protocol::{JobId, MachineId, TaskId};
+use crate::protocol::{AttemptId, JobId, MachineId};
 
 /// Share of the time that tasks wait for one another within which one that was lost
 /// is replaced; later its image would hardly come in time.
@@ -37,7 +37,7 @@
 /// A task of a gang that may be on a machine.
 struct Member {
     machine: MachineId,
-    key: (TaskId, u64),
+    key: AttemptId,
     phase: Phase,
     since: Instant,
     stop: Option<Duration>,
@@ -82,7 +82,7 @@
                 continue;
             };
             let members = self.members(job);
-            let attempt_number = members.iter().map(|m| m.key.1).max().unwrap_or(0);
+            let attempt_number = members.iter().map(|m| m.key.number).max().unwrap_or(0);
             let runs = |m: &Member| matches!(m.phase, Phase::Running | Phase::Saving);
             let started = (job.gang.attempt_number == attempt_number && job.gang.started)
                 || members.iter().any(runs);
@@ -97,7 +97,7 @@
                 // What is left of an earlier attempt would hold the gang up.
                 let grace = match need {
                     Need::Stop(grace) if member.stop.is_none() => grace,
-                    _ if member.key.1 < attempt_number => Duration::ZERO,
+                    _ if member.key.number < attempt_number => Duration::ZERO,
                     _ => continue,
                 };
                 let machine = self.machines.get_mut(&member.machine);
@@ -248,9 +248,17 @@
             let mut known = self.machines.get(id).into_iter();
             known.any(|m| {
                 let mut ended = m.attempts_of(&job.id);
-                ended.any(|((_, attempt_number), a)| {
-                    *attempt_number == job.gang.attempt_number && a.ended()
-                })
+                ended.any(
+                    |(
+                        AttemptId {
+                            number: attempt_number,
+                            ..
+                        },
+                        a,
+                    )| {
+                        *attempt_number == job.gang.attempt_number && a.ended()
+                    },
+                )
             })
         };
         let avoid = job.failures.machines() < pass.slots.len();
--- a/src/coordination/shard/heartbeats.rs
+++ b/src/coordination/shard/heartbeats.rs
@@ -7,7 +7,7 @@
 use super::{Action, Attempt, Machine, Phase, Shard};
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState, TaskStatus, WorkerHeartbeat};
-use crate::protocol::{MachineId, TaskId};
+use crate::protocol::{AttemptId, MachineId, TaskId};
 
 /// Pause before a machine that sends old numbers is asked again.
 const ASK_AGAIN: Duration = Duration::from_secs(2);
@@ -217,7 +217,7 @@
     fn take_tasks(&mut self, id: &MachineId, tasks: &[TaskStatus], now: Instant) {
         let mut listed = Vec::with_capacity(tasks.len());
         for line in tasks {
-            listed.push((line.task.clone(), line.attempt));
+            listed.push(line.attempt_id());
             self.take_task(id, line, now);
         }
         let Some(machine) = self.machines.get(id) else {
@@ -226,7 +226,7 @@
         // What was shown before and is not any more is gone for good. What was
         // never shown may still land.
         listed.sort();
-        let gone: Vec<(TaskId, u64)> = machine
+        let gone: Vec<AttemptId> = machine
             .attempts
             .iter()
             .filter(|(key, attempt)| {
@@ -240,7 +240,7 @@
     }
 
     fn take_task(&mut self, id: &MachineId, line: &TaskStatus, now: Instant) {
-        let key = (line.task.clone(), line.attempt);
+        let key = line.attempt_id();
         let known = self
             .machines
             .get(id)
@@ -285,8 +285,8 @@
     }
 
     /// A task on a machine that an earlier leader started.
-    fn adopt_attempt(&mut self, id: &MachineId, key: &(TaskId, u64), live: bool, now: Instant) {
-        let task = &key.0;
+    fn adopt_attempt(&mut self, id: &MachineId, key: &AttemptId, live: bool, now: Instant) {
+        let task = &key.task;
         let mut attempt = Attempt::new(None, Phase::Launching, now);
         attempt.adopted = true;
         match self.jobs.get_mut(&task.job) {
@@ -322,11 +322,11 @@
     fn attempt_ended(
         &mut self,
         id: &MachineId,
-        key: &(TaskId, u64),
+        key: &AttemptId,
         outcome: AttemptOutcome,
         now: Instant,
     ) {
-        let task = &key.0;
+        let task = &key.task;
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -431,7 +431,14 @@
 /// All that a worker should know, repeated with each answer.
 fn answer_commands(machine: &Machine) -> Vec<Command> {
     let mut commands = Vec::new();
-    for ((task, attempt_number), attempt) in &machine.attempts {
+    for (
+        AttemptId {
+            task,
+            number: attempt_number,
+        },
+        attempt,
+    ) in &machine.attempts
+    {
         if clear_allowed(attempt) {
             commands.push(Command::Clear {
                 task: task.clone(),
@@ -439,7 +446,14 @@
             });
         }
     }
-    for ((task, attempt_number), attempt) in &machine.attempts {
+    for (
+        AttemptId {
+            task,
+            number: attempt_number,
+        },
+        attempt,
+    ) in &machine.attempts
+    {
         // A stop may be repeated, and one that is on its way may be lost.
         if attempt.in_flight && attempt.phase == Phase::Launching {
             continue;
--- a/src/coordination/shard/machines.rs
+++ b/src/coordination/shard/machines.rs
@@ -8,7 +8,7 @@
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::JobSpec;
 use crate::protocol::workers::AttemptOutcome;
-use crate::protocol::{JobId, MachineId, TaskId};
+use crate::protocol::{AttemptId, JobId, MachineId, TaskId};
 
 /// How far an attempt is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -222,7 +222,7 @@
     /// When the cloud takes it away, as far as was said.
     pub preemption_notice: Option<Instant>,
     /// All attempts that may exist on it, by task and attempt number.
-    pub attempts: BTreeMap<(TaskId, u64), Attempt>,
+    pub attempts: BTreeMap<AttemptId, Attempt>,
     /// What they amount to, as last counted.
     pub load: MachineLoad,
     /// Images it holds or fetches, most recently used last.
@@ -361,7 +361,7 @@
     }
 
     /// All attempts of one job.
-    pub fn attempts_of(&self, job: &JobId) -> impl Iterator<Item = (&(TaskId, u64), &Attempt)> {
+    pub fn attempts_of(&self, job: &JobId) -> impl Iterator<Item = (&AttemptId, &Attempt)> {
         self.attempts.range(range_of(job))
     }
 
@@ -401,10 +401,11 @@
 }
 
 /// Where a job's attempts stand among a machine's.
-fn range_of(job: &JobId) -> std::ops::RangeInclusive<(TaskId, u64)> {
-    let at = |index, attempt_number| {
+fn range_of(job: &JobId) -> std::ops::RangeInclusive<AttemptId> {
+    let at = |index, number| {
         let job = job.clone();
-        (TaskId { job, index }, attempt_number)
+        let task = TaskId { job, index };
+        AttemptId { task, number }
     };
     at(0, 0)..=at(u32::MAX, u64::MAX)
 }
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -44,7 +44,7 @@
 
 use crate::protocol::cloud::{MachineType, Rental};
 use crate::protocol::workers::{Command, WorkerHeartbeat};
-use crate::protocol::{JobId, MachineId};
+use crate::protocol::{AttemptId, JobId, MachineId};
 
 /// What the leader wants done outside. Each is answered by an event.
 #[derive(Debug, Clone, PartialEq)]
@@ -210,7 +210,7 @@
     fn count_running(&mut self) {
         self.running.clear();
         for machine in self.machines.values() {
-            for ((task, _), attempt) in &machine.attempts {
+            for (AttemptId { task, .. }, attempt) in &machine.attempts {
                 if attempt.phase != Phase::Running {
                     continue;
                 }
@@ -241,9 +241,11 @@
         let job = self.jobs.get(id).filter(|job| job.final_stage.is_none())?;
         let runs = |(index, machine): &(&u32, &MachineId)| {
             self.machines.get(machine).is_some_and(|machine| {
-                machine.attempts_of(&job.id).any(|((task, _), attempt)| {
-                    task.index == **index && attempt.phase == Phase::Running
-                })
+                machine
+                    .attempts_of(&job.id)
+                    .any(|(AttemptId { task, .. }, attempt)| {
+                        task.index == **index && attempt.phase == Phase::Running
+                    })
             })
         };
         let running = job.live().iter().filter(runs).count() as u32;
--- a/src/coordination/shard/placement/mod.rs
+++ b/src/coordination/shard/placement/mod.rs
@@ -16,7 +16,7 @@
 use super::machines::Amounts;
 use super::{Attempt, Job, Phase, Shard};
 use crate::protocol::users::Priority;
-use crate::protocol::{JobId, MachineId, TaskId};
+use crate::protocol::{AttemptId, JobId, MachineId, TaskId};
 
 /// Tasks of one job placed before its team's turn ends.
 const BLOCK: usize = 4;
@@ -278,7 +278,10 @@
         };
         tracing::debug!(%task, attempt_number, machine = %machine_id, "launch");
         machine.attempts.insert(
-            (task, attempt_number),
+            AttemptId {
+                task,
+                number: attempt_number,
+            },
             Attempt::new(Some(job.spec.clone()), Phase::Launching, now),
         );
         self.writes.progress_changed(now);
--- a/src/coordination/shard/preemption.rs
+++ b/src/coordination/shard/preemption.rs
@@ -8,10 +8,10 @@
 use super::placement::{Pass, Slot, Usage, allowed};
 use super::{Attempt, Job, Machine, Shard};
 use crate::protocol::users::{JobKind, JobSpec, Priority};
-use crate::protocol::{JobId, MachineId, TaskId};
+use crate::protocol::{AttemptId, JobId, MachineId};
 
 /// Attempts on one machine.
-type Victims = Vec<(TaskId, u64)>;
+type Victims = Vec<AttemptId>;
 
 /// What a stopped service is reckoned to lose.
 const SERVICE_HARM: Duration = Duration::from_secs(3600);
@@ -26,7 +26,7 @@
 #[derive(Clone)]
 struct Stop {
     machine: MachineId,
-    key: (TaskId, u64),
+    key: AttemptId,
     comes: Arc<JobSpec>,
 }
 
@@ -38,7 +38,7 @@
     room: Vec<Amounts>,
     stops: Vec<Stop>,
     /// Attempts that are to stop by now.
-    chosen: HashSet<(TaskId, u64)>,
+    chosen: HashSet<AttemptId>,
 }
 
 impl Shard {
@@ -217,7 +217,7 @@
     fn choose_victim(
         &self,
         at: usize,
-        key: (TaskId, u64),
+        key: AttemptId,
         pass: &Pass,
         making: &mut Making,
         comes: &Arc<JobSpec>,
@@ -281,8 +281,8 @@
         &self,
         spec: &JobSpec,
         now: Instant,
-    ) -> Option<(MachineId, (TaskId, u64))> {
-        let mut best: Option<(Priority, Duration, &MachineId, &(TaskId, u64))> = None;
+    ) -> Option<(MachineId, AttemptId)> {
+        let mut best: Option<(Priority, Duration, &MachineId, &AttemptId)> = None;
         let lesser = |machine: &&Machine| machine.load.has_lower_priority(spec.priority);
         for machine in self.machines.values().filter(lesser) {
             for (key, attempt) in machine.attempts.iter().filter(|(_, a)| !a.ended()) {
@@ -322,11 +322,11 @@
 
     /// How much stopping an attempt now would hurt. A gang is stopped whole, and
     /// had better be told in time everywhere.
-    fn harm(&self, key: &(TaskId, u64), attempt: &Attempt, now: Instant) -> Duration {
+    fn harm(&self, key: &AttemptId, attempt: &Attempt, now: Instant) -> Duration {
         let of_one = harm(attempt, now);
         let gang = attempt.spec.as_ref().filter(|spec| spec.is_gang());
         gang.map_or(of_one, |spec| {
-            let unreached = if self.gang_in_reach(&key.0.job, now) {
+            let unreached = if self.gang_in_reach(&key.task.job, now) {
                 Duration::ZERO
             } else {
                 SERVICE_HARM
@@ -337,7 +337,7 @@
 
     /// The victim gets its time to save, unless what comes can't wait for it:
     /// then it falls back to its last checkpoint.
-    fn stop_for_room(&mut self, machine: &MachineId, key: &(TaskId, u64), comes: &JobSpec) {
+    fn stop_for_room(&mut self, machine: &MachineId, key: &AttemptId, comes: &JobSpec) {
         let wait = self.policy.wait_within.get(&comes.class).copied();
         let Some(attempt) = self
             .machines
@@ -346,7 +346,7 @@
         else {
             return;
         };
-        tracing::debug!(%machine, task = %key.0, "stopped to make room");
+        tracing::debug!(%machine, task = %key.task, "stopped to make room");
         let grace = attempt
             .spec
             .as_ref()
--- a/src/coordination/shard/slowness.rs
+++ b/src/coordination/shard/slowness.rs
@@ -4,7 +4,7 @@
 
 use super::{Phase, Shard};
 use crate::protocol::users::JobKind;
-use crate::protocol::{MachineId, TaskId};
+use crate::protocol::{AttemptId, MachineId};
 
 /// Least number of completed tasks of a job, and least share of its tasks, that
 /// tell how long the others should run: the first to end are the shortest.
@@ -42,7 +42,7 @@
     /// Gives machines up on which several tasks run far longer than others of their
     /// jobs do elsewhere: their work moves, as far as it can be saved with it.
     pub(super) fn find_slow_machines(&mut self, now: Instant) {
-        let mut overdue: Vec<(MachineId, (TaskId, u64))> = Vec::new();
+        let mut overdue: Vec<(MachineId, AttemptId)> = Vec::new();
         for job in self.jobs.values() {
             // Tasks that resume from a checkpoint run for any time.
             let bound = job.ran.overdue_after(job.spec.tasks);
--- a/src/coordination/shard/tests/failures.rs
+++ b/src/coordination/shard/tests/failures.rs
@@ -5,6 +5,7 @@
 use super::script::{Script, TOKEN, listed, stops};
 use super::world::{self, policy, record};
 use crate::coordination::shard::{CommandOutcome, Policy, RecoveredState};
+use crate::protocol::AttemptId;
 use crate::protocol::users::{JobKind, JobSpec, Stage};
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState, TaskStatus, WorkerHeartbeat};
 
@@ -43,10 +44,10 @@
     let keys: Vec<_> = listed_still.map(|(key, _)| key.clone()).collect();
     let tasks: Vec<TaskStatus> = keys
         .into_iter()
-        .map(|(task, attempt_number)| {
+        .map(|AttemptId { task, number }| {
             let state = rule(&task.job, id);
             let outcome = (state == TaskState::Ended).then_some(AttemptOutcome::Error);
-            listed(&task.to_string(), attempt_number, state, outcome)
+            listed(&task.to_string(), number, state, outcome)
         })
         .collect();
     script.heartbeat_of(id, TOKEN, tasks)
@@ -84,9 +85,9 @@
     let keys: Vec<_> = script.machine(id).attempts.keys().cloned().collect();
     let tasks = keys
         .into_iter()
-        .map(|(task, attempt_number)| {
+        .map(|AttemptId { task, number }| {
             let done = Some(AttemptOutcome::Done);
-            listed(&task.to_string(), attempt_number, TaskState::Ended, done)
+            listed(&task.to_string(), number, TaskState::Ended, done)
         })
         .collect();
     let heartbeat = script.heartbeat_of(id, TOKEN, tasks);
--- a/src/coordination/shard/tests/gangs.rs
+++ b/src/coordination/shard/tests/gangs.rs
@@ -1,12 +1,13 @@
 //! Gangs: all tasks run at the same time or none does.
 
+use crate::protocol::AttemptId;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use super::script::{Script, TOKEN, listed, obey, roster};
 use super::world::{GANG_WAIT, record, spec};
 use crate::coordination::shard::{Action, Attempt, CommandOutcome, Phase, RecoveredState};
-use crate::protocol::TaskId;
+
 use crate::protocol::users::{JobKind, JobSpec, Priority, Stage};
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState, TaskStatus, WorkerHeartbeat};
 
@@ -73,10 +74,10 @@
     state: TaskState,
     outcome: Option<AttemptOutcome>,
 ) -> WorkerHeartbeat {
-    let keys: Vec<(TaskId, u64)> = script.machine(id).attempts.keys().cloned().collect();
-    let line = |(task, attempt_number): &(TaskId, u64)| TaskStatus {
+    let keys: Vec<AttemptId> = script.machine(id).attempts.keys().cloned().collect();
+    let line = |AttemptId { task, number }: &AttemptId| TaskStatus {
         task: task.clone(),
-        attempt: *attempt_number,
+        attempt: *number,
         state,
         outcome,
     };
@@ -100,7 +101,13 @@
 
 /// A heartbeat of a machine that shows what its books say.
 pub(super) fn as_it_is(script: &mut Script, id: &str) -> WorkerHeartbeat {
-    let line = |((task, attempt_number), attempt): (&(TaskId, u64), &Attempt)| {
+    let line = |(
+        AttemptId {
+            task,
+            number: attempt_number,
+        },
+        attempt,
+    ): (&AttemptId, &Attempt)| {
         let (state, outcome) = match attempt.phase {
             Phase::Launching | Phase::Fetching => (TaskState::Fetching, None),
             Phase::Waiting => (TaskState::Waiting, None),
@@ -447,7 +454,15 @@
                 let attempts = &script.machine(id).attempts;
                 attempts
                     .iter()
-                    .map(|((_, attempt_number), a)| (*attempt_number, a.phase))
+                    .map(
+                        |(
+                            AttemptId {
+                                number: attempt_number,
+                                ..
+                            },
+                            a,
+                        )| (*attempt_number, a.phase),
+                    )
                     .next()
             };
             let other = if attempt_number("vm-2").is_some() {
--- a/src/coordination/shard/tests/meetings.rs
+++ b/src/coordination/shard/tests/meetings.rs
@@ -162,7 +162,7 @@
         .attempts
         .keys()
         .next()
-        .map(|(_, attempt_number)| *attempt_number);
+        .map(|id| id.number);
     let line = listed(
         "run-1/0",
         attempt_number.expect("it runs"),
@@ -205,7 +205,7 @@
         .machine("vm-1")
         .attempts
         .keys()
-        .map(|(_, t)| *t)
+        .map(|id| id.number)
         .collect();
     let line = |n: usize, outcome: Option<AttemptOutcome>| {
         let state = outcome.map_or(TaskState::Running, |_| TaskState::Ended);
--- a/src/coordination/shard/tests/script.rs
+++ b/src/coordination/shard/tests/script.rs
@@ -13,7 +13,7 @@
 use crate::protocol::kv::Mutation;
 use crate::protocol::users::JobSpec;
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState, TaskStatus, WorkerHeartbeat};
-use crate::protocol::{MachineId, TaskId};
+use crate::protocol::{AttemptId, MachineId, TaskId};
 use crate::storage::keys;
 use crate::storage::records::RosterRecord;
 
@@ -256,8 +256,8 @@
     /// A heartbeat of a machine on which all runs that is on its books.
     pub(super) fn running(&mut self, id: &str) -> WorkerHeartbeat {
         let tasks = self.machine(id).attempts.keys().cloned();
-        let running = |(task, attempt_number): (TaskId, u64)| {
-            listed(&task.to_string(), attempt_number, TaskState::Running, None)
+        let running = |AttemptId { task, number }: AttemptId| {
+            listed(&task.to_string(), number, TaskState::Running, None)
         };
         let tasks = tasks.map(running).collect();
         self.heartbeat_of(id, TOKEN, tasks)
--- a/src/coordination/shard/tests/standstill.rs
+++ b/src/coordination/shard/tests/standstill.rs
@@ -1,6 +1,7 @@
 //! The leader stands still while its clocks run on, and keeps its lease: the key-value store
 //! was out, and all others left the shard alone.
 
+use crate::protocol::AttemptId;
 use std::time::Duration;
 
 use super::script::{Script, listed};
@@ -73,7 +74,13 @@
         .iter()
         .map(|id| {
             let attempts = &script.machine(id).attempts;
-            let ((task, attempt_number), _) = attempts.first_key_value().expect("a task");
+            let (
+                AttemptId {
+                    task,
+                    number: attempt_number,
+                },
+                _,
+            ) = attempts.first_key_value().expect("a task");
             listed(&task.to_string(), *attempt_number, TaskState::Running, None)
         })
         .collect();
--- a/src/coordination/shard/writes.rs
+++ b/src/coordination/shard/writes.rs
@@ -10,7 +10,7 @@
 use super::{Action, Shard};
 use crate::protocol::cloud::Rental;
 use crate::protocol::kv::Mutation;
-use crate::protocol::{MachineId, TaskId};
+use crate::protocol::{AttemptId, MachineId};
 use crate::storage::keys;
 use crate::storage::records::{RentalRecord, RosterRecord, VERSION};
 use crate::storage::roster::Roster;
@@ -60,7 +60,7 @@
 }
 
 /// A finish that the worker may forget once a snapshot holds it.
-pub(super) type Finish = (MachineId, (TaskId, u64));
+pub(super) type Finish = (MachineId, AttemptId);
 
 /// The queue of writes.
 #[derive(Debug, Default)]
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -92,3 +92,19 @@
         write!(f, "{}/{}", self.job, self.index)
     }
 }
+
+/// One attempt to run a task.
+#[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct AttemptId {
+    /// The task.
+    pub task: TaskId,
+    /// The attempt's number. It never repeats for a task, whatever a leader that failed had
+    /// started. All tasks of one attempt of a gang carry the same.
+    pub number: u64,
+}
+
+impl fmt::Display for AttemptId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}#{}", self.task, self.number)
+    }
+}
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -4,7 +4,7 @@
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use super::TaskId;
+use super::{AttemptId, TaskId};
 
 /// A task's state on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -70,6 +70,16 @@
     pub outcome: Option<AttemptOutcome>,
 }
 
+impl TaskStatus {
+    /// The attempt that it is about.
+    pub fn attempt_id(&self) -> AttemptId {
+        AttemptId {
+            task: self.task.clone(),
+            number: self.attempt,
+        }
+    }
+}
+
 /// A worker's heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WorkerHeartbeat {
@@ -141,6 +151,19 @@
     },
 }
 
+impl Command {
+    /// The attempt that it is about.
+    pub fn attempt_id(&self) -> AttemptId {
+        let (Self::Launch { task, attempt }
+        | Self::Stop { task, attempt, .. }
+        | Self::Clear { task, attempt }) = self;
+        AttemptId {
+            task: task.clone(),
+            number: *attempt,
+        }
+    }
+}
+
 /// The answer to a heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct HeartbeatResponse {
