--- a/src/cli.rs
+++ b/src/cli.rs
@@ -5,7 +5,7 @@
 
 use clap::Parser;
 
-use crate::coordination::node;
+use crate::server;
 use crate::settings::Settings;
 use crate::telemetry;
 
@@ -49,7 +49,7 @@
             return ExitCode::FAILURE;
         }
     };
-    match runtime.block_on(node::run(settings)) {
+    match runtime.block_on(server::run(settings)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("valegap: {error}");
--- a/src/coordination/executor.rs
+++ b/src/coordination/executor/mod.rs
@@ -5,11 +5,11 @@
 
 use hyper::{Method, StatusCode};
 use serde::de::DeserializeOwned;
-use tracing::{debug, error, warn};
+use tracing::{debug, error, info, warn};
 
-use super::lease::ShardLease;
-use super::node::{KV_DEADLINE, Node};
-use super::shard::{Action, CommandOutcome, RentalOutcome, ShardWrite};
+use crate::coordination::leadership::lease::ShardLease;
+use crate::coordination::node::{KV_DEADLINE, Node};
+use crate::coordination::shard::{Action, CommandOutcome, RentalOutcome, ShardWrite};
 use crate::protocol::cloud::{ListPage, Listed, MachineNames, MachineType, MachineTypes, Rental};
 use crate::protocol::kv::{Mutation, Transaction};
 use crate::protocol::users::Stage;
@@ -383,3 +383,32 @@
         }
     }
 }
+
+/// Reads the cloud's machine types and prices from time to time, as long as the process lasts.
+pub async fn refresh_machine_types(node: Arc<Node>) {
+    let mut attempt = 0;
+    loop {
+        let pause = match machine_types(&node).await {
+            Some(types) => {
+                attempt = 0;
+                let lease = {
+                    let mut inner = node.lock();
+                    if inner.types.is_none() {
+                        info!(types = types.len(), "machine types known");
+                    }
+                    inner.types = Some(types.clone());
+                    inner.leadership.as_ref().map(|own| own.lease.clone())
+                };
+                if let Some(lease) = lease {
+                    node.with_shard(&lease, "types", |shard, _| shard.set_types(&types));
+                }
+                Duration::from_secs(30)
+            }
+            None => {
+                attempt += 1;
+                backoff(attempt + 2)
+            }
+        };
+        tokio::time::sleep(pause).await;
+    }
+}
--- a/src/coordination/election.rs
+++ b/src/coordination/leadership/election.rs
@@ -5,14 +5,15 @@
 
 use tracing::{info, warn};
 
-use super::advance_delegation::AdvanceGrants;
+use super::job_watch;
 use super::lease::{self, ShardLease};
-use super::node::{KV_DEADLINE, Node};
-use super::node_state::Leadership;
-use super::peering::extension;
-use super::recovery::StoredRecords;
-use super::shard::{RecoveredState, Shard};
-use super::{drift, executor, job_watch};
+use super::stored_records::StoredRecords;
+use crate::coordination::node::state::Leadership;
+use crate::coordination::node::{KV_DEADLINE, Node};
+use crate::coordination::peering::extension;
+use crate::coordination::shard::{RecoveredState, Shard};
+use crate::coordination::worker_leases::advance_delegation::AdvanceGrants;
+use crate::coordination::{clock_drift, executor};
 use crate::protocol::FencingToken;
 use crate::protocol::kv::{Mutation, Transaction, WatchEvent};
 use crate::storage::keys;
@@ -294,7 +295,7 @@
     };
     if promised {
         let margin = Duration::from_secs_f64(node.settings.operator.lease_margin_s).min(time / 4);
-        lease.extended(sent + drift::shortest(time) - margin);
+        lease.extended(sent + clock_drift::min_elapsed(time) - margin);
     }
 }
 
--- a/src/coordination/job_watch.rs
+++ b/src/coordination/leadership/job_watch.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use super::lease::ShardLease;
-use super::node::{KV_DEADLINE, Node};
-use super::recovery::parse_job;
-use super::shard::Shard;
+use super::stored_records::parse_job;
+use crate::coordination::node::{KV_DEADLINE, Node};
+use crate::coordination::shard::Shard;
 use crate::protocol::kv::{KeyValue, WatchEvent};
 use crate::storage::keys;
 use crate::storage::kv_client::{KvError, backoff};
--- a/src/coordination/lease.rs
+++ b/src/coordination/leadership/lease.rs
@@ -7,7 +7,7 @@
 
 use tokio::sync::Notify;
 
-use super::drift;
+use crate::coordination::clock_drift;
 use crate::settings::Operator;
 
 /// How long a delegate may answer workers after it asked the key-value store
@@ -52,7 +52,7 @@
 /// The moment up to which a renewal sent at `sent` entitles.
 pub fn deadline(operator: &Operator, sent: Instant) -> Instant {
     let margin = Duration::from_secs_f64(operator.lease_margin_s);
-    sent + drift::shortest(operator.lease()).saturating_sub(margin)
+    sent + clock_drift::min_elapsed(operator.lease()).saturating_sub(margin)
 }
 
 impl ShardLease {
--- a/src/coordination/recovery.rs
+++ b/src/coordination/leadership/stored_records.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use super::lease::Sequence;
-use super::shard::{RecoveredMachine, RecoveredState};
+use crate::coordination::shard::{RecoveredMachine, RecoveredState};
 use crate::protocol::kv::KeyValue;
 use crate::storage::kv_client::{KvClient, KvError};
 use crate::storage::records::{JobRecord, SequenceRecord};
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,22 +1,15 @@
-//! Who owns what, and what a leader does with it.
+//! Leadership of a shard, and what a controller does as its leader or as a delegate
+//! of the leader.
 
-pub mod advance_delegation;
-pub mod cancellation_knowledge;
-pub mod drift;
-pub mod election;
-pub mod entitlement;
+pub mod clock_drift;
 pub mod executor;
-pub mod job_watch;
-pub mod lease;
+pub mod leadership;
 pub mod node;
-pub mod node_state;
 pub mod peering;
-pub mod reachability;
-pub mod recovery;
 pub mod requests;
 pub mod shard;
-pub mod status;
 pub mod worker_heartbeats;
+pub mod worker_leases;
 
 #[cfg(test)]
 mod tests;
--- a/src/coordination/node.rs
+++ b/src/coordination/node/mod.rs
@@ -1,29 +1,30 @@
-//! One controller: its state, its loops and its servers.
+//! One controller: its settings, clients and admission limits, and its state behind a
+//! lock.
+
+mod reachability;
+pub mod state;
+mod status;
 
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
 use rand::Rng;
-use thiserror::Error;
-use tokio::net::TcpListener;
 use tokio::sync::Semaphore;
-use tracing::info;
 
-use super::cancellation_knowledge;
-use super::lease::ShardLease;
-use super::node_state::NodeState;
-use super::shard::{Job, Policy, Shard};
-use super::{election, executor, peering};
-use crate::clock::{Clock, SteadyClock};
+use self::state::NodeState;
+use crate::clock::Clock;
+use crate::coordination::executor;
+use crate::coordination::leadership::lease::ShardLease;
+use crate::coordination::shard::{Job, Policy, Shard};
+use crate::coordination::worker_leases::cancellation_freshness;
 use crate::protocol::JobId;
 use crate::settings::Settings;
 use crate::storage::budget::Turns;
 use crate::storage::job_index::JobIndex;
-use crate::storage::kv_client::{KvClient, KvError, backoff};
+use crate::storage::kv_client::{KvClient, KvError};
 use crate::storage::records::JobRecord;
 use crate::transport::client::HttpClient;
-use crate::transport::limit::{Limited, Places};
-use crate::transport::{front, internal};
+use crate::transport::limit::Places;
 
 /// Deadline of ordinary key-value requests.
 pub const KV_DEADLINE: Duration = Duration::from_millis(2500);
@@ -31,8 +32,6 @@
 /// How long an unused connection to a worker is kept: there are many workers,
 /// each with a connection of its own to us as well.
 const WORKER_IDLE: Duration = Duration::from_secs(5);
-/// Pauses between heartbeats after which a silent connection to us is closed.
-const IDLE_HEARTBEATS: u32 = 5;
 /// Batches of commands under way at once, in percent of the sockets, and the least that is
 /// allowed for; more wait for their turn.
 const COMMAND_SHARE: usize = 7;
@@ -49,18 +48,18 @@
 /// Longest wait for a turn to write; who would wait longer is told at once.
 const LONGEST_TURN: Duration = Duration::from_millis(2500);
 
-/// Shares of the sockets, in percent, for the two servers; the rest is for
-/// connections to others.
+/// Share of the sockets, in percent, for the connections of users, workers and the
+/// balancer.
 const FRONT_SHARE: usize = 80;
-const INTERNAL_SHARE: usize = 5;
 
 /// Share of the key-value store's requests for looks by all controllers.
 const CATCH_UP_SHARE: f64 = 0.2;
 /// Least pause between two looks.
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(50);
 
-/// A share of the sockets, in percent, as places for connections.
-fn places(settings: &Settings, share: usize) -> Places {
+/// The connections that a listener may hold at once: a share of the process's sockets,
+/// in percent.
+pub fn connection_places(settings: &Settings, share: usize) -> Places {
     let sockets = settings.platform.settings.resources.max_connections;
     Places::new(sockets * share / 100)
 }
@@ -73,17 +72,6 @@
     Duration::from_secs_f64((1.0 / rate).min(1.0)).max(CATCH_UP_PAUSE)
 }
 
-/// Why the process ends.
-#[derive(Debug, Error)]
-pub enum RunError {
-    /// An address can't be listened on.
-    #[error("can't listen on {0}: {1}")]
-    Listen(std::net::SocketAddr, std::io::Error),
-    /// A server ended by itself.
-    #[error("a server ended: {0}")]
-    Server(std::io::Error),
-}
-
 /// A controller.
 pub struct Node {
     /// Both settings files.
@@ -131,8 +119,8 @@
         let sockets = settings.platform.settings.resources.max_connections;
         Arc::new(Self {
             policy: Policy::new(&settings),
-            front_places: places(&settings, FRONT_SHARE),
-            renewal_bound: cancellation_knowledge::bound(&settings),
+            front_places: connection_places(&settings, FRONT_SHARE),
+            renewal_bound: cancellation_freshness::bound(&settings),
             settings,
             clock,
             kv,
@@ -289,64 +277,3 @@
 pub fn random_id() -> u64 {
     rand::rng().random::<u64>() >> 12
 }
-
-/// Runs a controller until it is killed.
-pub async fn run(settings: Settings) -> Result<(), RunError> {
-    let node = Node::new(settings, Arc::new(SteadyClock));
-    let platform = &node.settings.platform;
-    let listen = async |addr| {
-        TcpListener::bind(addr)
-            .await
-            .map_err(|error| RunError::Listen(addr, error))
-    };
-    let front_listener = listen(platform.front).await?;
-    let internal_listener = listen(platform.internal_addr).await?;
-    info!(
-        node_id = node.node_id(),
-        area = platform.area,
-        front = %platform.front,
-        "valegap starts"
-    );
-    tokio::spawn(keep_types(node.clone()));
-    tokio::spawn(peering::run(node.clone()));
-    tokio::spawn(peering::delegation::serve_delegated_workers(node.clone()));
-    tokio::spawn(election::campaign(node.clone()));
-    let idle = platform.settings.workers.heartbeat_interval() * IDLE_HEARTBEATS;
-    let front_listener = Limited::new(front_listener, node.front_places.clone(), idle);
-    let internal_places = places(&node.settings, INTERNAL_SHARE);
-    let internal_listener = Limited::new(internal_listener, internal_places, idle);
-    let front = axum::serve(front_listener, front::router(node.clone()));
-    let internal = axum::serve(internal_listener, internal::router(node.clone()));
-    tokio::try_join!(front.into_future(), internal.into_future())
-        .map(|_| ())
-        .map_err(RunError::Server)
-}
-
-/// Reads machine types and prices from time to time.
-async fn keep_types(node: Arc<Node>) {
-    let mut attempt = 0;
-    loop {
-        let pause = match executor::machine_types(&node).await {
-            Some(types) => {
-                attempt = 0;
-                let lease = {
-                    let mut inner = node.lock();
-                    if inner.types.is_none() {
-                        info!(types = types.len(), "machine types known");
-                    }
-                    inner.types = Some(types.clone());
-                    inner.leadership.as_ref().map(|own| own.lease.clone())
-                };
-                if let Some(lease) = lease {
-                    node.with_shard(&lease, "types", |shard, _| shard.set_types(&types));
-                }
-                Duration::from_secs(30)
-            }
-            None => {
-                attempt += 1;
-                backoff(attempt + 2)
-            }
-        };
-        tokio::time::sleep(pause).await;
-    }
-}
--- a/src/coordination/reachability.rs
+++ b/src/coordination/node/reachability.rs
@@ -2,9 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use super::node::Node;
-use super::node_state::PeerView;
-use super::peering::extension;
+use super::Node;
+use super::state::PeerView;
+use crate::coordination::peering::extension;
 
 /// How long another controller counts as heard.
 const PEER_REACHABLE_WITHIN: Duration = Duration::from_millis(2500);
--- a/src/coordination/node_state.rs
+++ b/src/coordination/node/state.rs
@@ -1,15 +1,15 @@
-//! What a controller knows, behind the one lock of its [`Node`](super::node::Node).
+//! What a controller knows, behind the one lock of its [`Node`](super::Node).
 
 use crate::protocol::FencingToken;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Instant;
 
-use super::advance_delegation::{AdvanceDelegation, AdvanceGrants};
-use super::cancellation_knowledge::CancellationKnowledge;
-use super::lease::ShardLease;
-use super::peering::reach::UnreachableWorkers;
-use super::shard::{Shard, TaskCounts};
+use crate::coordination::leadership::lease::ShardLease;
+use crate::coordination::peering::reach::UnreachableWorkers;
+use crate::coordination::shard::{Shard, TaskCounts};
+use crate::coordination::worker_leases::advance_delegation::{AdvanceDelegation, AdvanceGrants};
+use crate::coordination::worker_leases::cancellation_freshness::CancellationFreshness;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::peers::PeerHeartbeat;
 use crate::storage::inventory::PendingHeartbeats;
@@ -70,7 +70,7 @@
     /// Its part as a delegate of the leader.
     pub delegate: DelegateRole,
     /// Up to when cancellations are known here.
-    pub cancellations: CancellationKnowledge,
+    pub cancellations: CancellationFreshness,
     /// Workers are not answered, since too little is known of cancellations.
     pub renewals_suspended: bool,
 }
--- a/src/coordination/status.rs
+++ b/src/coordination/node/status.rs
@@ -1,6 +1,6 @@
 //! The status page of a controller, as text for operators.
 
-use super::node::Node;
+use super::Node;
 
 impl Node {
     /// What operators may want to know, as text.
--- a/src/coordination/peering/cancellations.rs
+++ b/src/coordination/peering/cancellations.rs
@@ -7,7 +7,7 @@
 use hyper::StatusCode;
 
 use super::{ROUND_DEADLINE, post};
-use crate::coordination::drift;
+use crate::coordination::clock_drift;
 use crate::coordination::node::Node;
 use crate::protocol::peer_messages::{
     CANCELLATIONS, CancellationsRequest, CancelledJob, ConfirmedCancellations,
@@ -47,7 +47,7 @@
     let cancelled = jobs.into_iter().map(|told| (told.job, told.revision));
     node.job_index.note_cancelled(cancelled.collect());
     node.notify_finished_jobs();
-    let began = drift::latest_start(Duration::from_millis(told.up_ms), node.now());
+    let began = clock_drift::latest_start(Duration::from_millis(told.up_ms), node.now());
     let counts = node
         .lock()
         .cancellations
--- a/src/coordination/peering/delegation.rs
+++ b/src/coordination/peering/delegation.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 
 use super::{HEARTBEAT_FRESH, LEADER_GRACE};
-use crate::coordination::advance_delegation;
-use crate::coordination::drift;
-use crate::coordination::lease::{DELEGATION_TIME, ShardLease};
+use crate::coordination::clock_drift;
+use crate::coordination::leadership::lease::{DELEGATION_TIME, ShardLease};
+use crate::coordination::node::state::Delegation;
 use crate::coordination::node::{KV_DEADLINE, Node, random_id};
-use crate::coordination::node_state::Delegation;
 use crate::coordination::shard::Shard;
+use crate::coordination::worker_leases::advance_delegation;
 use crate::protocol::kv::{KeyValue, Mutation, Transaction};
 use crate::protocol::workers::WorkerHeartbeat;
 use crate::settings::platform::Peer;
@@ -283,7 +283,7 @@
                     .as_ref()
                     .is_some_and(|delegation| delegation.fencing_token == *fencing_token)
             });
-        let until = sent + drift::shortest(DELEGATION_TIME) - DELEGATION_MARGIN;
+        let until = sent + clock_drift::min_elapsed(DELEGATION_TIME) - DELEGATION_MARGIN;
         let inventory = delegated.is_some_and(|delegation| delegation.inventory);
         let delegation = fencing_token.map(|fencing_token| Delegation {
             fencing_token,
--- a/src/coordination/peering/extension.rs
+++ b/src/coordination/peering/extension.rs
@@ -8,10 +8,10 @@
 use std::time::{Duration, Instant};
 
 use super::{ROUND_DEADLINE, ask, post};
-use crate::coordination::drift;
-use crate::coordination::lease::ShardLease;
+use crate::coordination::clock_drift;
+use crate::coordination::leadership::lease::ShardLease;
 use crate::coordination::node::Node;
-use crate::coordination::node_state::NodeState;
+use crate::coordination::node::state::NodeState;
 use crate::protocol::FencingToken;
 use crate::protocol::peer_messages::{REVIVE_LEASE, RevivalVote, ReviveLease};
 use crate::protocol::peers::{PeerAnswer, PeerRequest};
@@ -33,7 +33,7 @@
         return false;
     }
     // Our own clock may run fast against the leader's.
-    let until = now + drift::longest(time);
+    let until = now + clock_drift::max_elapsed(time);
     inner.candidacy.extension_granted_until =
         inner.candidacy.extension_granted_until.max(Some(until));
     true
@@ -88,7 +88,7 @@
 /// Whether an answer that has just come proves that its giver left the shard alone
 /// since a leader's last good renewal was sent: an earlier run may have taken it.
 pub fn proves_unowned(answer: &RevivalVote, now: Instant, renewed: Instant) -> bool {
-    answer.granted && drift::latest_start(Duration::from_millis(answer.up_ms), now) < renewed
+    answer.granted && clock_drift::latest_start(Duration::from_millis(answer.up_ms), now) < renewed
 }
 
 /// Asks all other controllers to stand aside; true if every one does, and none can
--- a/src/coordination/peering/heartbeat.rs
+++ b/src/coordination/peering/heartbeat.rs
@@ -4,10 +4,10 @@
 use std::time::{Duration, Instant};
 
 use super::{ROUND_DEADLINE, ask, extension};
-use crate::coordination::advance_delegation::AdvanceDelegation;
 use crate::coordination::node::Node;
-use crate::coordination::node_state::{LeaderContact, PeerView};
+use crate::coordination::node::state::{LeaderContact, PeerView};
 use crate::coordination::shard::TaskCounts;
+use crate::coordination::worker_leases::advance_delegation::AdvanceDelegation;
 use crate::protocol::peers::{PeerAnswer, PeerHeartbeat, PeerRequest, Progress};
 use crate::protocol::{FencingToken, JobId};
 
--- a/src/coordination/shard/delegations.rs
+++ b/src/coordination/shard/delegations.rs
@@ -12,8 +12,8 @@
 
 use super::commands::stop;
 use super::{Job, Machine, Shard, WritePurpose};
-use crate::coordination::drift;
-use crate::coordination::lease::DELEGATION_TIME;
+use crate::coordination::clock_drift;
+use crate::coordination::leadership::lease::DELEGATION_TIME;
 use crate::protocol::kv::Mutation;
 use crate::protocol::workers::{Command, TaskState, WorkerHeartbeat};
 use crate::storage::keys;
@@ -217,7 +217,7 @@
     /// Forgets delegations under which nobody can answer any more. Until then the
     /// delegate may have answered any silent worker.
     pub(super) fn end_delegations(&mut self, now: Instant) {
-        let answers = drift::longest(DELEGATION_TIME) + DELIVERY_MARGIN;
+        let answers = clock_drift::max_elapsed(DELEGATION_TIME) + DELIVERY_MARGIN;
         let over = |delegation: &DelegationState| matches!(delegation, DelegationState::Ended(at) if *at + answers <= now);
         if !self.delegations.values().any(over) {
             return;
--- a/src/coordination/shard/policy.rs
+++ b/src/coordination/shard/policy.rs
@@ -3,7 +3,8 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-use crate::coordination::{advance_delegation, drift};
+use crate::coordination::clock_drift;
+use crate::coordination::worker_leases::advance_delegation;
 use crate::settings::Settings;
 use crate::settings::platform::Objective;
 
@@ -148,7 +149,7 @@
     /// How long after our last answer left a worker's lease has surely ended:
     /// its own clock may run slow, and ours fast.
     pub fn worker_lease_bound(&self) -> Duration {
-        drift::longest(self.worker_lease) + LEASE_MARGIN
+        clock_drift::max_elapsed(self.worker_lease) + LEASE_MARGIN
     }
 }
 
--- a/src/coordination/shard/recovery.rs
+++ b/src/coordination/shard/recovery.rs
@@ -8,7 +8,7 @@
 
 use super::autoscaler::Autoscaler;
 use super::{Job, Machine, Machines, Policy, Shard, writes};
-use crate::coordination::lease::DELEGATION_TIME;
+use crate::coordination::leadership::lease::DELEGATION_TIME;
 use crate::protocol::MachineId;
 use crate::storage::records::{JobRecord, RentalRecord, RosterRecord};
 use crate::storage::snapshot;
--- a/src/coordination/tests/cancellation_knowledge.rs
+++ b/src/coordination/tests/cancellation_freshness.rs
@@ -8,16 +8,16 @@
 
 use super::{heartbeat, node, peer};
 use crate::clock::FakeClock;
-use crate::coordination::advance_delegation::AdvanceGrants;
-use crate::coordination::cancellation_knowledge::{CancellationKnowledge, bound};
-use crate::coordination::lease::ShardLease;
+use crate::coordination::leadership::lease::ShardLease;
+use crate::coordination::node::state::Leadership;
 use crate::coordination::node::{KV_DEADLINE, Node};
-use crate::coordination::node_state::Leadership;
 use crate::coordination::peering::cancellations::{
     confirmed_cancellations, note_peer_cancellations,
 };
 use crate::coordination::shard::{RecoveredState, Shard};
 use crate::coordination::worker_heartbeats::{HeartbeatDecision, handle_heartbeat};
+use crate::coordination::worker_leases::advance_delegation::AdvanceGrants;
+use crate::coordination::worker_leases::cancellation_freshness::{CancellationFreshness, bound};
 use crate::protocol::TaskId;
 use crate::protocol::kv::WatchEvent;
 use crate::protocol::peer_messages::{CancellationsRequest, ConfirmedCancellations};
@@ -275,7 +275,7 @@
     let start = Instant::now();
     let at = |s: u64| start + second(s);
     let others = || ["b", "c"].into_iter();
-    let mut awareness = CancellationKnowledge::default();
+    let mut awareness = CancellationFreshness::default();
     assert!(
         !awareness.peer_answered("b", at(1), start),
         "no look to add to"
--- a/src/coordination/tests/mod.rs
+++ b/src/coordination/tests/mod.rs
@@ -1,6 +1,6 @@
 //! Whole controllers on a fake clock, without anything around them.
 
-mod cancellation_knowledge;
+mod cancellation_freshness;
 mod peering;
 mod reach;
 mod scale;
--- a/src/coordination/tests/peering.rs
+++ b/src/coordination/tests/peering.rs
@@ -7,13 +7,13 @@
 
 use super::{heartbeat, node};
 use crate::clock::FakeClock;
-use crate::coordination::advance_delegation::{self, AdvanceGrants};
-use crate::coordination::lease::ShardLease;
+use crate::coordination::leadership::lease::ShardLease;
+use crate::coordination::node::state::Leadership;
 use crate::coordination::node::{KV_DEADLINE, Node};
-use crate::coordination::node_state::Leadership;
 use crate::coordination::peering::extension::{grant_extension, proves_unowned, vote_on_revival};
 use crate::coordination::peering::heartbeat::{heartbeat_answered, note_heartbeat, own_heartbeat};
 use crate::coordination::shard::{RecoveredState, Shard};
+use crate::coordination::worker_leases::advance_delegation::{self, AdvanceGrants};
 use crate::protocol::peer_messages::{RevivalVote, ReviveLease};
 use crate::protocol::peers::PeerHeartbeat;
 
--- a/src/coordination/advance_delegation.rs
+++ b/src/coordination/worker_leases/advance_delegation.rs
@@ -12,7 +12,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use super::drift;
+use crate::coordination::clock_drift;
 use crate::settings::Settings;
 
 /// For a busy processor.
@@ -37,7 +37,7 @@
 /// The time that a cancelled job's tasks have beyond a worker's lease.
 pub fn beyond_lease(settings: &Settings) -> Duration {
     let workers = &settings.platform.settings.workers;
-    let lease = drift::longest(workers.lease()) + MARGIN;
+    let lease = clock_drift::max_elapsed(workers.lease()) + MARGIN;
     workers.cancel().saturating_sub(lease)
 }
 
@@ -55,7 +55,7 @@
     /// `known` are known.
     pub fn until(&self, known: Option<Instant>, longest: Duration) -> Option<Instant> {
         let from = self.seen.min(known?);
-        Some(from + drift::shortest(longest).checked_sub(MARGIN / 2)?)
+        Some(from + clock_drift::min_elapsed(longest).checked_sub(MARGIN / 2)?)
     }
 
     /// Takes in that a leader answered a heartbeat sent then.
--- a/src/coordination/entitlement.rs
+++ b/src/coordination/worker_leases/authority.rs
@@ -9,8 +9,8 @@
 use tracing::{info, warn};
 
 use super::advance_delegation::{self, AdvanceDelegation};
-use super::node::Node;
-use super::node_state::NodeState;
+use crate::coordination::node::Node;
+use crate::coordination::node::state::NodeState;
 use crate::protocol::workers::WorkerHeartbeat;
 
 impl Node {
--- a/src/coordination/cancellation_knowledge.rs
+++ b/src/coordination/worker_leases/cancellation_freshness.rs
@@ -26,14 +26,14 @@
 
 /// What one controller knows of the cancellations told by all.
 #[derive(Debug, Default)]
-pub struct CancellationKnowledge {
+pub struct CancellationFreshness {
     /// When the last look at the jobs was sent.
     looked: Option<Instant>,
     /// By controller: the moment up to which all that it told is known by its word.
     words: HashMap<String, Instant>,
 }
 
-impl CancellationKnowledge {
+impl CancellationFreshness {
     /// A catch-up read of the jobs that was sent then was answered, and taken in.
     pub fn caught_up(&mut self, sent: Instant) {
         self.looked = self.looked.max(Some(sent));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,6 +11,7 @@
 pub mod clock;
 pub mod coordination;
 pub mod protocol;
+pub mod server;
 pub mod settings;
 pub mod storage;
 pub mod telemetry;
--- a/tests/trial/meetings.rs
+++ b/tests/trial/meetings.rs
@@ -9,14 +9,14 @@
 use serde_json::{Value, json};
 use tokio::net::TcpListener;
 use valegap::clock::SteadyClock;
-use valegap::coordination::cancellation_knowledge;
 use valegap::coordination::executor::execute;
-use valegap::coordination::lease::ShardLease;
+use valegap::coordination::leadership::lease::ShardLease;
 use valegap::coordination::node::Node;
 use valegap::coordination::peering::cancellations::ask_for_cancellations;
 use valegap::coordination::peering::extension::{all_grant_extension, all_vote_for_revival};
 use valegap::coordination::requests::{UserRequest, UserResponse, answer};
 use valegap::coordination::shard::{Action, ShardWrite};
+use valegap::coordination::worker_leases::cancellation_freshness;
 use valegap::protocol::FencingToken;
 use valegap::protocol::cloud::MachineType;
 use valegap::protocol::kv::{Mutation, Transaction};
@@ -362,7 +362,7 @@
     assert!(all_grant_extension(&node, time).await);
     assert!(!all_vote_for_revival(&node, &lease, time).await);
     // Its answers end with the bound after its own last look.
-    let bound = cancellation_knowledge::bound(&node.settings);
+    let bound = cancellation_freshness::bound(&node.settings);
     node.lock().cancellations.caught_up(now);
     ask_for_cancellations(node.clone(), node.settings.platform.others[0].clone(), 0).await;
     assert!(
--- a/tests/upgrade/failover.rs
+++ b/tests/upgrade/failover.rs
@@ -5,7 +5,7 @@
 use valegap::protocol::FencingToken;
 
 use serde_json::{Value, json};
-use valegap::coordination::recovery::StoredRecords;
+use valegap::coordination::leadership::stored_records::StoredRecords;
 use valegap::coordination::shard::{
     Action, CommandOutcome, HeartbeatOutcome, Policy, RentalOutcome, Shard, ShardWrite,
 };
