--- a/src/coordination/shard/placement/slots.rs
+++ b/src/coordination/shard/scheduler/candidates.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use super::usage::Usage;
+use super::quota::Usage;
 use crate::coordination::shard::machines::Amounts;
 use crate::coordination::shard::{Machine, Shard};
 use crate::protocol::MachineId;
--- a/src/coordination/shard/gang.rs
+++ b/src/coordination/shard/scheduler/gang.rs
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::placement::{Pass, Slot, allowed};
-use super::{Job, Machine, Phase, Shard};
+use super::candidates::{Pass, Slot, allowed};
+use crate::coordination::shard::{Job, Machine, Phase, Shard};
 use crate::protocol::users::JobSpec;
 use crate::protocol::{AttemptId, JobId, MachineId};
 
@@ -22,8 +22,6 @@
 const TRY_AGAIN: Duration = Duration::from_secs(3);
 /// How long a gang waits before room is gathered for it.
 const GATHER_AFTER: Duration = Duration::from_secs(3);
-/// Waiting gangs for which room is gathered in one pass.
-pub(super) const MOST_GATHERING: usize = 16;
 
 /// How far a gang's present attempt is.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -70,7 +68,7 @@
     }
 
     /// Brings the tasks of each gang into line: what can't go on together stops.
-    pub(super) fn reconcile_gangs(&mut self, now: Instant) {
+    pub(in crate::coordination::shard) fn reconcile_gangs(&mut self, now: Instant) {
         let gangs: Vec<JobId> = self
             .jobs
             .values()
@@ -135,7 +133,7 @@
     }
 
     /// A task of a gang ended: with one that is done, all are.
-    pub(super) fn gang_task_done(&mut self, id: &JobId) {
+    pub(in crate::coordination::shard) fn gang_task_done(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             for index in 0..job.spec.tasks {
                 job.complete(index);
@@ -144,7 +142,7 @@
     }
 
     /// A gang never came together: it isn't tried the same way at once.
-    pub(super) fn gang_came_apart(&mut self, id: &JobId, now: Instant) {
+    pub(in crate::coordination::shard) fn gang_came_apart(&mut self, id: &JobId, now: Instant) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.not_before = Some(now + TRY_AGAIN);
         }
--- a/src/coordination/shard/placement/mod.rs
+++ b/src/coordination/shard/scheduler/mod.rs
@@ -1,18 +1,22 @@
 //! Which waiting task goes where.
 
-mod choice;
+mod candidates;
+mod gang;
+mod placement;
+mod preemption;
 mod queue;
-mod slots;
-mod usage;
+mod quota;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-pub(super) use slots::{Pass, Slot, allowed};
-pub(super) use usage::Usage;
+pub(super) use candidates::allowed;
+pub use gang::GangAttempt;
+pub(super) use quota::Usage;
+
+use candidates::Pass;
 
-use super::gang::MOST_GATHERING;
 use super::machines::Amounts;
 use super::{Attempt, Job, Phase, Shard};
 use crate::protocol::users::Priority;
@@ -23,6 +27,8 @@
 /// How long a job waits without a start until it gets one before others: the
 /// users call more than four minutes not served.
 const STARVING: Duration = Duration::from_secs(150);
+/// Waiting gangs for which room is gathered in one pass.
+const MOST_GATHERING: usize = 16;
 /// Machines held at once for jobs that have waited for that long.
 const MOST_HELD: usize = 16;
 /// Tasks placed in one pass.
--- a/src/coordination/shard/placement/choice.rs
+++ b/src/coordination/shard/scheduler/placement.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::slots::{Holding, Pass, Slot, allowed};
+use super::candidates::{Holding, Pass, Slot, allowed};
 use crate::coordination::shard::{Job, Machine, Shard};
 use crate::protocol::users::{JobKind, JobSpec};
 
--- a/src/coordination/shard/preemption.rs
+++ b/src/coordination/shard/scheduler/preemption.rs
@@ -4,9 +4,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::machines::Amounts;
-use super::placement::{Pass, Slot, Usage, allowed};
-use super::{Attempt, Job, Machine, Shard};
+use super::candidates::{Pass, Slot, allowed};
+use super::quota::Usage;
+use crate::coordination::shard::machines::Amounts;
+use crate::coordination::shard::{Attempt, Job, Machine, Shard};
 use crate::protocol::users::{JobKind, JobSpec, Priority};
 use crate::protocol::{AttemptId, JobId, MachineId};
 
--- a/src/coordination/shard/placement/queue.rs
+++ b/src/coordination/shard/scheduler/queue.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-use super::usage::Usage;
+use super::quota::Usage;
 use crate::coordination::shard::{Job, Shard};
 use crate::protocol::JobId;
 
