--- a/src/coordination/executor/mod.rs
+++ b/src/coordination/executor/mod.rs
@@ -16,7 +16,7 @@
 use crate::protocol::workers::{Command, CommandBatch};
 use crate::protocol::{FencingToken, MachineId};
 use crate::storage::kv_client::{KvError, TransactionOutcome, backoff};
-use crate::storage::records::{FinalRecord, JobRecord, SequenceRecord, VERSION};
+use crate::storage::records::{FORMAT_VERSION, FinalRecord, JobRecord, SequenceRecord};
 use crate::storage::{job_transition, keys};
 use crate::transport::client::CallError;
 
@@ -133,9 +133,9 @@
     let mut sequence = lease.sequence.lock().await;
     let n = sequence.n + 1;
     let record = SequenceRecord {
-        v: VERSION,
+        format_version: FORMAT_VERSION,
         fencing_token: lease.fencing_token,
-        n,
+        number: n,
     };
     let Ok(value) = serde_json::to_value(&record) else {
         return Written::Ended;
--- a/src/coordination/leadership/election.rs
+++ b/src/coordination/leadership/election.rs
@@ -18,7 +18,7 @@
 use crate::protocol::kv::{Mutation, Transaction, WatchEvent};
 use crate::storage::keys;
 use crate::storage::kv_client::{KvError, TransactionOutcome, backoff};
-use crate::storage::records::{LeaderRecord, VERSION};
+use crate::storage::records::{FORMAT_VERSION, LeaderRecord};
 use crate::telemetry::Activities;
 
 /// Pause between two looks at the shard's timers.
@@ -174,7 +174,7 @@
         return (None, true);
     };
     let record = LeaderRecord {
-        v: VERSION,
+        format_version: FORMAT_VERSION,
         node_id: node.node_id().to_owned(),
         lease: lease_id,
         incarnation: node.incarnation,
--- a/src/coordination/leadership/stored_records.rs
+++ b/src/coordination/leadership/stored_records.rs
@@ -65,7 +65,7 @@
         };
         Sequence {
             mod_revision: item.mod_revision,
-            n: parse::<SequenceRecord>(item).map_or(0, |record| record.n),
+            n: parse::<SequenceRecord>(item).map_or(0, |record| record.number),
         }
     }
 
--- a/src/coordination/peering/delegation.rs
+++ b/src/coordination/peering/delegation.rs
@@ -19,7 +19,9 @@
 use crate::storage::inventory::{Batch, whole_heartbeats};
 use crate::storage::keys;
 use crate::storage::kv_client::KvError;
-use crate::storage::records::{DelegateRecord, InventoryRecord, ReachabilityRecord, VERSION};
+use crate::storage::records::{
+    DelegateRecord, FORMAT_VERSION, InventoryRecord, ReachabilityRecord,
+};
 
 /// A peer's heartbeat older than this, two rounds, means that it may be cut off.
 const HEARTBEAT_LATE: Duration = Duration::from_millis(2200);
@@ -61,9 +63,9 @@
         "workers come here, and the leader can't be reached"
     );
     let record = ReachabilityRecord {
-        v: VERSION,
-        workers,
-        at_ms: node.clock.wall_ms(),
+        format_version: FORMAT_VERSION,
+        reachable_workers: workers,
+        counted_at_ms: node.clock.wall_ms(),
     };
     if let Ok(value) = serde_json::to_value(record) {
         let txn =
@@ -100,8 +102,8 @@
     let counts = items.into_iter().filter_map(|item| {
         let node_id = item.key.strip_prefix(&prefix)?.to_owned();
         let record: ReachabilityRecord = serde_json::from_value(item.value).ok()?;
-        let fresh = wall.abs_diff(record.at_ms) < REACHABILITY_FRESH_MS;
-        (fresh && node_id != node.node_id()).then_some((node_id, record.workers as usize))
+        let fresh = wall.abs_diff(record.counted_at_ms) < REACHABILITY_FRESH_MS;
+        (fresh && node_id != node.node_id()).then_some((node_id, record.reachable_workers as usize))
     });
     Some(counts.collect())
 }
--- a/src/coordination/requests.rs
+++ b/src/coordination/requests.rs
@@ -19,7 +19,7 @@
 use crate::settings::platform::Peer;
 use crate::storage::job_index::JobStatus;
 use crate::storage::kv_client::{KvError, TransactionOutcome, backoff};
-use crate::storage::records::{FinalRecord, JobRecord, VERSION};
+use crate::storage::records::{FORMAT_VERSION, FinalRecord, JobRecord};
 use crate::storage::{job_transition, keys};
 
 /// Deadline of one request to the key-value store on a user's behalf.
@@ -277,8 +277,8 @@
         return Ok(reply);
     }
     let record = JobRecord {
-        v: VERSION,
-        at_ms: node.clock.wall_ms(),
+        format_version: FORMAT_VERSION,
+        accepted_at_ms: node.clock.wall_ms(),
         spec,
     };
     let value = serde_json::to_value(&record).map_err(|e| KvError::Unexpected(e.to_string()))?;
--- a/src/coordination/shard/delegations.rs
+++ b/src/coordination/shard/delegations.rs
@@ -17,7 +17,7 @@
 use crate::protocol::kv::Mutation;
 use crate::protocol::workers::{Command, TaskState, WorkerHeartbeat};
 use crate::storage::keys;
-use crate::storage::records::{DelegateRecord, VERSION};
+use crate::storage::records::{DelegateRecord, FORMAT_VERSION};
 
 /// How long delegates have to account for their workers: a heartbeat or two, and the
 /// writing and reading of what they say.
@@ -86,7 +86,7 @@
             return;
         }
         let record = DelegateRecord {
-            v: VERSION,
+            format_version: FORMAT_VERSION,
             fencing_token: self.fencing_token,
             inventory: !self.unreconciled.is_empty(),
         };
--- a/src/coordination/shard/jobs.rs
+++ b/src/coordination/shard/jobs.rs
@@ -65,7 +65,7 @@
             id,
             spec: Arc::new(record.spec),
             mod_revision,
-            at_ms: record.at_ms,
+            at_ms: record.accepted_at_ms,
             done: TaskSet::default(),
             live: HashMap::new(),
             unplaced: BTreeSet::new(),
--- a/src/coordination/shard/recovery.rs
+++ b/src/coordination/shard/recovery.rs
@@ -78,7 +78,7 @@
             out: Vec::new(),
         };
         for (id, mod_revision, record) in recovered.jobs {
-            let age = Duration::from_millis(wall_ms.saturating_sub(record.at_ms));
+            let age = Duration::from_millis(wall_ms.saturating_sub(record.accepted_at_ms));
             let at = now.checked_sub(age).unwrap_or(now);
             shard.autoscaler.note_arrival(&record.spec, at, now);
             let id = id.as_str().into();
--- a/src/coordination/shard/tests/world.rs
+++ b/src/coordination/shard/tests/world.rs
@@ -20,7 +20,7 @@
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState, TaskStatus, WorkerHeartbeat};
 use crate::protocol::{MachineId, TaskId};
 use crate::storage::keys;
-use crate::storage::records::{FinalRecord, JobRecord, VERSION};
+use crate::storage::records::{FORMAT_VERSION, FinalRecord, JobRecord};
 use crate::storage::roster::read_page;
 
 pub const LEASE: Duration = Duration::from_secs(27);
@@ -61,8 +61,8 @@
 
 pub fn record(spec: JobSpec) -> JobRecord {
     JobRecord {
-        v: VERSION,
-        at_ms: 0,
+        format_version: FORMAT_VERSION,
+        accepted_at_ms: 0,
         spec,
     }
 }
@@ -380,7 +380,7 @@
         self.finals.insert(
             id.to_owned(),
             FinalRecord {
-                v: VERSION,
+                format_version: FORMAT_VERSION,
                 stage: Stage::Cancelled,
                 tasks: record.spec.tasks,
                 spec: record.spec,
@@ -812,7 +812,7 @@
                 self.finals.insert(
                     job.clone(),
                     FinalRecord {
-                        v: VERSION,
+                        format_version: FORMAT_VERSION,
                         stage: Stage::Done,
                         tasks: record.spec.tasks,
                         spec: record.spec,
--- a/src/coordination/shard/writes.rs
+++ b/src/coordination/shard/writes.rs
@@ -12,7 +12,7 @@
 use crate::protocol::kv::Mutation;
 use crate::protocol::{AttemptId, MachineId};
 use crate::storage::keys;
-use crate::storage::records::{RentalRecord, RosterRecord, VERSION};
+use crate::storage::records::{FORMAT_VERSION, RentalRecord, RosterRecord};
 use crate::storage::roster::Roster;
 
 /// What a change is for.
@@ -159,7 +159,7 @@
 
     pub(super) fn record_scale_out(&mut self, rental: &Rental) {
         let record = RentalRecord {
-            v: VERSION,
+            format_version: FORMAT_VERSION,
             rental: rental.clone(),
         };
         if let Ok(value) = serde_json::to_value(record) {
--- a/src/coordination/tests/cancellation_freshness.rs
+++ b/src/coordination/tests/cancellation_freshness.rs
@@ -24,7 +24,7 @@
 use crate::protocol::users::{JobSpec, Stage, parse_submission};
 use crate::protocol::workers::{Command, TaskState, TaskStatus};
 use crate::storage::keys;
-use crate::storage::records::{FinalRecord, JobRecord, VERSION};
+use crate::storage::records::{FORMAT_VERSION, FinalRecord, JobRecord};
 
 const TOKEN: u64 = 9;
 /// The revisions at which the job was accepted, looked at, and cancelled.
@@ -63,8 +63,8 @@
         clock.advance(second(5));
         let now = leader.now();
         let record = JobRecord {
-            v: VERSION,
-            at_ms: 0,
+            format_version: FORMAT_VERSION,
+            accepted_at_ms: 0,
             spec: spec(),
         };
         let recovered = RecoveredState {
@@ -257,8 +257,8 @@
     // The watch, far behind, still tells of its acceptance.
     let lease = gap.lease.clone();
     let record = JobRecord {
-        v: VERSION,
-        at_ms: 0,
+        format_version: FORMAT_VERSION,
+        accepted_at_ms: 0,
         spec: spec(),
     };
     let known = gap.leader.with_shard(&lease, "jobs", |shard, now| {
--- a/src/coordination/tests/scale.rs
+++ b/src/coordination/tests/scale.rs
@@ -15,7 +15,7 @@
 use crate::protocol::TaskId;
 use crate::protocol::peers::{PeerRequest, encode_request};
 use crate::protocol::workers::{TaskState, TaskStatus};
-use crate::storage::records::{JobRecord, VERSION};
+use crate::storage::records::{FORMAT_VERSION, JobRecord};
 use crate::transport::client::HttpClient;
 use crate::transport::internal;
 
@@ -37,8 +37,8 @@
     node.with_shard(&lease, "jobs", |shard, now| {
         for n in 0..JOBS {
             let record = JobRecord {
-                v: VERSION,
-                at_ms: 0,
+                format_version: FORMAT_VERSION,
+                accepted_at_ms: 0,
                 spec: spec.clone(),
             };
             shard.job_accepted(&format!("run-{n:06}"), TOKEN + 1, record, now);
@@ -99,8 +99,8 @@
     let parsed = crate::protocol::users::parse_submission(SUBMISSION.as_bytes());
     let (id, spec) = parsed.expect("a submission");
     let record = JobRecord {
-        v: VERSION,
-        at_ms: 0,
+        format_version: FORMAT_VERSION,
+        accepted_at_ms: 0,
         spec,
     };
     sender.with_shard(&lease, "jobs", |shard, now| {
--- a/src/storage/inventory.rs
+++ b/src/storage/inventory.rs
@@ -8,7 +8,7 @@
 use crate::protocol::FencingToken;
 use std::collections::BTreeMap;
 
-use super::records::{HeartbeatPart, InventoryRecord, VERSION};
+use super::records::{FORMAT_VERSION, HeartbeatPart, InventoryRecord};
 use crate::protocol::workers::{TaskStatus, WorkerHeartbeat};
 
 /// Room left in a page for its frame.
@@ -77,7 +77,7 @@
             return None;
         }
         let page = InventoryRecord {
-            v: VERSION,
+            format_version: FORMAT_VERSION,
             fencing_token,
             heartbeats: heartbeats.clone(),
             parts: Vec::new(),
@@ -100,7 +100,7 @@
         .iter()
         .flat_map(|heartbeat| divide(heartbeat, room, group));
     let pages = parts.map(|part| InventoryRecord {
-        v: VERSION,
+        format_version: FORMAT_VERSION,
         fencing_token,
         heartbeats: Vec::new(),
         parts: vec![part],
@@ -113,9 +113,9 @@
 
 fn divide(heartbeat: &WorkerHeartbeat, room: usize, group: u64) -> Vec<HeartbeatPart> {
     let part = |first: usize, tasks: &[TaskStatus]| HeartbeatPart {
-        group,
-        total: heartbeat.tasks.len(),
-        first,
+        split_id: group,
+        total_tasks: heartbeat.tasks.len(),
+        first_task: first,
         heartbeat: WorkerHeartbeat {
             tasks: tasks.to_vec(),
             ..without_tasks(heartbeat)
@@ -172,7 +172,7 @@
     {
         heartbeats.extend(page.heartbeats);
         for part in page.parts {
-            let key = (part.group, part.heartbeat.machine.clone());
+            let key = (part.split_id, part.heartbeat.machine.clone());
             parts.entry(key).or_default().push(part);
         }
     }
@@ -182,15 +182,15 @@
 
 /// Joins the parts of one heartbeat; None if one is missing.
 fn join(mut parts: Vec<HeartbeatPart>) -> Option<WorkerHeartbeat> {
-    parts.sort_by_key(|part| part.first);
+    parts.sort_by_key(|part| part.first_task);
     let first = parts.first()?;
-    let total = first.total;
+    let total = first.total_tasks;
     let mut joined = without_tasks(&first.heartbeat);
     for part in parts {
         let heartbeat = &part.heartbeat;
-        let same = (part.total, heartbeat.agent_epoch, heartbeat.sequence)
+        let same = (part.total_tasks, heartbeat.agent_epoch, heartbeat.sequence)
             == (total, joined.agent_epoch, joined.sequence);
-        if !same || part.first != joined.tasks.len() {
+        if !same || part.first_task != joined.tasks.len() {
             return None;
         }
         joined.tasks.extend(part.heartbeat.tasks);
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,4 +1,8 @@
-//! Hard facts and snapshots in the key-value store.
+//! Durable state: the key-value store's client, the layout of keys and records, and the encoding
+//! of what is stored in many pieces (snapshot, roster, inventory).
+//!
+//! The coordination layer calls it. It never decides when something is written, and it knows no
+//! leadership: fencing is the preconditions that a caller adds to its transactions.
 
 pub mod budget;
 pub mod inventory;
@@ -10,3 +14,6 @@
 pub mod roster;
 pub mod snapshot;
 pub mod task_set;
+
+#[cfg(test)]
+mod tests;
--- a/src/storage/roster.rs
+++ b/src/storage/roster.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 
 use super::keys;
-use super::records::{RosterRecord, VERSION};
+use super::records::{FORMAT_VERSION, RosterRecord};
 use crate::protocol::MachineId;
 use crate::protocol::kv::Mutation;
 
@@ -19,7 +19,8 @@
 /// One stored page.
 #[derive(Debug, Serialize, Deserialize)]
 struct StoredPage {
-    v: u32,
+    #[serde(rename = "v")]
+    format_version: u32,
     machines: BTreeMap<String, RosterRecord>,
 }
 
@@ -159,7 +160,7 @@
             }
         };
         let stored = StoredPage {
-            v: VERSION,
+            format_version: FORMAT_VERSION,
             machines: machines
                 .iter()
                 .map(|(id, record)| (id.to_string(), record.clone()))
--- a/src/storage/snapshot.rs
+++ b/src/storage/snapshot.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 
 use super::keys;
-use super::records::VERSION;
+use super::records::FORMAT_VERSION;
 use crate::protocol::users::MAX_TASKS;
 
 use super::task_set::{TaskSet, write_range};
@@ -40,7 +40,8 @@
 
 #[derive(Debug, Serialize, Deserialize)]
 struct Chunk {
-    v: u32,
+    #[serde(rename = "v")]
+    format_version: u32,
     jobs: Vec<Piece>,
 }
 
@@ -113,7 +114,10 @@
 }
 
 fn push(chunks: &mut BTreeMap<String, Value>, bucket: usize, part: usize, jobs: Vec<Piece>) {
-    let chunk = Chunk { v: VERSION, jobs };
+    let chunk = Chunk {
+        format_version: FORMAT_VERSION,
+        jobs,
+    };
     if let Ok(value) = serde_json::to_value(chunk) {
         chunks.insert(keys::chunk(bucket, part), value);
     }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -137,8 +137,11 @@
     assert_eq!(last.stage, Stage::Cancelled);
     assert_eq!(kept::<LeaderRecord>(LEADER_RECORD).lease, 4);
     assert!(kept::<DelegateRecord>(KEEPER_RECORD).inventory);
-    assert_eq!(kept::<ReachabilityRecord>(HEARING_RECORD).workers, 7);
-    assert_eq!(kept::<SequenceRecord>(SEQ_RECORD).n, 41);
+    assert_eq!(
+        kept::<ReachabilityRecord>(HEARING_RECORD).reachable_workers,
+        7
+    );
+    assert_eq!(kept::<SequenceRecord>(SEQ_RECORD).number, 41);
     assert!(kept::<RosterRecord>(ROSTER_RECORD).spot);
 }
 
