--- a/src/coordination/shard/delegations.rs
+++ b/src/coordination/shard/delegations.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use super::commands::stop;
+use super::dispatch::stop_command;
 use super::{Job, Machine, Shard, WritePurpose};
 use crate::coordination::clock_drift;
 use crate::coordination::leadership::lease::DELEGATION_TIME;
@@ -60,7 +60,7 @@
         .tasks
         .iter()
         .filter(|line| line.state != TaskState::Ended && !is_open(&line.task.job))
-        .map(|line| stop(&line.task, line.attempt, Duration::ZERO))
+        .map(|line| stop_command(&line.task, line.attempt, Duration::ZERO))
         .collect()
 }
 
--- a/src/coordination/shard/machines.rs
+++ b/src/coordination/shard/machines/mod.rs
@@ -1,188 +1,21 @@
 //! Machines and the attempts that may exist on them.
 
+mod amounts;
+mod attempt;
+mod set;
+
+pub use amounts::Amounts;
+pub use attempt::{Attempt, Phase};
+pub use set::{MachineLoad, Machines};
+
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::{FailureEvidence, MachineLoad, Policy};
+use super::{FailureEvidence, Policy};
 use crate::protocol::cloud::MachineType;
-use crate::protocol::users::JobSpec;
-use crate::protocol::workers::AttemptOutcome;
 use crate::protocol::{AttemptId, JobId, MachineId, TaskId};
 
-/// How far an attempt is.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
-    /// Decided; no heartbeat has shown it yet.
-    Launching,
-    /// Waiting for its image.
-    Fetching,
-    /// A gang's task that waits for the others.
-    Waiting,
-    /// Running.
-    Running,
-    /// Saving its progress before it stops.
-    Saving,
-    /// Over, for this reason.
-    Ended(AttemptOutcome),
-}
-
-/// One try to run a task on a machine.
-#[derive(Debug)]
-pub struct Attempt {
-    /// What it uses; unknown for an orphan whose job is being looked up.
-    pub spec: Option<Arc<JobSpec>>,
-    /// How far it is.
-    pub phase: Phase,
-    /// When it was decided, or first seen.
-    pub began: Instant,
-    /// Since when it is in this phase.
-    pub since: Instant,
-    /// When it was first seen running.
-    pub running_since: Option<Instant>,
-    /// Started by an earlier leader: it has run for longer than was seen.
-    pub adopted: bool,
-    /// A launch was sent to which no answer came: it may land at any time
-    /// until the agent epoch ends, so the attempt must never be cleared.
-    pub unanswered: bool,
-    /// In a batch of commands that is under way.
-    pub in_flight: bool,
-    /// Wanted to stop, with this time to save.
-    pub stop: Option<Duration>,
-    /// The stop with that time has been executed.
-    pub stop_sent: bool,
-    /// Its end is on record: the worker may forget it.
-    pub clearable: bool,
-    /// It has run far longer than others of its job, and its machine was noted for it.
-    pub overdue: bool,
-}
-
-impl Attempt {
-    /// An attempt that begins in this phase.
-    pub fn new(spec: Option<Arc<JobSpec>>, phase: Phase, now: Instant) -> Self {
-        Self {
-            spec,
-            phase,
-            began: now,
-            since: now,
-            running_since: None,
-            adopted: false,
-            unanswered: false,
-            in_flight: false,
-            stop: None,
-            stop_sent: false,
-            clearable: false,
-            overdue: false,
-        }
-    }
-
-    /// Whether it has ended.
-    pub fn ended(&self) -> bool {
-        matches!(self.phase, Phase::Ended(_))
-    }
-
-    /// Asks it to stop; a shorter grace replaces a longer one.
-    pub fn want_stop(&mut self, grace: Duration) {
-        if self.ended() || self.stop.is_some_and(|wanted| wanted <= grace) {
-            return;
-        }
-        self.stop = Some(grace);
-        self.stop_sent = false;
-    }
-
-    /// Work that stopping it now would lose.
-    pub fn work_at_risk(&self, now: Instant) -> Duration {
-        let Some(since) = self.running_since else {
-            return Duration::ZERO;
-        };
-        let ran = now.saturating_duration_since(since);
-        match &self.spec {
-            Some(spec) if spec.checkpoint_s > 0.0 => ran.min(spec.save_time()),
-            _ => ran,
-        }
-    }
-}
-
-/// What sums of amounts may be off by.
-const AMOUNT_ROUNDING: f64 = 1e-9;
-
-/// What a machine can hold or what is held on it.
-#[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Amounts {
-    pub cores: f64,
-    pub accelerators: f64,
-    pub mem_gb: f64,
-}
-
-impl Amounts {
-    pub fn of(spec: &JobSpec) -> Self {
-        Self {
-            cores: spec.cores,
-            accelerators: spec.accelerators,
-            mem_gb: spec.mem_gb,
-        }
-    }
-
-    pub fn of_type(kind: &MachineType) -> Self {
-        Self {
-            cores: kind.cores,
-            accelerators: kind.accelerators,
-            mem_gb: kind.mem_gb,
-        }
-    }
-
-    pub fn take(&mut self, spec: &JobSpec) {
-        self.cores -= spec.cores;
-        self.accelerators -= spec.accelerators;
-        self.mem_gb -= spec.mem_gb;
-    }
-
-    pub fn give_many(&mut self, spec: &JobSpec, tasks: u32) {
-        let tasks = f64::from(tasks);
-        self.cores += spec.cores * tasks;
-        self.accelerators += spec.accelerators * tasks;
-        self.mem_gb += spec.mem_gb * tasks;
-    }
-
-    pub fn give(&mut self, spec: &JobSpec) {
-        self.cores += spec.cores;
-        self.accelerators += spec.accelerators;
-        self.mem_gb += spec.mem_gb;
-    }
-
-    /// What is left when so much is taken.
-    pub fn less(&self, taken: &Self) -> Self {
-        Self {
-            cores: self.cores - taken.cores,
-            accelerators: self.accelerators - taken.accelerators,
-            mem_gb: self.mem_gb - taken.mem_gb,
-        }
-    }
-
-    /// Whether a task of a job fits.
-    pub fn holds(&self, spec: &JobSpec) -> bool {
-        let fits = |have: f64, need: f64| need <= 0.0 || have + AMOUNT_ROUNDING >= need;
-        fits(self.cores, spec.cores)
-            && fits(self.accelerators, spec.accelerators)
-            && fits(self.mem_gb, spec.mem_gb)
-    }
-
-    /// How many tasks of a job fit.
-    pub fn fits(&self, spec: &JobSpec) -> u32 {
-        let ratio = |have: f64, need: f64| {
-            if need <= 0.0 {
-                f64::INFINITY
-            } else {
-                ((have + AMOUNT_ROUNDING) / need).floor()
-            }
-        };
-        let n = ratio(self.cores, spec.cores)
-            .min(ratio(self.accelerators, spec.accelerators))
-            .min(ratio(self.mem_gb, spec.mem_gb));
-        n.clamp(0.0, 1e6) as u32
-    }
-}
-
 /// A machine of the shard.
 #[derive(Debug)]
 pub struct Machine {
--- a/src/coordination/shard/machine_set.rs
+++ b/src/coordination/shard/machines/set.rs
@@ -7,8 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::commands::{needs_command, withdrawable};
-use super::machines::{Amounts, Machine};
+use super::{Amounts, Machine};
 use crate::protocol::MachineId;
 use crate::protocol::users::{JobKind, JobSpec, Priority};
 
@@ -34,8 +33,8 @@
     pub fn of(machine: &Machine) -> Self {
         let mut load = Self::default();
         for attempt in machine.attempts.values() {
-            load.has_pending_commands |= needs_command(attempt);
-            load.has_withdrawable_launch |= withdrawable(attempt);
+            load.has_pending_commands |= attempt.needs_command();
+            load.has_withdrawable_launch |= attempt.is_withdrawable();
             if attempt.ended() {
                 continue;
             }
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -5,17 +5,15 @@
 
 mod autoscaler;
 mod boot_times;
-mod commands;
 mod delegations;
+mod dispatch;
 mod drain;
 mod failures;
-mod heartbeats;
 mod jobs;
-mod machine_set;
 mod machines;
 mod plan;
 mod policy;
-mod recovery;
+mod reconciler;
 mod scale_in;
 mod scheduler;
 mod slowness;
@@ -26,12 +24,10 @@
 pub use autoscaler::RentalOutcome;
 pub use delegations::delegate_commands;
 pub use failures::{FailureEvidence, FailureHistory};
-pub use heartbeats::HeartbeatOutcome;
 pub use jobs::{Job, TaskCounts};
-pub use machine_set::{MachineLoad, Machines};
-pub use machines::{Attempt, Machine, Phase};
+pub use machines::{Attempt, Machine, MachineLoad, Machines, Phase};
 pub use policy::{Policy, TeamPolicy};
-pub use recovery::{RecoveredMachine, RecoveredState};
+pub use reconciler::{HeartbeatOutcome, RecoveredMachine, RecoveredState};
 pub use scheduler::GangAttempt;
 pub use writes::{ShardWrite, WritePurpose};
 
--- a/src/coordination/shard/recovery.rs
+++ b/src/coordination/shard/reconciler/recovery.rs
@@ -6,9 +6,9 @@
 
 use serde_json::Value;
 
-use super::autoscaler::Autoscaler;
-use super::{Job, Machine, Machines, Policy, Shard, writes};
 use crate::coordination::leadership::lease::DELEGATION_TIME;
+use crate::coordination::shard::autoscaler::Autoscaler;
+use crate::coordination::shard::{Job, Machine, Machines, Policy, Shard, writes};
 use crate::protocol::MachineId;
 use crate::storage::records::{JobRecord, RentalRecord, RosterRecord};
 use crate::storage::snapshot;
@@ -142,7 +142,7 @@
         shard
     }
 
-    pub(super) fn new_attempt_number(&mut self) -> u64 {
+    pub(in crate::coordination::shard) fn new_attempt_number(&mut self) -> u64 {
         self.next_attempt_number += 1;
         self.next_attempt_number
     }
