--- a/src/coordination/shard/tests/failures.rs
+++ b/src/coordination/shard/tests/failures.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use super::fixtures::{self, policy, record};
 use super::script::{Script, TOKEN, listed, stops};
-use super::world::{self, policy, record};
 use crate::coordination::shard::{CommandOutcome, Policy, RecoveredState};
 use crate::protocol::AttemptId;
 use crate::protocol::users::{JobKind, JobSpec, Stage};
@@ -15,7 +15,7 @@
 fn spec(team: &str, cores: f64, tasks: u32) -> JobSpec {
     JobSpec {
         spot: false,
-        ..world::spec(team, cores, tasks)
+        ..fixtures::spec(team, cores, tasks)
     }
 }
 
--- /dev/null
+++ b/src/coordination/shard/tests/fixtures.rs
@@ -0,0 +1,105 @@
+//! Jobs, machine types and the policy that the shard's tests start from.
+
+use std::collections::HashMap;
+use std::time::Duration;
+
+use crate::coordination::shard::{Policy, TeamPolicy};
+use crate::protocol::cloud::MachineType;
+use crate::protocol::users::{JobKind, JobSpec, Priority};
+use crate::storage::records::{FORMAT_VERSION, JobRecord};
+
+/// How long a worker keeps its tasks without an answer from a controller.
+pub(super) const WORKER_LEASE: Duration = Duration::from_secs(27);
+/// The longest that a task may run after its job's cancellation was confirmed.
+pub(super) const CANCELLATION_BOUND: Duration = Duration::from_secs(52);
+/// How long renewals granted in advance last. Together with [`WORKER_LEASE`] this
+/// stays within [`CANCELLATION_BOUND`].
+pub(super) const ADVANCE_DELEGATION: Duration = Duration::from_secs(24);
+/// How long a gang's task waits for the others to be ready.
+pub(super) const GANG_WAIT: Duration = Duration::from_secs(30);
+
+/// A batch job of the class `sums` whose tasks run on any machine.
+pub(super) fn spec(team: &str, cores: f64, tasks: u32) -> JobSpec {
+    JobSpec {
+        class: "sums".into(),
+        team: team.into(),
+        kind: JobKind::Batch,
+        priority: Priority::Standard,
+        tasks,
+        cores,
+        accelerators: 0.0,
+        mem_gb: 1.0,
+        image: "img-0".into(),
+        image_gb: 1.0,
+        machine_types: None,
+        zone: None,
+        one_zone: false,
+        scatter: false,
+        spot: true,
+        duration_s: 10.0,
+        checkpoint_s: 0.0,
+        save_s: 0.0,
+        deadline_s: None,
+    }
+}
+
+/// The stored record of a job submitted at time zero.
+pub(super) fn record(spec: JobSpec) -> JobRecord {
+    JobRecord {
+        format_version: FORMAT_VERSION,
+        accepted_at_ms: 0,
+        spec,
+    }
+}
+
+/// One machine type, offered in two zones.
+pub(super) fn machine_types() -> Vec<MachineType> {
+    vec![MachineType {
+        name: "m8".into(),
+        cores: 8.0,
+        accelerators: 0.0,
+        mem_gb: 32.0,
+        cache_gb: 50.0,
+        fetch_gb_per_s: 1.0,
+        price: 1.0,
+        spot_price: Some(0.3),
+        startup_s: 10.0,
+        zones: vec!["north".into(), "south".into()],
+    }]
+}
+
+/// Two teams: `red` with a quota and a limit, `blue` with neither.
+pub(super) fn policy() -> Policy {
+    let team = |cores, cores_max| TeamPolicy {
+        cores,
+        cores_max,
+        ..TeamPolicy::default()
+    };
+    Policy {
+        node_id: "n0".into(),
+        teams: [
+            ("red".to_owned(), team(8.0, 16.0)),
+            ("blue".to_owned(), team(0.0, 0.0)),
+        ]
+        .into(),
+        wait_within: HashMap::new(),
+        finish_within: HashMap::new(),
+        deadline_times: HashMap::new(),
+        heartbeat_interval: Duration::from_secs(3),
+        worker_lease: WORKER_LEASE,
+        gang_wait: GANG_WAIT,
+        advance_delegation: ADVANCE_DELEGATION,
+        txn_ops: 8,
+        value_bytes: 8192,
+        snapshot: Duration::from_secs(3),
+        staleness: Duration::from_secs(15),
+        snapshot_writes_per_s: 10.0,
+        record_writes_per_s: 20.0,
+        suspect_after: Duration::from_secs(6),
+        dead_after: Duration::from_secs(7),
+        headroom: 0.1,
+        idle: Duration::from_secs(10),
+        guarantee_hold: Duration::from_secs(30),
+        refused: Duration::from_secs(15),
+    }
+}
--- a/src/coordination/shard/tests/gang_troubles.rs
+++ b/src/coordination/shard/tests/gang_troubles.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
+use super::fixtures::{machine_types, record};
 use super::gangs::{all_are, as_it_is, gang, launched, lines, machines, north, stopped};
 use super::script::{Script, listed, roster};
-use super::world::{machine_types, record};
 use crate::coordination::shard::{Action, CommandOutcome, RecoveredState, RentalOutcome};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::{JobSpec, Stage};
--- a/src/coordination/shard/tests/gangs.rs
+++ b/src/coordination/shard/tests/gangs.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+use super::fixtures::{GANG_WAIT, record, spec};
 use super::script::{Script, TOKEN, listed, obey, roster};
-use super::world::{GANG_WAIT, record, spec};
 use crate::coordination::shard::{Action, Attempt, CommandOutcome, Phase, RecoveredState};
 
 use crate::protocol::users::{JobKind, JobSpec, Priority, Stage};
--- a/src/coordination/shard/tests/guests.rs
+++ b/src/coordination/shard/tests/guests.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use super::fixtures::{policy, spec};
 use super::script::Script;
-use super::world::{policy, spec};
 use crate::coordination::shard::{Policy, RecoveredState, TeamPolicy};
 
 /// Found by reading: a team without a guarantee had a share of one core, and got next to
--- a/src/coordination/shard/tests/idle.rs
+++ b/src/coordination/shard/tests/idle.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use super::fixtures::{policy, spec};
 use super::script::{Script, obey};
-use super::world::{policy, spec};
 use crate::coordination::shard::{Action, Policy, RecoveredState};
 use crate::protocol::users::{JobSpec, Stage};
 
--- a/src/coordination/shard/tests/limits.rs
+++ b/src/coordination/shard/tests/limits.rs
@@ -5,8 +5,8 @@
 
 use serde_json::Value;
 
+use super::fixtures::{policy, record, spec};
 use super::script::{Script, TOKEN, listed, obey, roster};
-use super::world::{policy, record, spec};
 use crate::coordination::shard::{Action, Policy, RecoveredMachine, RecoveredState, ShardWrite};
 use crate::protocol::kv::Mutation;
 use crate::protocol::workers::{AttemptOutcome, TaskState};
--- a/src/coordination/shard/tests/meetings.rs
+++ b/src/coordination/shard/tests/meetings.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use super::fixtures::{record, spec};
 use super::script::{Script, TOKEN, listed, obey, one_old_job, roster, stops};
-use super::world::{record, spec};
 use crate::coordination::shard::{CommandOutcome, HeartbeatOutcome, RecoveredState};
 use crate::protocol::cloud::{Listed, ListedState};
 use crate::protocol::users::{JobSpec, Stage};
--- a/src/coordination/shard/tests/mod.rs
+++ b/src/coordination/shard/tests/mod.rs
@@ -1,7 +1,8 @@
-//! The state machine on a fake clock, with scripted peers and in a random
-//! world.
+//! The shard's state machine on a fake clock: with scripted events, one failure at a
+//! time, and in a simulated cluster with random faults ([`simulation`]).
 
 mod failures;
+mod fixtures;
 mod gang_troubles;
 mod gangs;
 mod guests;
@@ -13,6 +14,6 @@
 mod scale;
 mod script;
 mod scripted;
+mod simulation;
 mod standstill;
-mod world;
 mod zones;
--- a/src/coordination/shard/tests/scale.rs
+++ b/src/coordination/shard/tests/scale.rs
@@ -6,8 +6,8 @@
 
 use serde_json::Value;
 
+use super::fixtures::{self, machine_types, policy, record};
 use super::script::{Script, TOKEN, listed};
-use super::world::{self, machine_types, policy, record};
 use crate::coordination::shard::{
     Action, CommandOutcome, Policy, RecoveredMachine, RecoveredState, Shard,
 };
@@ -26,7 +26,7 @@
 fn spec(team: &str, cores: f64, tasks: u32) -> JobSpec {
     JobSpec {
         spot: false,
-        ..world::spec(team, cores, tasks)
+        ..fixtures::spec(team, cores, tasks)
     }
 }
 
--- a/src/coordination/shard/tests/script.rs
+++ b/src/coordination/shard/tests/script.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use super::world::{machine_types, policy, record, spec};
+use super::fixtures::{machine_types, policy, record, spec};
 use crate::coordination::shard::{
     Action, CommandOutcome, HeartbeatOutcome, Machine, Policy, RecoveredMachine, RecoveredState,
     Shard,
--- a/src/coordination/shard/tests/scripted.rs
+++ b/src/coordination/shard/tests/scripted.rs
@@ -3,8 +3,8 @@
 use crate::protocol::FencingToken;
 use std::time::{Duration, Instant};
 
+use super::fixtures::{ADVANCE_DELEGATION, machine_types, policy, record, spec};
 use super::script::{Script, TOKEN, attempt_number_of, listed, obey, one_old_job, roster, stops};
-use super::world::{ALONE, machine_types, policy, record, spec};
 use crate::coordination::shard::{
     Action, CommandOutcome, HeartbeatOutcome, RecoveredState, RentalOutcome, Shard, ShardWrite,
     WritePurpose, delegate_commands,
@@ -810,7 +810,7 @@
 /// be answered by a controller on their side for longer than their leases.
 #[test]
 fn what_may_be_kept_by_an_advance_delegation_is_not_over_with_its_lease() {
-    let mut script = Script::among(ALONE, one_old_job(1, &["vm-1"]));
+    let mut script = Script::among(ADVANCE_DELEGATION, one_old_job(1, &["vm-1"]));
     let lease = script.shard.policy.worker_lease_bound();
     let start = script.now;
     let second = Duration::from_secs(1);
@@ -824,11 +824,11 @@
     // Under an earlier fencing token, from just before this one began.
     assert!(unreconciled_tasks(
         &mut script,
-        lease + ALONE - second,
+        lease + ADVANCE_DELEGATION - second,
         None
     ));
     // Under ours: someone may still be answering, or did until then.
-    let later = lease + ALONE + second;
+    let later = lease + ADVANCE_DELEGATION + second;
     assert!(unreconciled_tasks(&mut script, later, Some(later)));
     assert!(unreconciled_tasks(
         &mut script,
--- /dev/null
+++ b/src/coordination/shard/tests/simulation/delivery.rs
@@ -0,0 +1,48 @@
+//! Hands each message that arrives to the component that it is for.
+
+use super::Simulation;
+use super::network::Message;
+
+impl Simulation {
+    pub(super) fn deliver_due_messages(&mut self) {
+        while let Some(message) = self.network.pop(self.now) {
+            self.deliver(message);
+        }
+    }
+
+    fn deliver(&mut self, message: Message) {
+        let now = self.now;
+        match message {
+            Message::Heartbeat { sent, heartbeat } => self.receive_heartbeat(sent, &heartbeat),
+            Message::DuplicateHeartbeat(heartbeat) => self.on_leader(|shard| {
+                shard.heartbeat(&heartbeat, now);
+            }),
+            Message::HeartbeatAnswer(answer) => self.receive_heartbeat_answer(&answer),
+            Message::Commands(batch) => self.receive_commands(batch),
+            Message::CommandAnswer { batch, outcome } => {
+                self.receive_command_answer(&batch, outcome);
+            }
+            Message::Write(write) => self.apply_write(write),
+            Message::Written { leader, write } => {
+                self.on_incarnation(leader, |shard| shard.shard_written(&write, now));
+            }
+            Message::Finish(finish) => self.apply_finish(finish),
+            Message::JobFinished { job, stage } => {
+                self.on_leader(|shard| shard.job_finished(&job, Some(stage)));
+            }
+            Message::Rent { leader, rental } => self.rent_machines(leader, rental),
+            Message::RentalAnswer {
+                leader,
+                request,
+                outcome,
+            } => self.on_incarnation(leader, |shard| {
+                shard.rental_answered(&request, outcome, now);
+            }),
+            Message::Boot(boot) => self.boot_machine(&boot),
+            Message::Delete { leader, machines } => self.delete_machines(leader, machines),
+            Message::Deleted { leader, machines } => self.on_incarnation(leader, |shard| {
+                shard.deletion_answered(&machines, true, now);
+            }),
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/shard/tests/simulation/gangs.rs
@@ -0,0 +1,133 @@
+//! Gangs on the workers: their tasks start when the last of them waits, complete
+//! together, and end when some are missing for too long (PROTOCOL, gangs).
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use rand::Rng;
+
+use super::agents::RUN_TIME_MS;
+use super::worker::{Worker, WorkerTask};
+use super::{GroundTruth, Simulation, lasts};
+use crate::coordination::shard::tests::fixtures::GANG_WAIT;
+use crate::protocol::TaskId;
+use crate::protocol::workers::{AttemptOutcome, TaskState};
+
+/// How soon a gang's running task notices that another is missing.
+const GANG_PEER_TIMEOUT: Duration = Duration::from_secs(3);
+
+/// One attempt to run a gang; all its tasks carry the same attempt number.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct GangAttempt {
+    job: Arc<str>,
+    number: u64,
+}
+
+/// What the tasks of a gang's attempt see of each other.
+#[derive(Clone, Copy, PartialEq)]
+enum GangStatus {
+    /// Some tasks are not there, or hang.
+    Incomplete,
+    Running,
+    Completed,
+}
+
+impl Simulation {
+    pub(super) fn step_gangs(&mut self) {
+        let now = self.now;
+        for (attempt, ready) in self.gang_attempts() {
+            let status = self.gang_status(&attempt, ready);
+            let active = |worker: &&mut Worker| !worker.dead && !lasts(worker.hangs_until, now);
+            for worker in self.workers.values_mut().filter(active) {
+                worker.advance_gang(&attempt, status, &mut self.truth, now);
+            }
+        }
+    }
+
+    /// The attempts that have a task on a worker, with the number of their tasks that
+    /// are ready or running.
+    fn gang_attempts(&self) -> BTreeMap<GangAttempt, u32> {
+        let mut attempts: BTreeMap<GangAttempt, u32> = BTreeMap::new();
+        for worker in self.workers.values().filter(|worker| !worker.dead) {
+            let hangs = lasts(worker.hangs_until, self.now);
+            for ((task, number), state) in &worker.tasks {
+                if state.state == TaskState::Ended || !self.truth.is_gang(&task.job) {
+                    continue;
+                }
+                let attempt = GangAttempt {
+                    job: task.job.clone(),
+                    number: *number,
+                };
+                let ready = matches!(state.state, TaskState::Waiting | TaskState::Running);
+                *attempts.entry(attempt).or_default() += u32::from(ready && !hangs);
+            }
+        }
+        attempts
+    }
+
+    /// Starts the gang when it is first complete.
+    fn gang_status(&mut self, attempt: &GangAttempt, ready: u32) -> GangStatus {
+        let tasks = self.truth.specs.get(&*attempt.job);
+        if ready != tasks.map_or(0, |spec| spec.tasks) {
+            return GangStatus::Incomplete;
+        }
+        match self.truth.gang_ends.get(attempt) {
+            Some(ends_at) if *ends_at <= self.now => GangStatus::Completed,
+            Some(_) => GangStatus::Running,
+            None => {
+                let run_time = Duration::from_millis(self.rng.random_range(RUN_TIME_MS));
+                let ends_at = self.now + run_time;
+                self.truth.gang_ends.insert(attempt.clone(), ends_at);
+                self.counts.gang_starts += 1;
+                GangStatus::Running
+            }
+        }
+    }
+}
+
+impl Worker {
+    fn advance_gang(
+        &mut self,
+        attempt: &GangAttempt,
+        status: GangStatus,
+        truth: &mut GroundTruth,
+        now: Instant,
+    ) {
+        let of_attempt = |((task, number), state): &(&(TaskId, u64), &mut WorkerTask)| {
+            task.job == attempt.job && *number == attempt.number && state.state != TaskState::Ended
+        };
+        for ((task, _), state) in self.tasks.iter_mut().filter(of_attempt) {
+            if !state.advance_in_gang(status, now) {
+                continue;
+            }
+            if status == GangStatus::Completed {
+                truth.completed.insert(task.clone());
+            }
+            self.next_heartbeat = now;
+        }
+    }
+}
+
+impl WorkerTask {
+    /// Returns whether the task's state has changed.
+    fn advance_in_gang(&mut self, status: GangStatus, now: Instant) -> bool {
+        let incomplete = now.saturating_duration_since(self.incomplete_since);
+        match (status, self.state) {
+            (GangStatus::Completed, _) => self.end(AttemptOutcome::Done),
+            (GangStatus::Running, TaskState::Waiting) => self.state = TaskState::Running,
+            (GangStatus::Running, TaskState::Running) => {
+                self.incomplete_since = now;
+                return false;
+            }
+            (GangStatus::Incomplete, TaskState::Waiting) if incomplete > GANG_WAIT => {
+                self.end(AttemptOutcome::GangIncomplete);
+            }
+            (GangStatus::Incomplete, TaskState::Running) if incomplete > GANG_PEER_TIMEOUT => {
+                self.end(AttemptOutcome::GangPeerLost);
+            }
+            _ => return false,
+        }
+        true
+    }
+}
--- /dev/null
+++ b/src/coordination/shard/tests/simulation/kv_store.rs
@@ -0,0 +1,179 @@
+//! The key-value store: jobs, final records, and the records that a shard's leader
+//! writes under its fencing token.
+
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+use serde_json::Value;
+
+use super::network::{FencedFinish, FencedWrite, Message};
+use super::rules::Rule;
+use super::{Simulation, lasts};
+use crate::coordination::shard::{RecoveredMachine, RecoveredState};
+use crate::protocol::FencingToken;
+use crate::protocol::kv::Mutation;
+use crate::protocol::users::{JobKind, Stage};
+use crate::storage::keys;
+use crate::storage::records::{FORMAT_VERSION, FinalRecord, JobRecord};
+use crate::storage::roster::read_page;
+
+/// How long a controller waits before it retries a write in an outage.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
+
+struct StoredJob {
+    mod_revision: u64,
+    record: JobRecord,
+}
+
+#[derive(Default)]
+pub(super) struct KvStore {
+    /// The fencing token in the shard's leader record.
+    pub(super) leader_token: FencingToken,
+    /// The store takes no write until then.
+    pub(super) outage_until: Option<Instant>,
+    revision: u64,
+    jobs: BTreeMap<String, StoredJob>,
+    finals: BTreeMap<String, FinalRecord>,
+    roster: BTreeMap<String, Value>,
+    snapshot_chunks: BTreeMap<String, Value>,
+    pending_rentals: BTreeMap<String, Value>,
+}
+
+impl KvStore {
+    /// Writes the leader record; its revision is the new leader's fencing token.
+    pub(super) fn acquire_leadership(&mut self) -> FencingToken {
+        self.revision += 1;
+        self.leader_token = FencingToken::new(self.revision);
+        self.leader_token
+    }
+
+    /// Everything that a new leader reads.
+    pub(super) fn recovered_state(&self) -> RecoveredState {
+        let rental = |value: &Value| serde_json::from_value(value.clone()).expect("a rental");
+        RecoveredState {
+            jobs: self
+                .jobs
+                .iter()
+                .map(|(id, job)| (id.clone(), job.mod_revision, job.record.clone()))
+                .collect(),
+            roster: self.recovered_roster(),
+            chunks: self.snapshot_chunks.clone(),
+            pending_rentals: self.pending_rentals.values().map(rental).collect(),
+        }
+    }
+
+    fn recovered_roster(&self) -> Vec<RecoveredMachine> {
+        let mut recovered = Vec::new();
+        for (key, value) in &self.roster {
+            let page = key[keys::roster_prefix().len()..].parse().expect("a page");
+            for (id, record) in read_page(value).expect("a roster page") {
+                recovered.push(RecoveredMachine { id, page, record });
+            }
+        }
+        recovered
+    }
+
+    /// Creates a job's record, and returns its revision.
+    pub(super) fn create_job(&mut self, id: &str, record: JobRecord) -> u64 {
+        self.revision += 1;
+        let mod_revision = self.revision;
+        let job = StoredJob {
+            mod_revision,
+            record,
+        };
+        self.jobs.insert(id.to_owned(), job);
+        mod_revision
+    }
+
+    /// Replaces a job's record with its final one; `None` if there is no such job.
+    pub(super) fn finish_job(&mut self, id: &str, stage: Stage) -> Option<()> {
+        let record = self.jobs.remove(id)?.record;
+        self.revision += 1;
+        let last = FinalRecord {
+            format_version: FORMAT_VERSION,
+            stage,
+            tasks: record.spec.tasks,
+            spec: record.spec,
+        };
+        self.finals.insert(id.to_owned(), last);
+        Some(())
+    }
+
+    pub(super) fn final_record(&self, id: &str) -> Option<FinalRecord> {
+        self.finals.get(id).cloned()
+    }
+
+    /// The jobs without a final record.
+    pub(super) fn open_jobs(&self) -> impl Iterator<Item = (&String, &JobRecord)> {
+        self.jobs.iter().map(|(id, job)| (id, &job.record))
+    }
+
+    pub(super) fn open_services(&self) -> Vec<String> {
+        self.open_jobs()
+            .filter(|(_, record)| record.spec.kind == JobKind::Service)
+            .map(|(id, _)| id.clone())
+            .collect()
+    }
+
+    fn apply(&mut self, mutation: &Mutation) {
+        let (key, value) = match mutation {
+            Mutation::Put { key, value, .. } => (key.clone(), Some(value.clone())),
+            Mutation::Delete { key } => (key.clone(), None),
+        };
+        let records = if key.starts_with(&keys::roster_prefix()) {
+            &mut self.roster
+        } else if key.starts_with(&keys::snapshot_prefix()) {
+            &mut self.snapshot_chunks
+        } else {
+            assert!(key.starts_with(&keys::rental_prefix()), "{key}");
+            &mut self.pending_rentals
+        };
+        match value {
+            Some(value) => records.insert(key, value),
+            None => records.remove(&key),
+        };
+    }
+}
+
+impl Simulation {
+    /// Applies a leader's write, unless there is a later leader by now.
+    pub(super) fn apply_write(&mut self, write: FencedWrite) {
+        if write.fencing_token != self.store.leader_token {
+            return;
+        }
+        if lasts(self.store.outage_until, self.now) {
+            self.send_after(RETRY_INTERVAL, Message::Write(write));
+            return;
+        }
+        let FencedWrite { leader, write, .. } = write;
+        self.store.revision += 1;
+        for mutation in &write.mutations {
+            self.store.apply(mutation);
+        }
+        self.send(Message::Written { leader, write });
+    }
+
+    /// Makes a job done, unless there is a later leader or the job has changed.
+    pub(super) fn apply_finish(&mut self, finish: FencedFinish) {
+        if lasts(self.store.outage_until, self.now) {
+            self.send_after(RETRY_INTERVAL, Message::Finish(finish));
+            return;
+        }
+        if finish.fencing_token != self.store.leader_token {
+            return;
+        }
+        let FencedFinish {
+            job, mod_revision, ..
+        } = finish;
+        let stored = self.store.jobs.get(&job);
+        let Some(stored) = stored.filter(|stored| stored.mod_revision == mod_revision) else {
+            return;
+        };
+        if !self.truth.all_completed(&job, stored.record.spec.tasks) {
+            self.violate(Rule::FinishedIncomplete, &job);
+        }
+        self.store.finish_job(&job, Stage::Done);
+        let stage = Stage::Done;
+        self.send(Message::JobFinished { job, stage });
+    }
+}
--- /dev/null
+++ b/src/coordination/shard/tests/simulation/mod.rs
@@ -0,0 +1,180 @@
+//! A simulation of everything around a shard: the key-value store, the cloud, the
+//! workers, the users, and a network that delays, loses and duplicates messages.
+//! All follow the semantics of PROTOCOL and are driven by one seeded random number
+//! generator, so that a seed always replays the same run.
+//!
+//! [`Simulation::run`] lets time pass step by step and checks the rules on the way;
+//! tests inject faults between the steps and read [`Simulation::violations`] at the
+//! end. The simulation never looks into the shard except to check its counters.
+
+mod agents;
+mod cloud;
+mod delivery;
+mod gangs;
+mod kv_store;
+mod leader;
+mod network;
+mod rules;
+mod users;
+mod worker;
+
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use rand::SeedableRng;
+use rand::rngs::StdRng;
+
+use self::cloud::Cloud;
+use self::gangs::GangAttempt;
+use self::kv_store::KvStore;
+use self::leader::Leader;
+use self::network::Network;
+use self::rules::Violation;
+use self::worker::Worker;
+use super::fixtures::policy;
+use crate::coordination::shard::TeamPolicy;
+use crate::protocol::users::JobSpec;
+use crate::protocol::{FencingToken, TaskId};
+
+/// The resolution of the simulated clock.
+const STEP: Duration = Duration::from_millis(100);
+/// Steps between two ticks of the shard.
+const STEPS_PER_TICK: u32 = 2;
+/// Steps between two listings of the cloud's machines, with a check of all rules.
+const STEPS_PER_LISTING: u32 = 30;
+
+/// The odds of faults, for each message.
+pub(super) struct Faults {
+    pub(super) loss: f64,
+    /// Odds of a delay of up to one and a half minutes.
+    pub(super) long_delay: f64,
+    /// Odds that a heartbeat goes to a controller that is not the leader.
+    pub(super) misdirection: f64,
+}
+
+/// Counts that show that a run has tested something.
+#[derive(Default)]
+pub(super) struct Counts {
+    pub(super) task_starts: usize,
+    pub(super) gang_starts: usize,
+    /// Starts of tasks long after their job's cancellation was confirmed.
+    pub(super) starts_after_cancellation: usize,
+}
+
+/// What has truly happened, whatever the controllers know of it.
+#[derive(Default)]
+struct GroundTruth {
+    specs: BTreeMap<String, Arc<JobSpec>>,
+    /// When a job's cancellation was confirmed to its user.
+    cancelled_at: BTreeMap<String, Instant>,
+    completed: BTreeSet<TaskId>,
+    /// When each started attempt of a gang completes.
+    gang_ends: BTreeMap<GangAttempt, Instant>,
+    /// The quota limit of each team, in cores; zero is no limit.
+    quota_limits: HashMap<String, f64>,
+}
+
+impl GroundTruth {
+    fn is_gang(&self, job: &str) -> bool {
+        self.specs.get(job).is_some_and(|spec| spec.is_gang())
+    }
+
+    /// Whether all of a job's tasks have been completed.
+    fn all_completed(&self, job: &str, tasks: u32) -> bool {
+        let job: Arc<str> = job.into();
+        (0..tasks).all(|index| {
+            let job = job.clone();
+            self.completed.contains(&TaskId { job, index })
+        })
+    }
+}
+
+/// A shard and its simulated surroundings.
+pub(super) struct Simulation {
+    pub(super) now: Instant,
+    pub(super) rng: StdRng,
+    pub(super) faults: Faults,
+    pub(super) counts: Counts,
+    pub(super) violations: Vec<Violation>,
+    network: Network,
+    store: KvStore,
+    cloud: Cloud,
+    workers: BTreeMap<String, Worker>,
+    leader: Option<Leader>,
+    leader_incarnations: u64,
+    /// By fencing token, when a delegate last answered a worker on its behalf.
+    delegated_answers: BTreeMap<FencingToken, Instant>,
+    truth: GroundTruth,
+}
+
+impl Simulation {
+    pub(super) fn new(seed: u64) -> Self {
+        let quota_limit = |(name, team): (&String, &TeamPolicy)| (name.clone(), team.cores_max);
+        Self {
+            now: Instant::now(),
+            rng: StdRng::seed_from_u64(seed),
+            faults: Faults {
+                loss: 0.02,
+                long_delay: 0.02,
+                misdirection: 0.25,
+            },
+            counts: Counts::default(),
+            violations: Vec::new(),
+            network: Network::default(),
+            store: KvStore::default(),
+            cloud: Cloud::default(),
+            workers: BTreeMap::new(),
+            leader: None,
+            leader_incarnations: 0,
+            delegated_answers: BTreeMap::new(),
+            truth: GroundTruth {
+                quota_limits: policy().teams.iter().map(quota_limit).collect(),
+                ..GroundTruth::default()
+            },
+        }
+    }
+
+    /// Lets time pass.
+    pub(super) fn run(&mut self, time: Duration) {
+        let end = self.now + time;
+        let mut steps = 0_u32;
+        while self.now < end {
+            self.now += STEP;
+            self.step_workers();
+            self.step_gangs();
+            self.deliver_due_messages();
+            steps += 1;
+            if steps.is_multiple_of(STEPS_PER_TICK) {
+                self.tick_leader();
+            }
+            if steps.is_multiple_of(STEPS_PER_LISTING) {
+                self.list_machines();
+                self.check_cancellations();
+                self.check_counters();
+            }
+        }
+    }
+
+    /// The key-value store takes no write for a while: user requests are refused,
+    /// and nobody can acquire the shard's lease.
+    pub(super) fn start_store_outage(&mut self, time: Duration) {
+        self.store.outage_until = Some(self.now + time);
+    }
+
+    /// From now on no message is lost, late or misdirected, and the store works.
+    /// Faults of single machines last as long as they were set to.
+    pub(super) fn end_faults(&mut self) {
+        self.faults = Faults {
+            loss: 0.0,
+            long_delay: 0.0,
+            misdirection: 0.0,
+        };
+        self.store.outage_until = None;
+    }
+}
+
+/// Whether a fault that ends then still lasts.
+fn lasts(until: Option<Instant>, now: Instant) -> bool {
+    until.is_some_and(|until| until > now)
+}
--- /dev/null
+++ b/src/coordination/shard/tests/simulation/network.rs
@@ -0,0 +1,202 @@
+//! Messages under way, and the delays that the network adds to them.
+
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+use rand::Rng;
+
+use super::Simulation;
+use crate::coordination::shard::{CommandOutcome, RentalOutcome, ShardWrite};
+use crate::protocol::cloud::Rental;
+use crate::protocol::users::Stage;
+use crate::protocol::workers::{Command, WorkerHeartbeat};
+use crate::protocol::{FencingToken, MachineId};
+
+/// How long a leader waits for a worker's answer to its commands.
+pub(super) const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
+/// The usual delay of a message, in milliseconds.
+const USUAL_DELAY_MS: std::ops::Range<u64> = 1..60;
+/// What a long delay adds, in milliseconds.
+const LONG_DELAY_MS: std::ops::Range<u64> = 500..90_000;
+/// What it adds to watch events: a watch that hangs is soon dropped and renewed.
+const LONG_WATCH_DELAY_MS: std::ops::Range<u64> = 500..5_000;
+
+/// Commands of a leader to one worker.
+#[derive(Debug, Clone)]
+pub(super) struct CommandBatch {
+    /// The incarnation of the leader that waits for the answer.
+    pub(super) leader: u64,
+    pub(super) fencing_token: FencingToken,
+    pub(super) machine: String,
+    pub(super) agent_epoch: u64,
+    pub(super) number: u64,
+    pub(super) commands: Vec<Command>,
+}
+
+/// The answer to a worker's heartbeat.
+#[derive(Debug, Clone)]
+pub(super) struct HeartbeatAnswer {
+    pub(super) machine: String,
+    /// When the heartbeat left the worker.
+    pub(super) sent: Instant,
+    pub(super) agent_epoch: u64,
+    pub(super) fencing_token: FencingToken,
+    pub(super) commands: Vec<Command>,
+}
+
+/// A write of a leader, on the condition that it still leads.
+#[derive(Debug, Clone)]
+pub(super) struct FencedWrite {
+    pub(super) leader: u64,
+    pub(super) fencing_token: FencingToken,
+    pub(super) write: ShardWrite,
+}
+
+/// A leader's record that a job is done, on the condition that it still leads and
+/// that the job has not changed.
+#[derive(Debug, Clone)]
+pub(super) struct FencedFinish {
+    pub(super) fencing_token: FencingToken,
+    pub(super) job: String,
+    pub(super) mod_revision: u64,
+}
+
+/// A machine that the cloud boots.
+#[derive(Debug, Clone)]
+pub(super) struct Boot {
+    pub(super) id: String,
+    pub(super) zone: String,
+    pub(super) spot: bool,
+}
+
+#[derive(Debug, Clone)]
+pub(super) enum Message {
+    Heartbeat {
+        sent: Instant,
+        heartbeat: WorkerHeartbeat,
+    },
+    /// A second copy of a heartbeat, seconds to well over a lease late. Nobody waits
+    /// for its answer.
+    DuplicateHeartbeat(WorkerHeartbeat),
+    HeartbeatAnswer(HeartbeatAnswer),
+    Commands(CommandBatch),
+    CommandAnswer {
+        batch: CommandBatch,
+        outcome: CommandOutcome,
+    },
+    Write(FencedWrite),
+    Written {
+        leader: u64,
+        write: ShardWrite,
+    },
+    Finish(FencedFinish),
+    /// A watch event: the job has a final record.
+    JobFinished {
+        job: String,
+        stage: Stage,
+    },
+    Rent {
+        leader: u64,
+        rental: Rental,
+    },
+    RentalAnswer {
+        leader: u64,
+        request: String,
+        outcome: RentalOutcome,
+    },
+    Boot(Boot),
+    Delete {
+        leader: u64,
+        machines: Vec<MachineId>,
+    },
+    Deleted {
+        leader: u64,
+        machines: Vec<MachineId>,
+    },
+}
+
+impl Message {
+    /// The worker that sends or receives it.
+    fn worker(&self) -> Option<&str> {
+        match self {
+            Self::Heartbeat { heartbeat, .. } => Some(&heartbeat.machine),
+            Self::HeartbeatAnswer(answer) => Some(&answer.machine),
+            Self::Commands(batch) => Some(&batch.machine),
+            _ => None,
+        }
+    }
+}
+
+/// The messages under way, in the order of their arrival. Unbounded: a test's run
+/// sends a bounded number of messages.
+#[derive(Default)]
+pub(super) struct Network {
+    queue: BTreeMap<(Instant, u64), Message>,
+    sent: u64,
+}
+
+impl Network {
+    fn push(&mut self, arrival: Instant, message: Message) {
+        self.sent += 1;
+        self.queue.insert((arrival, self.sent), message);
+    }
+
+    /// Takes the next message that has arrived by then.
+    pub(super) fn pop(&mut self, now: Instant) -> Option<Message> {
+        let (&(arrival, _), _) = self.queue.first_key_value()?;
+        if arrival > now {
+            return None;
+        }
+        self.queue.pop_first().map(|(_, message)| message)
+    }
+}
+
+impl Simulation {
+    /// Delivers a message after exactly this delay.
+    pub(super) fn send_after(&mut self, delay: Duration, message: Message) {
+        self.network.push(self.now + delay, message);
+    }
+
+    /// Delivers a message after a random delay, and not before the partition of its
+    /// worker ends.
+    pub(super) fn send(&mut self, message: Message) {
+        let mut delay = self.random_delay(&message);
+        let partitioned_until = message
+            .worker()
+            .and_then(|id| self.workers.get(id))
+            .and_then(|worker| worker.partitioned_until);
+        if let Some(until) = partitioned_until {
+            delay += until.saturating_duration_since(self.now);
+        }
+        self.time_out_commands(&message, delay);
+        self.send_after(delay, message);
+    }
+
+    fn random_delay(&mut self, message: &Message) -> Duration {
+        let usual = Duration::from_millis(self.rng.random_range(USUAL_DELAY_MS));
+        if !self.rng.random_bool(self.faults.long_delay) {
+            return usual;
+        }
+        let long = match message {
+            Message::JobFinished { .. } => LONG_WATCH_DELAY_MS,
+            _ => LONG_DELAY_MS,
+        };
+        usual + Duration::from_millis(self.rng.random_range(long))
+    }
+
+    /// The leader stops waiting long before late commands or answers arrive.
+    fn time_out_commands(&mut self, message: &Message, delay: Duration) {
+        if delay <= COMMAND_TIMEOUT {
+            return;
+        }
+        if let Message::Commands(batch) | Message::CommandAnswer { batch, .. } = message {
+            self.send_no_answer(batch.clone());
+        }
+    }
+
+    /// The leader's wait for an answer ends without one.
+    pub(super) fn send_no_answer(&mut self, batch: CommandBatch) {
+        let outcome = CommandOutcome::NoAnswer;
+        self.send_after(COMMAND_TIMEOUT, Message::CommandAnswer { batch, outcome });
+    }
+}
--- /dev/null
+++ b/src/coordination/shard/tests/simulation/users.rs
@@ -0,0 +1,63 @@
+//! The users: they submit and cancel jobs. In an outage of the key-value store
+//! their requests are refused.
+
+use std::sync::Arc;
+
+use super::network::Message;
+use super::{Simulation, lasts};
+use crate::coordination::shard::tests::fixtures::record;
+use crate::protocol::users::{JobSpec, Stage};
+
+impl Simulation {
+    pub fn submit(&mut self, id: &str, spec: JobSpec) {
+        if lasts(self.store.outage_until, self.now) {
+            return;
+        }
+        let record = record(spec);
+        let spec = Arc::new(record.spec.clone());
+        self.truth.specs.insert(id.to_owned(), spec);
+        let mod_revision = self.store.create_job(id, record.clone());
+        let now = self.now;
+        self.on_leader(|shard| shard.job_accepted(id, mod_revision, record, now));
+    }
+
+    pub fn cancel(&mut self, id: &str) {
+        if lasts(self.store.outage_until, self.now) {
+            return;
+        }
+        if self.store.finish_job(id, Stage::Cancelled).is_none() {
+            return;
+        }
+        self.truth.cancelled_at.insert(id.to_owned(), self.now);
+        self.send(Message::JobFinished {
+            job: id.to_owned(),
+            stage: Stage::Cancelled,
+        });
+    }
+
+    pub fn open_jobs(&self) -> Vec<String> {
+        self.store.open_jobs().map(|(id, _)| id.clone()).collect()
+    }
+
+    /// Cancels the first job whose tasks are all completed while its final record is
+    /// not written yet, if there is one.
+    pub fn cancel_completed_job(&mut self) {
+        let completed = self
+            .store
+            .open_jobs()
+            .find(|(id, record)| self.truth.all_completed(id, record.spec.tasks))
+            .map(|(id, _)| id.clone());
+        if let Some(id) = completed {
+            self.cancel(&id);
+        }
+    }
+
+    /// Cancels all services, which would never end; returns how many.
+    pub fn cancel_services(&mut self) -> usize {
+        let services = self.store.open_services();
+        for id in &services {
+            self.cancel(id);
+        }
+        services.len()
+    }
+}
--- a/src/coordination/shard/tests/standstill.rs
+++ b/src/coordination/shard/tests/standstill.rs
@@ -4,8 +4,8 @@
 use crate::protocol::AttemptId;
 use std::time::Duration;
 
+use super::fixtures::spec;
 use super::script::{Script, listed};
-use super::world::spec;
 use crate::coordination::shard::{Action, CommandOutcome, RecoveredState};
 use crate::protocol::workers::{Command, TaskState};
 
--- a/src/coordination/shard/tests/zones.rs
+++ b/src/coordination/shard/tests/zones.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use super::fixtures::spec;
 use super::script::{Script, obey};
-use super::world::spec;
 use crate::coordination::shard::RentalOutcome;
 use crate::protocol::cloud::Rental;
 use crate::protocol::users::JobSpec;
