--- /dev/null
+++ b/src/api/peer.rs
@@ -0,0 +1,70 @@
+//! The interface of the other controllers: rkyv frames.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use axum::body::Bytes;
+use axum::extract::State;
+use axum::http::StatusCode;
+use axum::response::{IntoResponse, Response};
+
+use crate::coordination::node::Node;
+use crate::coordination::peering::{cancellations, extension, heartbeat};
+use crate::coordination::requests::{self, UserRequest};
+use crate::protocol::peer_messages::{CancellationsRequest, ReviveLease};
+use crate::protocol::peers::{PeerAnswer, PeerRequest, decode_request, encode_answer};
+
+/// Answers the frames that every version reads: heartbeats, votes for lease extension and
+/// forwarded requests of users.
+pub(super) async fn exchange(State(node): State<Arc<Node>>, body: Bytes) -> Vec<u8> {
+    let answer = match decode_request(&body) {
+        Some(request) => answer(&node, request).await,
+        None => PeerAnswer::Unreadable,
+    };
+    encode_answer(&answer)
+}
+
+async fn answer(node: &Arc<Node>, request: PeerRequest) -> PeerAnswer {
+    match request {
+        PeerRequest::Heartbeat(heartbeat) => {
+            PeerAnswer::Heartbeat(heartbeat::answer_heartbeat(node, heartbeat))
+        }
+        PeerRequest::ExtendLease { millis } => PeerAnswer::LeaseExtension {
+            granted: extension::grant_extension(node, Duration::from_millis(millis)),
+        },
+        PeerRequest::Forward { method, path, body } => {
+            answer_forwarded(node, UserRequest::from_forward(&method, &path, body)).await
+        }
+    }
+}
+
+async fn answer_forwarded(node: &Arc<Node>, request: Option<UserRequest>) -> PeerAnswer {
+    let Some(request) = request else {
+        return PeerAnswer::Unreadable;
+    };
+    let response = requests::answer(node, request, true).await;
+    PeerAnswer::Answer {
+        status: response.status,
+        body: response.body,
+    }
+}
+
+/// Names the cancellations that this controller has confirmed to users.
+pub(super) async fn cancellations(State(node): State<Arc<Node>>, body: Bytes) -> Response {
+    match CancellationsRequest::decode(&body) {
+        Some(request) => cancellations::confirmed_cancellations(&node, &request)
+            .encode()
+            .into_response(),
+        None => StatusCode::BAD_REQUEST.into_response(),
+    }
+}
+
+/// Votes on the revival of a lease past its deadline.
+pub(super) async fn vote_on_revival(State(node): State<Arc<Node>>, body: Bytes) -> Response {
+    match ReviveLease::decode(&body) {
+        Some(request) => extension::vote_on_revival(&node, &request)
+            .encode()
+            .into_response(),
+        None => StatusCode::BAD_REQUEST.into_response(),
+    }
+}
--- a/src/coordination/node/mod.rs
+++ b/src/coordination/node/mod.rs
@@ -24,7 +24,6 @@
 use crate::storage::kv_client::{KvClient, KvError};
 use crate::storage::records::JobRecord;
 use crate::transport::client::HttpClient;
-use crate::transport::limit::Places;
 
 /// Deadline of ordinary key-value requests.
 pub const KV_DEADLINE: Duration = Duration::from_millis(2500);
@@ -48,22 +47,11 @@
 /// Longest wait for a turn to write; who would wait longer is told at once.
 const LONGEST_TURN: Duration = Duration::from_millis(2500);
 
-/// Share of the sockets, in percent, for the connections of users, workers and the
-/// balancer.
-const FRONT_SHARE: usize = 80;
-
 /// Share of the key-value store's requests for looks by all controllers.
 const CATCH_UP_SHARE: f64 = 0.2;
 /// Least pause between two looks.
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(50);
 
-/// The connections that a listener may hold at once: a share of the process's sockets,
-/// in percent.
-pub fn connection_places(settings: &Settings, share: usize) -> Places {
-    let sockets = settings.platform.settings.resources.max_connections;
-    Places::new(sockets * share / 100)
-}
-
 /// The pause between two looks that keeps all controllers' together within
 /// their share of the key-value store's requests.
 fn catch_up_pace(settings: &Settings) -> Duration {
@@ -94,8 +82,6 @@
     pub probes: Semaphore,
     /// This controller's share of the writes, for users.
     pub user_writes: Turns,
-    /// Places for users, workers and the balancer.
-    pub front_places: Places,
     /// The client for the other controllers.
     pub peers_http: HttpClient,
     /// Tells this run of the process from earlier ones.
@@ -119,7 +105,6 @@
         let sockets = settings.platform.settings.resources.max_connections;
         Arc::new(Self {
             policy: Policy::new(&settings),
-            front_places: connection_places(&settings, FRONT_SHARE),
             renewal_bound: cancellation_freshness::bound(&settings),
             settings,
             clock,
--- a/src/coordination/tests/scale.rs
+++ b/src/coordination/tests/scale.rs
@@ -8,6 +8,7 @@
 
 use super::peering::own;
 use super::{heartbeat, node, peer};
+use crate::api;
 use crate::clock::FakeClock;
 use crate::coordination::node::Node;
 use crate::coordination::peering::heartbeat::{leader_heartbeat, note_heartbeat};
@@ -17,7 +18,6 @@
 use crate::protocol::workers::{TaskState, TaskStatus};
 use crate::storage::records::{FORMAT_VERSION, JobRecord};
 use crate::transport::client::HttpClient;
-use crate::transport::internal;
 
 const TOKEN: u64 = 7;
 const JOBS: u32 = 100_000;
@@ -75,7 +75,7 @@
 
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
     let addr = listener.local_addr().expect("its address");
-    let router = internal::router(receiver.clone());
+    let router = api::internal_router(receiver.clone());
     tokio::spawn(async move { axum::serve(listener, router).await });
     let deadline = Duration::from_secs(10);
     let client = HttpClient::new();
--- a/src/server.rs
+++ b/src/server.rs
@@ -1,46 +1,53 @@
-//! The controller's process: it binds the listeners, spawns the background loops and
-//! serves the routers.
-//!
-//! The top of the layers: nothing but the command line imports it.
+//! The controller's process: binds its addresses, starts its background loops and serves its
+//! interfaces. Nothing but the command line imports it.
 
+use std::future::IntoFuture;
+use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
+use std::time::Duration;
 
 use thiserror::Error;
 use tokio::net::TcpListener;
 use tracing::info;
 
+use crate::api;
 use crate::clock::SteadyClock;
 use crate::coordination::leadership::election;
-use crate::coordination::node::{Node, connection_places};
+use crate::coordination::node::Node;
 use crate::coordination::{executor, peering};
 use crate::settings::Settings;
-use crate::transport::limit::Limited;
-use crate::transport::{front, internal};
+use crate::transport::limit::{Limited, Places};
 
-/// Connections that the listener for other controllers accepts at once, in percent of
-/// the process's sockets.
-const INTERNAL_SHARE: usize = 5;
-/// Worker heartbeat intervals without a byte read after which an accepted connection
-/// is closed.
-const IDLE_HEARTBEATS: u32 = 5;
+/// Heartbeat intervals without a byte received after which a connection is closed.
+const IDLE_HEARTBEAT_INTERVALS: u32 = 5;
+/// Percentage of the sockets for connections of users, workers and the load balancer. What the
+/// two servers leave is for connections that this controller opens itself.
+const PUBLIC_CONNECTION_PERCENT: usize = 80;
+/// Percentage of the sockets for connections of the other controllers and operators.
+const INTERNAL_CONNECTION_PERCENT: usize = 5;
 
 /// Why the process ends.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// An address can't be listened on.
-    #[error("can't listen on {0}: {1}")]
-    Listen(SocketAddr, std::io::Error),
-    /// A server ended by itself.
+    /// The controller can't listen on one of its addresses.
+    #[error("can't listen on {address}: {source}")]
+    Listen {
+        /// The address, from the platform's settings.
+        address: SocketAddr,
+        /// Why it can't be bound.
+        source: io::Error,
+    },
+    /// One of the two servers stopped.
     #[error("a server ended: {0}")]
-    Server(std::io::Error),
+    Server(#[source] io::Error),
 }
 
-/// Runs a controller until it is killed.
+/// Runs a controller until the process is killed or a server fails.
 pub async fn run(settings: Settings) -> Result<(), RunError> {
     let node = Node::new(settings, Arc::new(SteadyClock));
     let platform = &node.settings.platform;
-    let front_listener = listen(platform.front).await?;
+    let public_listener = listen(platform.front).await?;
     let internal_listener = listen(platform.internal_addr).await?;
     info!(
         node_id = node.node_id(),
@@ -48,29 +55,52 @@
         front = %platform.front,
         "valegap starts"
     );
-    spawn_loops(&node);
-    let idle = platform.settings.workers.heartbeat_interval() * IDLE_HEARTBEATS;
-    let front_listener = Limited::new(front_listener, node.front_places.clone(), idle);
-    let internal_places = connection_places(&node.settings, INTERNAL_SHARE);
-    let internal_listener = Limited::new(internal_listener, internal_places, idle);
-    let front = axum::serve(front_listener, front::router(node.clone()));
-    let internal = axum::serve(internal_listener, internal::router(node.clone()));
-    tokio::try_join!(front.into_future(), internal.into_future())
-        .map(|_| ())
-        .map_err(RunError::Server)
+    spawn_background_loops(&node);
+    serve(&node, public_listener, internal_listener).await
 }
 
-async fn listen(addr: SocketAddr) -> Result<TcpListener, RunError> {
-    TcpListener::bind(addr)
+async fn listen(address: SocketAddr) -> Result<TcpListener, RunError> {
+    TcpListener::bind(address)
         .await
-        .map_err(|error| RunError::Listen(addr, error))
+        .map_err(|source| RunError::Listen { address, source })
 }
 
 /// Spawns the loops that last as long as the process; none of them returns, and a
 /// controller is always stopped by killing it.
-fn spawn_loops(node: &Arc<Node>) {
+fn spawn_background_loops(node: &Arc<Node>) {
     tokio::spawn(executor::refresh_machine_types(node.clone()));
     tokio::spawn(peering::run(node.clone()));
     tokio::spawn(peering::delegation::serve_delegated_workers(node.clone()));
     tokio::spawn(election::campaign(node.clone()));
 }
+
+async fn serve(
+    node: &Arc<Node>,
+    public_listener: TcpListener,
+    internal_listener: TcpListener,
+) -> Result<(), RunError> {
+    let idle = idle_timeout(&node.settings);
+    let public_connections = connection_limit(&node.settings, PUBLIC_CONNECTION_PERCENT);
+    let internal_connections = connection_limit(&node.settings, INTERNAL_CONNECTION_PERCENT);
+    let public = axum::serve(
+        Limited::new(public_listener, public_connections.clone(), idle),
+        api::public_router(node.clone(), public_connections),
+    );
+    let internal = axum::serve(
+        Limited::new(internal_listener, internal_connections, idle),
+        api::internal_router(node.clone()),
+    );
+    tokio::try_join!(public.into_future(), internal.into_future())
+        .map(|_| ())
+        .map_err(RunError::Server)
+}
+
+fn idle_timeout(settings: &Settings) -> Duration {
+    settings.platform.settings.workers.heartbeat_interval() * IDLE_HEARTBEAT_INTERVALS
+}
+
+/// A percentage of the process's sockets as a limit on connections.
+fn connection_limit(settings: &Settings, percent: usize) -> Places {
+    let sockets = settings.platform.settings.resources.max_connections;
+    Places::new(sockets * percent / 100)
+}
