--- a/src/coordination/shard/plan/capacity.rs
+++ b/src/coordination/shard/autoscaler/capacity.rs
@@ -4,11 +4,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::startup;
-use crate::coordination::shard::autoscaler::PLAN_EVERY;
-use crate::coordination::shard::boot_times::Overdue;
+use super::boot_times::Overdue;
+use super::machine_kind::{PLAN_EVERY, startup};
 use crate::coordination::shard::machines::Amounts;
-use crate::coordination::shard::placement::allowed;
+use crate::coordination::shard::scheduler::allowed;
 use crate::coordination::shard::{Machine, Shard};
 use crate::protocol::MachineId;
 use crate::protocol::cloud::MachineType;
@@ -25,7 +24,7 @@
 /// How soon the room of a machine can be used. The order is that in which the plan
 /// fills machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(in crate::coordination::shard) enum Readiness {
+pub(super) enum Readiness {
     /// It is up and runs tasks.
     Busy,
     /// It is up and runs none.
@@ -37,7 +36,7 @@
 }
 
 /// Room that is there or will be.
-pub(in crate::coordination::shard) struct Capacity {
+pub(super) struct Capacity {
     /// None if it has no name yet.
     pub machine: Option<MachineId>,
     pub machine_type: Arc<str>,
@@ -82,7 +81,7 @@
     }
 
     /// Whether its machine is up and not being emptied.
-    pub(in crate::coordination::shard) fn is_up(&self) -> bool {
+    pub(super) fn is_up(&self) -> bool {
         self.readiness < Readiness::Coming
     }
 
--- a/src/coordination/shard/plan/demand.rs
+++ b/src/coordination/shard/autoscaler/demand.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use super::capacity::{Capacity, cores_for};
-use crate::coordination::shard::placement::Usage;
+use crate::coordination::shard::scheduler::Usage;
 use crate::coordination::shard::{Job, Shard};
 use crate::protocol::JobId;
 use crate::protocol::users::{JobKind, JobSpec, Priority};
--- a/src/coordination/shard/drain.rs
+++ b/src/coordination/shard/autoscaler/drain.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::machines::Amounts;
-use super::placement::allowed;
-use super::plan::{Capacity, Readiness};
-use super::{Attempt, Job, Machine, Phase, Shard};
+use super::capacity::{Capacity, Readiness};
+use crate::coordination::shard::machines::Amounts;
+use crate::coordination::shard::scheduler::allowed;
+use crate::coordination::shard::{Attempt, Job, Machine, Phase, Shard};
 use crate::protocol::users::{JobKind, JobSpec};
 use crate::protocol::{AttemptId, MachineId};
 
@@ -252,7 +252,7 @@
 
     /// Cores that services are likely to ask for before a new machine is up: with
     /// less room among services than that, none is emptied.
-    pub(super) fn services_to_come(&self, now: Instant) -> f64 {
+    pub(in crate::coordination::shard) fn services_to_come(&self, now: Instant) -> f64 {
         if self.policy.holds_capacity() {
             return 0.0;
         }
@@ -324,7 +324,7 @@
 
     /// Room that batch work must leave on other machines for the services of
     /// those being emptied: the fullest of services first.
-    pub(super) fn reserved_for_moves(&self) -> HashMap<MachineId, Amounts> {
+    pub(in crate::coordination::shard) fn reserved_for_moves(&self) -> HashMap<MachineId, Amounts> {
         let mut reserved = HashMap::new();
         let mut leaving = self
             .machines
@@ -374,6 +374,6 @@
         .filter(|(_, _, spec)| spec.kind == JobKind::Service)
 }
 
-pub(super) fn hosts_services(machine: &Machine) -> bool {
+pub(in crate::coordination::shard) fn hosts_services(machine: &Machine) -> bool {
     machine.load.services().next().is_some()
 }
--- a/src/coordination/shard/plan/offer.rs
+++ b/src/coordination/shard/autoscaler/offer.rs
@@ -4,12 +4,11 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use super::BOOT_MARGIN;
 use super::demand::{Demand, OfferFilter};
+use super::machine_kind::{BOOT_MARGIN, LEAST_CHARGE, MachineKind};
 use crate::coordination::shard::Shard;
-use crate::coordination::shard::autoscaler::{LEAST_CHARGE, MachineKind};
 use crate::coordination::shard::machines::Amounts;
-use crate::coordination::shard::placement::allowed;
+use crate::coordination::shard::scheduler::allowed;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::JobSpec;
 
--- a/src/coordination/shard/plan/mod.rs
+++ b/src/coordination/shard/autoscaler/plan.rs
@@ -1,20 +1,16 @@
 //! How much room is wanted, and which machines are worth renting for it.
 
-mod capacity;
-mod demand;
-mod offer;
-
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-pub(super) use capacity::{Capacity, Readiness};
-use demand::{Demand, OfferFilter};
-use offer::{MachineCounts, Offer};
-
-use super::autoscaler::{MOST_PER_RENTAL, MachineKind};
-use super::placement::allowed;
-use super::{Machine, Shard};
+use super::MOST_PER_RENTAL;
+use super::capacity::Capacity;
+use super::demand::{Demand, OfferFilter};
+use super::machine_kind::{BOOT_MARGIN, MachineKind, startup};
+use super::offer::{MachineCounts, Offer};
+use crate::coordination::shard::scheduler::allowed;
+use crate::coordination::shard::{Machine, Shard};
 use crate::protocol::JobId;
 use crate::protocol::cloud::MachineType;
 
@@ -164,8 +160,8 @@
 
     /// How many times longer than usual a machine that is not up yet takes.
     pub(super) fn boot_slowness(&self, machine: &Machine, now: Instant) -> f64 {
-        let boots = &self.autoscaler.boot_times;
-        boots.slowness(&machine.machine_type, &machine.zone, now)
+        self.autoscaler
+            .boot_slowness(&machine.machine_type, &machine.zone, now)
     }
 
     /// How many times longer than usual a machine that is not up yet is waited for.
@@ -176,8 +172,8 @@
 
     /// Seconds until a machine that is rented now is up, if it takes as long as it often
     /// does, and has lately.
-    fn boot_s(&self, kind: &MachineType, zone: &str, now: Instant) -> f64 {
-        let slowness = self.autoscaler.boot_times.slowness(&kind.name, zone, now);
+    pub(super) fn boot_s(&self, kind: &MachineType, zone: &str, now: Instant) -> f64 {
+        let slowness = self.autoscaler.boot_slowness(&kind.name, zone, now);
         startup(kind).as_secs_f64() * BOOT_MARGIN * slowness
     }
 
@@ -258,14 +254,3 @@
     let (zone, tasks) = room.into_iter().max_by_key(|(_, tasks)| *tasks)?;
     (tasks * 2 >= demand.count).then(|| zone.clone())
 }
-
-/// The usual time until a new machine is up.
-pub(super) fn startup(kind: &MachineType) -> Duration {
-    Duration::from_secs_f64(kind.startup_s.clamp(0.0, LONGEST_STARTUP_S))
-}
-
-/// Machines are often up later than usual by this much.
-const BOOT_MARGIN: f64 = 1.2;
-
-/// Longest start that is taken as meant.
-const LONGEST_STARTUP_S: f64 = 1e6;
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -4,17 +4,13 @@
 //! outside comes out as [`Action`]s. Nothing here waits or talks.
 
 mod autoscaler;
-mod boot_times;
 mod delegations;
 mod dispatch;
-mod drain;
 mod failures;
 mod jobs;
 mod machines;
-mod plan;
 mod policy;
 mod reconciler;
-mod scale_in;
 mod scheduler;
 mod slowness;
 mod snapshots;
@@ -31,8 +27,6 @@
 pub use scheduler::GangAttempt;
 pub use writes::{ShardWrite, WritePurpose};
 
-use scheduler as placement;
-
 use crate::protocol::FencingToken;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
--- a/src/coordination/shard/reconciler/mod.rs
+++ b/src/coordination/shard/reconciler/mod.rs
@@ -11,7 +11,6 @@
 use std::time::{Duration, Instant};
 
 use super::dispatch::commands_to_repeat;
-use super::plan::startup;
 use super::{Action, Machine, Shard};
 use crate::protocol::MachineId;
 use crate::protocol::workers::{Command, WorkerHeartbeat};
@@ -170,10 +169,6 @@
         let Some(kind) = self.types.get(&*machine.machine_type) else {
             return;
         };
-        let took = now.saturating_duration_since(machine.rented);
-        let ratio = took.as_secs_f64() / startup(kind).as_secs_f64().max(1.0);
-        let boots = &mut self.autoscaler.boot_times;
-        let (kind, zone) = (&machine.machine_type, &machine.zone);
-        boots.note_arrival(kind, zone, machine.rented, ratio, now);
+        self.autoscaler.note_boot(machine, kind, now);
     }
 }
--- a/src/coordination/shard/summary.rs
+++ b/src/coordination/shard/summary.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-use super::drain::hosts_services;
+use super::autoscaler::hosts_services;
 use super::{Job, Shard};
 use crate::protocol::users::JobKind;
 
--- a/src/coordination/shard/tests/late_machines.rs
+++ b/src/coordination/shard/tests/late_machines.rs
@@ -215,5 +215,5 @@
     let awaited = awaited.filter(|m| m.zone == zone && m.last_contact.is_none());
     assert!(awaited.count() >= 3);
     assert!(shard.unreachable_zones(now).contains(&zone));
-    assert_eq!(shard.autoscaler.boot_times.slowness("m8", &zone, now), 1.0);
+    assert_eq!(shard.autoscaler.boot_slowness("m8", &zone, now), 1.0);
 }
