--- a/src/coordination/shard/failures.rs
+++ b/src/coordination/shard/health/failures.rs
@@ -9,7 +9,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::{Duration, Instant};
 
-use super::{Job, Phase, Shard};
+use crate::coordination::shard::{Job, Phase, Shard};
 use crate::protocol::{JobId, MachineId};
 
 /// On how many machines a job without a success has to fail to be suspected of failing
@@ -172,7 +172,7 @@
     }
 
     /// How many more of its tasks may be started, as far as its failures tell.
-    pub(super) fn tries_left(&self) -> u32 {
+    pub(in crate::coordination::shard) fn tries_left(&self) -> u32 {
         if self.is_suspect() && !self.spec.is_gang() {
             TRIES_AT_ONCE.saturating_sub(self.live().len() as u32)
         } else {
@@ -183,7 +183,7 @@
 
 impl Shard {
     /// An attempt that began at `began` failed by itself after it had run for `ran`.
-    pub(super) fn attempt_failed(
+    pub(in crate::coordination::shard) fn attempt_failed(
         &mut self,
         id: &JobId,
         machine_id: &MachineId,
@@ -215,7 +215,7 @@
 
     /// A task of a job has completed, or has run for long: where others of it failed, the
     /// machine is more likely at fault.
-    pub(super) fn task_succeeded(&mut self, id: &JobId) {
+    pub(in crate::coordination::shard) fn task_succeeded(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -237,7 +237,7 @@
 
     /// A job that fails everywhere, or that was cancelled, is no evidence against the
     /// machines on which it failed.
-    pub(super) fn withdraw_evidence(&mut self, id: &JobId) {
+    pub(in crate::coordination::shard) fn withdraw_evidence(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
@@ -260,7 +260,7 @@
 
     /// Takes tasks that have run for longer than any failed attempt of their job for
     /// successes: a service has no other.
-    pub(super) fn note_outliving_tasks(&mut self, now: Instant) {
+    pub(in crate::coordination::shard) fn note_outliving_tasks(&mut self, now: Instant) {
         let failing = self.jobs.values().filter(|job| !job.failures.is_clear());
         let outlived: Vec<JobId> = failing
             .filter(|job| self.has_outliving_task(job, now))
--- a/src/coordination/shard/slowness.rs
+++ b/src/coordination/shard/health/slowness.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::{Phase, Shard};
+use crate::coordination::shard::{Phase, Shard};
 use crate::protocol::users::JobKind;
 use crate::protocol::{AttemptId, MachineId};
 
@@ -41,7 +41,7 @@
 impl Shard {
     /// Gives machines up on which several tasks run far longer than others of their
     /// jobs do elsewhere: their work moves, as far as it can be saved with it.
-    pub(super) fn find_slow_machines(&mut self, now: Instant) {
+    pub(in crate::coordination::shard) fn find_slow_machines(&mut self, now: Instant) {
         let mut overdue: Vec<(MachineId, AttemptId)> = Vec::new();
         for job in self.jobs.values() {
             // Tasks that resume from a checkpoint run for any time.
--- a/src/coordination/shard/jobs/mod.rs
+++ b/src/coordination/shard/jobs/mod.rs
@@ -6,9 +6,9 @@
 use std::sync::Arc;
 use std::time::Instant;
 
+use super::FailureHistory;
 use super::GangAttempt;
-use super::failures::FailureHistory;
-use super::slowness::RunTimes;
+use super::health::RunTimes;
 use crate::protocol::users::{JobKind, JobSpec, Stage};
 use crate::protocol::{JobId, MachineId};
 use crate::storage::records::JobRecord;
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -6,26 +6,24 @@
 mod autoscaler;
 mod delegations;
 mod dispatch;
-mod failures;
+mod health;
 mod jobs;
 mod machines;
+mod persistence;
 mod policy;
 mod reconciler;
 mod scheduler;
-mod slowness;
-mod snapshots;
 mod summary;
-mod writes;
 
 pub use autoscaler::RentalOutcome;
 pub use delegations::delegate_commands;
-pub use failures::{FailureEvidence, FailureHistory};
+pub use health::{FailureEvidence, FailureHistory};
 pub use jobs::{Job, TaskCounts};
 pub use machines::{Attempt, Machine, MachineLoad, Machines, Phase};
+pub use persistence::{ShardWrite, WritePurpose};
 pub use policy::{Policy, TeamPolicy};
 pub use reconciler::{HeartbeatOutcome, RecoveredMachine, RecoveredState};
 pub use scheduler::GangAttempt;
-pub use writes::{ShardWrite, WritePurpose};
 
 use crate::protocol::FencingToken;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -121,7 +119,7 @@
     /// don't know of: neither synced under our fencing token, nor proven empty.
     unreconciled: BTreeSet<MachineId>,
     autoscaler: autoscaler::Autoscaler,
-    writes: writes::WriteQueue,
+    writes: persistence::WriteQueue,
     delegations: delegations::Delegations,
     /// What is known of others' answers to workers, once something is.
     answers_by_others: Option<delegations::AnswersByOthers>,
--- a/src/coordination/shard/snapshots.rs
+++ b/src/coordination/shard/persistence/snapshots.rs
@@ -2,8 +2,9 @@
 
 use std::time::Instant;
 
+use super::WritePurpose;
 use super::writes::Finish;
-use super::{Job, Phase, Shard, WritePurpose};
+use crate::coordination::shard::{Job, Phase, Shard};
 use crate::protocol::kv::Mutation;
 use crate::protocol::workers::AttemptOutcome;
 use crate::storage::snapshot;
@@ -26,7 +27,7 @@
 
 impl Shard {
     /// Takes a snapshot if one is due, and queues the chunks that changed.
-    pub(super) fn begin_snapshot_round(&mut self, now: Instant) {
+    pub(in crate::coordination::shard) fn begin_snapshot_round(&mut self, now: Instant) {
         let due = match self.writes.last_round {
             Some(last) => now.saturating_duration_since(last) >= self.policy.snapshot,
             None => true,
@@ -105,7 +106,7 @@
     }
 
     /// The whole snapshot is written: workers may forget what it holds.
-    pub(super) fn end_snapshot_round(&mut self) {
+    pub(in crate::coordination::shard) fn end_snapshot_round(&mut self) {
         self.writes.round_in_progress = false;
         self.writes.dirty_since = self.writes.dirty_next.take();
         for (machine, key) in std::mem::take(&mut self.writes.covered) {
--- a/src/coordination/shard/writes.rs
+++ b/src/coordination/shard/persistence/writes.rs
@@ -7,7 +7,7 @@
 
 use serde_json::Value;
 
-use super::{Action, Shard};
+use crate::coordination::shard::{Action, Machine, Shard};
 use crate::protocol::cloud::Rental;
 use crate::protocol::kv::Mutation;
 use crate::protocol::{AttemptId, MachineId};
@@ -60,27 +60,27 @@
 }
 
 /// A finish that the worker may forget once a snapshot holds it.
-pub(super) type Finish = (MachineId, AttemptId);
+pub(in crate::coordination::shard) type Finish = (MachineId, AttemptId);
 
 /// The queue of writes.
 #[derive(Debug, Default)]
 pub struct WriteQueue {
     purposes: VecDeque<(WritePurpose, Mutation)>,
-    pub(super) roster: Roster,
+    pub(in crate::coordination::shard) roster: Roster,
     /// What follows once the roster's changes are written.
     entered: Vec<WritePurpose>,
-    pub(super) chunks: VecDeque<(WritePurpose, Mutation)>,
+    pub(in crate::coordination::shard) chunks: VecDeque<(WritePurpose, Mutation)>,
     in_flight: bool,
     /// What the key-value store holds of the snapshot.
-    pub(super) written: BTreeMap<String, Value>,
+    pub(in crate::coordination::shard) written: BTreeMap<String, Value>,
     /// Since when there are changes that no snapshot holds.
-    pub(super) dirty_since: Option<Instant>,
+    pub(in crate::coordination::shard) dirty_since: Option<Instant>,
     /// The same for changes that the snapshot under way does not cover.
-    pub(super) dirty_next: Option<Instant>,
+    pub(in crate::coordination::shard) dirty_next: Option<Instant>,
     /// The finishes that the snapshot being written covers.
-    pub(super) covered: Vec<Finish>,
-    pub(super) round_in_progress: bool,
-    pub(super) last_round: Option<Instant>,
+    pub(in crate::coordination::shard) covered: Vec<Finish>,
+    pub(in crate::coordination::shard) round_in_progress: bool,
+    pub(in crate::coordination::shard) last_round: Option<Instant>,
     /// Chunk writes allowed now.
     tokens: f64,
     /// Changes for facts allowed now; below 0 they wait and gather.
@@ -105,7 +105,7 @@
     }
 
     /// The queues and the budget, as text for operators.
-    pub(super) fn describe(&self, now: Instant) -> String {
+    pub(in crate::coordination::shard) fn describe(&self, now: Instant) -> String {
         format!(
             "writes: {} facts, {} roster entries and {} chunks wait, {:.0} chunks allowed now, unrecorded for {:?}",
             self.purposes.len(),
@@ -118,14 +118,18 @@
         )
     }
 
-    pub(super) fn enqueue(&mut self, enqueue: WritePurpose, change: Mutation) {
+    pub(in crate::coordination::shard) fn enqueue(
+        &mut self,
+        enqueue: WritePurpose,
+        change: Mutation,
+    ) {
         self.purposes.push_back((enqueue, change));
     }
 }
 
 impl Shard {
     /// Records that a machine may hold tasks, before it gets any.
-    pub(super) fn admit(&mut self, id: &MachineId) {
+    pub(in crate::coordination::shard) fn admit(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -138,7 +142,7 @@
     }
 
     /// Records that a machine is to be deleted, before it is.
-    pub(super) fn record_deletion(&mut self, id: &MachineId) {
+    pub(in crate::coordination::shard) fn record_deletion(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get(id) else {
             return;
         };
@@ -153,11 +157,11 @@
     }
 
     /// Takes a machine that is gone off the roster.
-    pub(super) fn record_gone(&mut self, id: &MachineId) {
+    pub(in crate::coordination::shard) fn record_gone(&mut self, id: &MachineId) {
         self.writes.roster.remove(id);
     }
 
-    pub(super) fn record_scale_out(&mut self, rental: &Rental) {
+    pub(in crate::coordination::shard) fn record_scale_out(&mut self, rental: &Rental) {
         let record = RentalRecord {
             format_version: FORMAT_VERSION,
             rental: rental.clone(),
@@ -170,7 +174,7 @@
         }
     }
 
-    pub(super) fn clear_scale_out(&mut self, request: &str) {
+    pub(in crate::coordination::shard) fn clear_scale_out(&mut self, request: &str) {
         self.writes.enqueue(
             WritePurpose::ClearScaleOut(request.to_owned()),
             Mutation::delete(keys::pending_rental(request)),
@@ -178,7 +182,7 @@
     }
 
     /// Starts the next write if none is under way.
-    pub(super) fn flush_writes(&mut self, now: Instant) {
+    pub(in crate::coordination::shard) fn flush_writes(&mut self, now: Instant) {
         self.refill(now);
         if self.writes.in_flight {
             return;
@@ -382,7 +386,7 @@
     }
 }
 
-fn roster_record(machine: &super::Machine, deleting: bool) -> RosterRecord {
+fn roster_record(machine: &Machine, deleting: bool) -> RosterRecord {
     RosterRecord {
         addr: machine.addr.clone(),
         machine_type: machine.machine_type.to_string(),
--- a/src/coordination/shard/reconciler/recovery.rs
+++ b/src/coordination/shard/reconciler/recovery.rs
@@ -8,7 +8,7 @@
 
 use crate::coordination::leadership::lease::DELEGATION_TIME;
 use crate::coordination::shard::autoscaler::Autoscaler;
-use crate::coordination::shard::{Job, Machine, Machines, Policy, Shard, writes};
+use crate::coordination::shard::{Job, Machine, Machines, Policy, Shard, persistence};
 use crate::protocol::MachineId;
 use crate::storage::records::{JobRecord, RentalRecord, RosterRecord};
 use crate::storage::snapshot;
@@ -61,7 +61,7 @@
             deleted_machines: HashMap::new(),
             unreconciled: BTreeSet::new(),
             autoscaler: Autoscaler::default(),
-            writes: writes::WriteQueue::default(),
+            writes: persistence::WriteQueue::default(),
             delegations: Default::default(),
             answers_by_others: None,
             snapshot_placements: HashMap::new(),
