--- a/src/coordination/shard/delegations.rs
+++ b/src/coordination/shard/delegations.rs
@@ -101,8 +101,8 @@
         );
         self.delegations
             .insert(node_id.to_owned(), DelegationState::Granted);
-        self.writes.enqueue(
-            WritePurpose::Delegated,
+        self.writes.push_record(
+            WritePurpose::Delegate,
             Mutation::put(keys::delegate(node_id), value),
         );
         self.needs_pass = true;
@@ -193,8 +193,8 @@
         );
         self.delegations
             .insert(node_id.to_owned(), DelegationState::AttemptOutcome);
-        self.writes.enqueue(
-            WritePurpose::Revoked(node_id.to_owned()),
+        self.writes.push_record(
+            WritePurpose::RevokeDelegation(node_id.to_owned()),
             Mutation::delete(keys::delegate(node_id)),
         );
         self.needs_pass = true;
--- /dev/null
+++ b/src/coordination/shard/persistence/flush.rs
@@ -0,0 +1,81 @@
+//! Sending the shard's transactions and applying their results.
+
+use std::time::Instant;
+
+use super::shard_write::{ShardWrite, WritePurpose};
+use super::write_queue::{NextWrite, WriteLimits};
+use crate::coordination::shard::{Action, Shard};
+use crate::protocol::MachineId;
+
+/// The lowest limit of a value that a refused write leads to, in bytes: a single entry of
+/// the roster or piece of the snapshot takes about as much.
+const MIN_VALUE_BYTES: usize = 512;
+/// The lowest limit of a transaction that a refused write leads to, in mutations: one and
+/// the sequence number.
+const MIN_TXN_OPS: usize = 2;
+
+impl Shard {
+    /// Sends the next transaction if none is in flight and something is to be written.
+    pub(in crate::coordination::shard) fn flush_writes(&mut self, now: Instant) {
+        let limits = WriteLimits::from(&self.policy);
+        self.writes.refill_budgets(&limits, now);
+        if self.writes.snapshot_due(&limits, now) {
+            self.begin_snapshot_round(now);
+        }
+        match self.writes.next(&limits) {
+            Some(NextWrite::Send(write)) => self.out.push(Action::Write(write)),
+            Some(NextWrite::SnapshotStored(completed)) => self.allow_clearing(&completed),
+            None => {}
+        }
+    }
+
+    /// The transaction in flight was applied.
+    pub fn shard_written(&mut self, write: &ShardWrite, now: Instant) {
+        self.writes.written(write);
+        let mut deletable: Vec<MachineId> = Vec::new();
+        for purpose in &write.purposes {
+            match purpose {
+                WritePurpose::Admit(id) => {
+                    if let Some(machine) = self.machines.get_mut(id) {
+                        machine.admitted = true;
+                    }
+                }
+                WritePurpose::Delete(id) => deletable.push(id.clone()),
+                WritePurpose::RecordScaleOut(rental) => self.out.push(Action::Rent(rental.clone())),
+                WritePurpose::RevokeDelegation(node_id) => self.revoked(node_id, now),
+                WritePurpose::ClearScaleOut(_)
+                | WritePurpose::Delegate
+                | WritePurpose::SnapshotChunk { .. } => {}
+            }
+        }
+        self.delete(&deletable);
+        self.needs_pass = true;
+        self.flush_writes(now);
+    }
+
+    /// The store refused the transaction in flight as too large: its limits are lower than
+    /// the settings say. The same transaction is never sent again; from now on fewer
+    /// mutations a transaction are planned, or smaller values.
+    pub fn write_refused(&mut self, write: &ShardWrite, now: Instant) {
+        let mutations = write.mutations.len();
+        self.lower_write_limits(mutations);
+        tracing::error!(
+            fencing_token = %self.fencing_token,
+            mutations,
+            txn_ops = self.policy.txn_ops,
+            value_bytes = self.policy.value_bytes,
+            "transaction too large for the key-value store, limits lowered"
+        );
+        self.writes.refused(write);
+        self.flush_writes(now);
+    }
+
+    /// Lowers the limit that a refused transaction with so many mutations has exceeded.
+    fn lower_write_limits(&mut self, mutations: usize) {
+        if mutations > 1 {
+            self.policy.txn_ops = (mutations / 2 + 1).max(MIN_TXN_OPS);
+        } else {
+            self.policy.value_bytes = (self.policy.value_bytes / 2).max(MIN_VALUE_BYTES);
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/shard/persistence/snapshot_rounds.rs
@@ -0,0 +1,226 @@
+//! Rounds in which the shard's snapshot is written to the key-value store.
+
+use std::collections::{BTreeMap, VecDeque};
+use std::time::{Duration, Instant};
+
+use serde_json::Value;
+
+use super::shard_write::{PendingWrite, WritePurpose};
+use crate::protocol::kv::Mutation;
+use crate::protocol::{AttemptId, MachineId};
+
+/// A completed attempt that its worker may forget once a snapshot holds the completion.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(super) struct CompletedAttempt {
+    pub machine: MachineId,
+    pub attempt: AttemptId,
+}
+
+/// The stored snapshot and the round that brings it up to date.
+///
+/// Invariant: chunks wait only while a round is under way, and the round ends only when
+/// none does. Whatever was covered by a round is durable once it ends.
+#[derive(Debug, Default)]
+pub(super) struct SnapshotRounds {
+    /// The chunks that the store holds, by key.
+    stored: BTreeMap<String, Value>,
+    round: Round,
+}
+
+/// The state of the present round.
+#[derive(Debug)]
+enum Round {
+    /// None is under way.
+    Idle {
+        /// When the last one started; none if the next is due at once.
+        last_started: Option<Instant>,
+        /// When the oldest change was made that no snapshot holds.
+        dirty_since: Option<Instant>,
+    },
+    /// Chunks are being written.
+    UnderWay {
+        started: Instant,
+        /// When the oldest change was made that this round covers.
+        dirty_since: Option<Instant>,
+        /// When the oldest change was made that this round doesn't cover.
+        dirty_after: Option<Instant>,
+        /// The completions that this round makes durable.
+        covered: Vec<CompletedAttempt>,
+        /// Chunks that are not yet in a transaction, in the order of their writing.
+        waiting: VecDeque<PendingWrite>,
+    },
+}
+
+impl Default for Round {
+    fn default() -> Self {
+        Self::Idle {
+            last_started: None,
+            dirty_since: None,
+        }
+    }
+}
+
+impl SnapshotRounds {
+    /// The chunks that were read from the store; no round is under way.
+    pub fn recovered(stored: BTreeMap<String, Value>) -> Self {
+        Self {
+            stored,
+            round: Round::default(),
+        }
+    }
+
+    /// Whether the next round should start: none is under way and the last one started at
+    /// least `interval` ago.
+    pub fn is_due(&self, interval: Duration, now: Instant) -> bool {
+        match self.round {
+            Round::Idle { last_started, .. } => {
+                last_started.is_none_or(|last| now.saturating_duration_since(last) >= interval)
+            }
+            Round::UnderWay { .. } => false,
+        }
+    }
+
+    /// Starts a round that makes the store's snapshot equal to `encoded`, and so makes the
+    /// `covered` completions durable. Only chunks that changed are written.
+    pub fn begin(
+        &mut self,
+        encoded: &BTreeMap<String, Value>,
+        covered: Vec<CompletedAttempt>,
+        now: Instant,
+    ) {
+        let Round::Idle { dirty_since, .. } = self.round else {
+            return;
+        };
+        self.round = Round::UnderWay {
+            started: now,
+            dirty_since,
+            dirty_after: None,
+            covered,
+            waiting: self.changed_chunks(encoded),
+        };
+    }
+
+    /// The writes from what is stored to what was encoded.
+    ///
+    /// What a chunk no longer holds has to be written elsewhere first, since a failover may
+    /// come between two transactions: to a later chunk where there are more of them than
+    /// before (jobs were added, or the limits were lowered), else to an earlier one.
+    fn changed_chunks(&self, encoded: &BTreeMap<String, Value>) -> VecDeque<PendingWrite> {
+        let mut chunks: Vec<_> = encoded.iter().collect();
+        if encoded.len() > self.stored.len() {
+            chunks.reverse();
+        }
+        let changed = chunks
+            .into_iter()
+            .filter(|(key, value)| self.stored.get(*key) != Some(*value))
+            .map(|(key, value)| chunk_write(key, Some(value)));
+        let dropped = self
+            .stored
+            .keys()
+            .filter(|key| !encoded.contains_key(*key))
+            .map(|key| chunk_write(key, None));
+        changed.chain(dropped).collect()
+    }
+
+    /// Something changed that a snapshot has to hold.
+    pub fn note_change(&mut self, now: Instant) {
+        let oldest = match &mut self.round {
+            Round::Idle { dirty_since, .. } => dirty_since,
+            Round::UnderWay { dirty_after, .. } => dirty_after,
+        };
+        oldest.get_or_insert(now);
+    }
+
+    /// For how long the oldest change has not been durable; zero if all are.
+    pub fn unrecorded_for(&self, now: Instant) -> Duration {
+        let (Round::Idle { dirty_since, .. } | Round::UnderWay { dirty_since, .. }) = &self.round;
+        dirty_since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
+    }
+
+    /// How many chunks wait for a transaction.
+    pub fn waiting_chunks(&self) -> usize {
+        match &self.round {
+            Round::Idle { .. } => 0,
+            Round::UnderWay { waiting, .. } => waiting.len(),
+        }
+    }
+
+    /// The chunk that is to be written next.
+    pub fn next_chunk(&self) -> Option<&PendingWrite> {
+        match &self.round {
+            Round::Idle { .. } => None,
+            Round::UnderWay { waiting, .. } => waiting.front(),
+        }
+    }
+
+    /// Takes the chunk that is to be written next.
+    pub fn take_chunk(&mut self) -> Option<PendingWrite> {
+        match &mut self.round {
+            Round::Idle { .. } => None,
+            Round::UnderWay { waiting, .. } => waiting.pop_front(),
+        }
+    }
+
+    /// The store holds this chunk now, or no longer if there is no value.
+    pub fn chunk_stored(&mut self, key: &str, value: Option<&Value>) {
+        match value {
+            Some(value) => self.stored.insert(key.to_owned(), value.clone()),
+            None => self.stored.remove(key),
+        };
+    }
+
+    /// Ends the round if all its chunks are stored; returns the completions that are
+    /// durable from now on. Called only while no transaction is in flight.
+    pub fn complete(&mut self) -> Option<Vec<CompletedAttempt>> {
+        let Round::UnderWay {
+            started,
+            dirty_after,
+            covered,
+            waiting,
+            ..
+        } = &mut self.round
+        else {
+            return None;
+        };
+        if !waiting.is_empty() {
+            return None;
+        }
+        let covered = std::mem::take(covered);
+        self.round = Round::Idle {
+            last_started: Some(*started),
+            dirty_since: *dirty_after,
+        };
+        Some(covered)
+    }
+
+    /// Abandons the round, if one is under way: the next starts at once and encodes the
+    /// snapshot anew.
+    pub fn abort(&mut self) {
+        if let Round::UnderWay {
+            dirty_since,
+            dirty_after,
+            ..
+        } = self.round
+        {
+            self.round = Round::Idle {
+                last_started: None,
+                dirty_since: dirty_since.or(dirty_after),
+            };
+        }
+    }
+}
+
+/// The write of a chunk, or its deletion if there is no value.
+fn chunk_write(key: &str, value: Option<&Value>) -> PendingWrite {
+    let mutation = match value {
+        Some(value) => Mutation::put(key.to_owned(), value.clone()),
+        None => Mutation::delete(key.to_owned()),
+    };
+    PendingWrite {
+        purpose: WritePurpose::SnapshotChunk {
+            key: key.to_owned(),
+            value: value.cloned(),
+        },
+        mutation,
+    }
+}
--- a/src/coordination/shard/persistence/snapshots.rs
+++ b/src/coordination/shard/persistence/snapshots.rs
@@ -1,46 +1,25 @@
-//! When the shard is snapshotted, and what workers may forget once it is.
+//! What the shard's snapshot holds, and what its workers may forget once it is stored.
 
 use std::time::Instant;
 
-use super::WritePurpose;
-use super::writes::Finish;
+use super::snapshot_rounds::CompletedAttempt;
 use crate::coordination::shard::{Job, Phase, Shard};
-use crate::protocol::kv::Mutation;
 use crate::protocol::workers::AttemptOutcome;
 use crate::storage::snapshot;
 
-/// About what a placement takes of a snapshot, and what its job takes.
+/// About how many bytes a placement takes in a snapshot.
 const PLACEMENT_BYTES: usize = 18;
+/// About how many bytes a job with placements takes beside these.
 const JOB_BYTES: usize = 54;
-/// Share of the staleness bound that writing all placements may attempt_number.
+/// Share of the staleness bound that writing all placements may take.
 const PLACEMENT_TIME_SHARE: f64 = 0.5;
 
-/// Where a job's tasks are, by number.
-fn placements(job: &Job) -> Vec<(u32, String)> {
-    let live = job.live().iter();
-    let mut placed: Vec<(u32, String)> = live
-        .map(|(index, machine)| (*index, machine.to_string()))
-        .collect();
-    placed.sort_unstable();
-    placed
-}
-
 impl Shard {
-    /// Takes a snapshot if one is due, and queues the chunks that changed.
-    pub(in crate::coordination::shard) fn begin_snapshot_round(&mut self, now: Instant) {
-        let due = match self.writes.last_round {
-            Some(last) => now.saturating_duration_since(last) >= self.policy.snapshot,
-            None => true,
-        };
-        if !due {
-            return;
-        }
-        self.writes.last_round = Some(now);
+    /// Encodes a snapshot and queues the chunks of it that changed.
+    pub(super) fn begin_snapshot_round(&mut self, now: Instant) {
         let with_placements = self.placements_fit();
-        let rows: Vec<_> = self
-            .jobs
-            .values()
-            .filter(|job| job.final_stage.is_none())
+        let unfinished = self.jobs.values().filter(|job| job.final_stage.is_none());
+        let rows: Vec<_> = unfinished
             .map(|job| {
                 let placed = if with_placements {
                     placements(job)
@@ -51,72 +30,62 @@
             })
             .collect();
         let chunks = snapshot::encode(rows.into_iter(), self.policy.value_bytes);
-        // What a part no longer holds is written elsewhere first: in a later part
-        // where there are more of them than before, since jobs came or the limits
-        // were lowered, else in an earlier one.
-        let mut parts: Vec<_> = chunks.iter().collect();
-        if chunks.len() > self.writes.written.len() {
-            parts.reverse();
-        }
-        for (key, value) in parts {
-            if self.writes.written.get(key) != Some(value) {
-                self.writes.chunks.push_back((
-                    WritePurpose::Chunk(key.clone(), Some(value.clone())),
-                    Mutation::put(key.clone(), value.clone()),
-                ));
-            }
-        }
-        for key in self.writes.written.keys() {
-            if !chunks.contains_key(key) {
-                self.writes.chunks.push_back((
-                    WritePurpose::Chunk(key.clone(), None),
-                    Mutation::delete(key.clone()),
-                ));
-            }
-        }
-        self.writes.covered = self.unrecorded_finishes();
-        self.writes.round_in_progress = true;
+        let covered = self.unrecorded_completions();
+        self.writes.begin_snapshot_round(&chunks, covered, now);
     }
 
-    /// Whether a snapshot that tells where all tasks are can be written soon enough. What
-    /// is done has to be in it; placements are only a hint to the next leader, which
-    /// rebuilds them from the heartbeats, and must not hold up the starts.
+    /// Whether a snapshot with all placements can be written well before changes count as
+    /// stale. Completions have to be in every snapshot. Placements are only a hint to the
+    /// next leader, which rebuilds them from heartbeats, and must not hold up the starts.
     fn placements_fit(&self) -> bool {
-        let bytes_of = |job: &Job| match job.live().len() {
-            0 => 0,
-            placed => placed * PLACEMENT_BYTES + JOB_BYTES,
-        };
-        let bytes: usize = self.jobs.values().map(bytes_of).sum();
+        let bytes: usize = self.jobs.values().map(placement_bytes).sum();
         let seconds = self.policy.staleness.as_secs_f64() * PLACEMENT_TIME_SHARE;
         let chunks = self.policy.snapshot_writes_per_s * seconds;
-        let room = chunks * self.policy.value_bytes as f64;
-        bytes as f64 <= room
+        let writable_bytes = chunks * self.policy.value_bytes as f64;
+        bytes as f64 <= writable_bytes
     }
 
-    fn unrecorded_finishes(&self) -> Vec<Finish> {
-        let mut finishes = Vec::new();
+    /// The completed attempts that their workers may not forget yet.
+    fn unrecorded_completions(&self) -> Vec<CompletedAttempt> {
+        let mut completed = Vec::new();
         for machine in self.machines.values() {
-            for (key, attempt) in &machine.attempts {
+            for (id, attempt) in &machine.attempts {
                 if attempt.phase == Phase::Ended(AttemptOutcome::Done) && !attempt.clearable {
-                    finishes.push((machine.id.clone(), key.clone()));
+                    completed.push(CompletedAttempt {
+                        machine: machine.id.clone(),
+                        attempt: id.clone(),
+                    });
                 }
             }
         }
-        finishes
+        completed
     }
 
-    /// The whole snapshot is written: workers may forget what it holds.
-    pub(in crate::coordination::shard) fn end_snapshot_round(&mut self) {
-        self.writes.round_in_progress = false;
-        self.writes.dirty_since = self.writes.dirty_next.take();
-        for (machine, key) in std::mem::take(&mut self.writes.covered) {
-            if let Some(attempt) = self
-                .machines
-                .get_mut(&machine)
-                .and_then(|m| m.attempts.get_mut(&key))
-            {
+    /// Lets workers forget attempts whose completion is durable.
+    pub(super) fn allow_clearing(&mut self, completed: &[CompletedAttempt]) {
+        for CompletedAttempt { machine, attempt } in completed {
+            let machine = self.machines.get_mut(machine);
+            if let Some(attempt) = machine.and_then(|machine| machine.attempts.get_mut(attempt)) {
                 attempt.clearable = true;
             }
         }
     }
 }
+
+/// The machines of a job's tasks, by task index.
+fn placements(job: &Job) -> Vec<(u32, String)> {
+    let live = job.live().iter();
+    let mut placed: Vec<(u32, String)> = live
+        .map(|(index, machine)| (*index, machine.to_string()))
+        .collect();
+    placed.sort_unstable();
+    placed
+}
+
+/// About how many bytes a job's placements take in a snapshot.
+fn placement_bytes(job: &Job) -> usize {
+    match job.live().len() {
+        0 => 0,
+        placed => placed * PLACEMENT_BYTES + JOB_BYTES,
+    }
+}
--- a/src/coordination/shard/reconciler/recovery.rs
+++ b/src/coordination/shard/reconciler/recovery.rs
@@ -102,14 +102,16 @@
                 }
             }
         }
-        shard.writes.written = recovered.chunks;
+        shard.writes = persistence::WriteQueue::recovered(recovered.chunks);
         // A delegate of the last leader may have answered workers until just now.
         // Or one that was cut off goes on answering them by its advance delegation.
         let kept = DELEGATION_TIME.max(shard.policy.advance_delegation);
         let lease_expires_at = now + shard.policy.worker_lease_bound() + kept;
         for RecoveredMachine { id, page, record } in recovered.roster {
             let id: MachineId = id.as_str().into();
-            shard.writes.roster.load(page, id.clone(), record.clone());
+            shard
+                .writes
+                .load_roster_entry(page, id.clone(), record.clone());
             let mut machine = Machine::new(id.clone(), now, lease_expires_at);
             machine.describe(
                 &record.addr,
