--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -171,7 +171,7 @@
         if std::mem::take(&mut self.needs_pass) {
             self.reconcile_gangs(now);
             self.withdraw_launches(now);
-            self.place(now);
+            self.schedule(now);
             self.reconcile_gangs(now);
             self.withdraw_launches(now);
             self.flush_commands(now);
--- a/src/coordination/shard/scheduler/candidates.rs
+++ b/src/coordination/shard/scheduler/candidates.rs
@@ -1,100 +1,69 @@
-//! The open machines as a placement pass sees them.
+//! The candidate machines of one scheduling pass, and what the pass has used of them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Instant;
 
 use super::quota::Usage;
+use super::view::SchedulerView;
 use crate::coordination::shard::machines::Amounts;
-use crate::coordination::shard::{Machine, Shard};
+use crate::coordination::shard::{Job, Machine, Shard};
 use crate::protocol::MachineId;
 use crate::protocol::users::{JobKind, JobSpec};
 
-/// A machine that may get tasks, as a placement pass sees it.
+/// A machine that may get tasks in this pass.
 #[derive(Debug, Clone)]
-pub(in crate::coordination::shard) struct Slot {
-    pub id: MachineId,
-    pub machine_type: Arc<str>,
-    pub zone: Arc<str>,
-    pub spot: bool,
-    /// Kept for batch work alone, at the full price.
-    pub costly: bool,
-    /// A service would keep it from being given back.
-    pub barren: bool,
-    pub free: Amounts,
-    /// Of that, what batch work must leave.
-    pub reserved: Amounts,
-    /// Kept from batch work for a job that has waited for long.
-    pub held: bool,
+pub(super) struct Candidate {
+    pub(super) id: MachineId,
+    pub(super) machine_type: Arc<str>,
+    pub(super) zone: Arc<str>,
+    pub(super) spot: bool,
+    /// An on-demand machine that scale-in can release once its batch work ends: a
+    /// service placed on it would keep it.
+    pub(super) releasable: bool,
+    /// Releasable, and past the time that is charged for in any case: batch work that
+    /// may run on spot instances does not extend its life.
+    pub(super) costs_extra: bool,
+    /// Resources that no task uses, less what this pass has placed.
+    pub(super) free: Amounts,
+    /// The part of the free resources that is reserved for services being drained from
+    /// other machines.
+    pub(super) reserved_for_services: Amounts,
+    /// Closed to batch work in this pass: reserved for a starving job or a waiting gang.
+    pub(super) reserved: bool,
 }
 
-impl Slot {
+impl Candidate {
+    /// Whether a job's machine types, zone and spot setting allow this machine.
+    pub(super) fn allows(&self, spec: &JobSpec) -> bool {
+        allowed(spec, &self.machine_type, &self.zone, self.spot)
+    }
+
     /// Whether one more task of a job fits.
     pub(super) fn fits(&self, spec: &JobSpec) -> bool {
-        let mut free = self.free;
-        if spec.kind != JobKind::Service {
-            if self.held {
-                return false;
-            }
-            free = free.less(&self.reserved);
+        if spec.kind == JobKind::Service {
+            return self.free.holds(spec);
         }
-        free.holds(spec)
+        !self.reserved && self.free.less(&self.reserved_for_services).holds(spec)
     }
 
-    /// How many more tasks of a job fit.
-    pub(in crate::coordination::shard) fn room_for(&self, spec: &JobSpec) -> u32 {
+    /// How many more tasks of a batch job or gang fit.
+    pub(super) fn fitting_tasks(&self, spec: &JobSpec) -> u32 {
         if self.fits(spec) {
-            self.free.less(&self.reserved).fits(spec)
+            self.free.less(&self.reserved_for_services).fits(spec)
         } else {
             0
         }
     }
-}
-
-/// What a machine has of an image.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Holding {
-    Nothing,
-    /// It fetches it, or is about to.
-    Coming,
-    There,
-}
 
-/// One placement pass: the open machines, and what is known of them so far.
-pub(in crate::coordination::shard) struct Pass {
-    pub slots: Vec<Slot>,
-    pub usage: Usage,
-    /// By image, what each slot's machine has of it.
-    pub(super) images: HashMap<String, Vec<Holding>>,
-}
-
-impl Pass {
-    /// What each slot's machine has of a job's image, once looked for.
-    pub(super) fn holdings(&self, spec: &JobSpec) -> &[Holding] {
-        self.images.get(&spec.image).map_or(&[], Vec::as_slice)
-    }
-
-    pub(super) fn holding(&self, spec: &JobSpec, at: usize) -> Holding {
-        let holding = self.holdings(spec).get(at).copied();
-        holding.unwrap_or(Holding::Nothing)
-    }
-
-    /// Whether a machine would have to fetch a job's image.
-    pub(in crate::coordination::shard) fn lacks_image(&self, spec: &JobSpec, at: usize) -> bool {
-        self.holding(spec, at) == Holding::Nothing
-    }
-
-    /// A task was placed on a slot.
-    pub(in crate::coordination::shard) fn take(&mut self, spec: &JobSpec, at: usize) {
-        self.slots[at].free.take(spec);
-        self.usage.add(spec, 1);
-        if let Some(holdings) = self.images.get_mut(&spec.image) {
-            holdings[at] = holdings[at].max(Holding::Coming);
-        }
+    /// Whether a job may use a machine that scale-in would otherwise release: work that
+    /// may run on spot instances waits for those while its deadline allows.
+    pub(super) fn cost_acceptable(&self, job: &Job) -> bool {
+        !self.costs_extra || !job.spec.spot || job.spec.kind == JobKind::Service || job.pressed
     }
 }
 
-/// Whether a job may run on a machine of this type, zone and kind.
+/// Whether a job may run on a machine of this type, zone and pricing.
 pub(in crate::coordination::shard) fn allowed(
     spec: &JobSpec,
     machine_type: &str,
@@ -109,52 +78,98 @@
         && spec.zone.as_ref().is_none_or(|only| only == zone)
 }
 
+/// How far a machine is with an image; later states are better.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum ImageState {
+    Absent,
+    /// A task that uses it is on the machine: it is pulled, or about to be.
+    Pulling,
+    Cached,
+}
+
+/// The working state of one scheduling pass.
+pub(super) struct SchedulingPass {
+    /// In the order of the machines' ids; an index into it stays valid for the pass.
+    pub(super) candidates: Vec<Candidate>,
+    pub(super) usage: Usage,
+    /// By image, its state on each candidate.
+    image_states: HashMap<String, Vec<ImageState>>,
+}
+
+impl SchedulingPass {
+    pub(super) fn new(candidates: Vec<Candidate>, usage: Usage) -> Self {
+        Self {
+            candidates,
+            usage,
+            image_states: HashMap::new(),
+        }
+    }
+
+    /// Notes the state of an image on each candidate, once a pass. Needed before the
+    /// image's jobs are placed.
+    pub(super) fn load_image_states(&mut self, image: &str, view: SchedulerView) {
+        if self.image_states.contains_key(image) {
+            return;
+        }
+        let state = |candidate: &Candidate| match view.machines.get(&candidate.id) {
+            Some(machine) if machine.has_image(image) => ImageState::Cached,
+            Some(machine) if uses_image(machine, image) => ImageState::Pulling,
+            _ => ImageState::Absent,
+        };
+        let states = self.candidates.iter().map(state).collect();
+        self.image_states.insert(image.to_owned(), states);
+    }
+
+    /// The state of a job's image on each candidate; empty if it was not loaded.
+    pub(super) fn image_states(&self, spec: &JobSpec) -> &[ImageState] {
+        self.image_states
+            .get(&spec.image)
+            .map_or(&[], Vec::as_slice)
+    }
+
+    /// The state of a job's image on one candidate; absent if it was not loaded.
+    pub(super) fn image_state(&self, spec: &JobSpec, index: usize) -> ImageState {
+        let state = self.image_states(spec).get(index).copied();
+        state.unwrap_or(ImageState::Absent)
+    }
+
+    /// Accounts for a task that was placed on a candidate.
+    pub(super) fn place_task(&mut self, spec: &JobSpec, index: usize) {
+        self.candidates[index].free.take(spec);
+        self.usage.add(spec, 1);
+        if let Some(states) = self.image_states.get_mut(&spec.image) {
+            states[index] = states[index].max(ImageState::Pulling);
+        }
+    }
+}
+
 impl Shard {
-    pub(super) fn open_slots(&self, now: Instant) -> Vec<Slot> {
+    /// The machines that accept new tasks now.
+    pub(super) fn candidates(&self, now: Instant) -> Vec<Candidate> {
         let reserved = self.reserved_for_moves();
         self.machines
             .values()
-            .filter(|m| m.open(now, &self.policy))
-            .filter_map(|m| {
-                let kind = self.types.get(&*m.machine_type)?;
-                Some(Slot {
-                    id: m.id.clone(),
-                    machine_type: m.machine_type.clone(),
-                    zone: m.zone.clone(),
-                    spot: m.spot,
-                    costly: self.costly(m, now),
-                    barren: self.barren(m),
-                    free: m.free(kind),
-                    reserved: reserved.get(&m.id).copied().unwrap_or_default(),
-                    held: false,
+            .filter(|machine| machine.open(now, &self.policy))
+            .filter_map(|machine| {
+                let machine_type = self.types.get(&*machine.machine_type)?;
+                Some(Candidate {
+                    id: machine.id.clone(),
+                    machine_type: machine.machine_type.clone(),
+                    zone: machine.zone.clone(),
+                    spot: machine.spot,
+                    releasable: self.barren(machine),
+                    costs_extra: self.costly(machine, now),
+                    free: machine.free(machine_type),
+                    reserved_for_services: reserved.get(&machine.id).copied().unwrap_or_default(),
+                    reserved: false,
                 })
             })
             .collect()
     }
-
-    /// Looks once a pass which machines hold or fetch an image.
-    pub(in crate::coordination::shard) fn look_for_image(&self, image: &str, pass: &mut Pass) {
-        if pass.images.contains_key(image) {
-            return;
-        }
-        let holdings = pass
-            .slots
-            .iter()
-            .map(|slot| match self.machines.get(&slot.id) {
-                Some(machine) if machine.has_image(image) => Holding::There,
-                Some(machine) if fetches_image(machine, image) => Holding::Coming,
-                _ => Holding::Nothing,
-            })
-            .collect();
-        pass.images.insert(image.to_owned(), holdings);
-    }
 }
 
-/// Whether a machine fetches an image, or is about to.
-fn fetches_image(machine: &Machine, image: &str) -> bool {
-    machine
-        .load
-        .tasks
-        .iter()
-        .any(|(spec, _)| spec.image == image)
+/// Whether a task on a machine uses an image, so that the machine pulls it.
+fn uses_image(machine: &Machine, image: &str) -> bool {
+    let mut tasks = machine.load.tasks.iter();
+    tasks.any(|(spec, _)| spec.image == image)
 }
--- a/src/coordination/shard/scheduler/mod.rs
+++ b/src/coordination/shard/scheduler/mod.rs
@@ -1,4 +1,16 @@
-//! Which waiting task goes where.
+//! The scheduler: decides which waiting task runs on which machine, and which tasks are
+//! preempted for others.
+//!
+//! The shard calls [`Shard::schedule`] once a reconciliation pass, and
+//! [`Shard::reconcile_gangs`] before and after it; the autoscaler asks for queue keys,
+//! due times and quota usage. A pass takes the candidate machines ([`candidates`]), serves
+//! starving jobs ([`starvation`]), then the queues by priority and fair share ([`queue`],
+//! [`quota`]): tasks one at a time ([`placement`], [`scoring`], [`zones`]), gangs whole
+//! ([`gang`]). For jobs that found too few resources it preempts others ([`preemption`]).
+//! Decisions are functions of a read-only view ([`view`]) and the pass.
+//!
+//! The scheduler never talks to machines or to the store: it records launches and stops on
+//! the attempts, and the dispatcher sends the commands.
 
 mod candidates;
 mod gang;
@@ -6,265 +18,161 @@
 mod preemption;
 mod queue;
 mod quota;
+mod scoring;
+mod starvation;
+mod view;
+mod zones;
 
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, HashMap, VecDeque};
-use std::time::{Duration, Instant};
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Instant;
 
 pub(super) use candidates::allowed;
 pub use gang::GangAttempt;
+pub(super) use queue::QueueKey;
 pub(super) use quota::Usage;
 
-use candidates::Pass;
-
-use super::machines::Amounts;
 use super::{Attempt, Job, Phase, Shard};
-use crate::protocol::users::Priority;
+use crate::protocol::users::JobSpec;
 use crate::protocol::{AttemptId, JobId, MachineId, TaskId};
+use candidates::SchedulingPass;
+use queue::TeamQueues;
 
-/// Tasks of one job placed before its team's turn ends.
-const BLOCK: usize = 4;
-/// How long a job waits without a start until it gets one before others: the
-/// users call more than four minutes not served.
-const STARVING: Duration = Duration::from_secs(150);
-/// Waiting gangs for which room is gathered in one pass.
-const MOST_GATHERING: usize = 16;
-/// Machines held at once for jobs that have waited for that long.
-const MOST_HELD: usize = 16;
-/// Tasks placed in one pass.
-const MOST_PLACED: usize = 256;
-
-/// The waiting jobs of each team.
-type JobsByTeam = HashMap<String, Vec<JobId>>;
+/// Most tasks of one job that are placed before fair sharing chooses a team again.
+const MAX_TASKS_PER_TURN: usize = 4;
+/// Most tasks placed in one pass; the next pass goes on, after heartbeats were handled.
+const MAX_TASKS_PER_PASS: usize = 256;
+/// Most waiting gangs for which machines are reserved in one pass.
+const MAX_GANG_RESERVATIONS: usize = 16;
 
 /// What a pass has done so far.
 #[derive(Default)]
-struct PassTally {
-    placed: usize,
-    /// Gangs for which room has been gathered.
-    gathering: usize,
-    /// Jobs that found too little room.
-    stuck: Vec<JobId>,
+struct PassProgress {
+    placed_tasks: usize,
+    gang_reservations: usize,
+    /// Jobs with waiting tasks for which no machine had enough free resources.
+    unplaced_jobs: Vec<JobId>,
 }
 
-impl Shard {
-    /// Whether a job's waiting tasks are surely nowhere.
-    pub(super) fn placement_known(&self, job: &Job) -> bool {
-        // Jobs accepted after our fencing token began were never an earlier leader's.
-        self.unreconciled.is_empty() || job.mod_revision > self.fencing_token.revision()
-    }
-
-    /// How many of a job's waiting tasks may be started. While machines are
-    /// unaccounted for, those that were on machines we knew of: no earlier leader
-    /// can have started them elsewhere.
-    pub(super) fn placeable(&self, job: &Job) -> u32 {
-        self.startable(job).min(job.tries_left())
-    }
-
-    fn startable(&self, job: &Job) -> u32 {
-        if self.placement_known(job) {
-            job.waiting()
-        } else if job.spec.one_zone && job.unreconciled_tasks() > 0 {
-            // Nobody knows which zone the others are in.
-            0
-        } else {
-            job.known_unplaced()
-        }
+impl PassProgress {
+    fn is_full(&self) -> bool {
+        self.placed_tasks >= MAX_TASKS_PER_PASS
     }
+}
 
-    /// Places what waits, by priority, then team by team in turn.
-    pub(super) fn place(&mut self, now: Instant) {
+impl Shard {
+    /// One scheduling pass: places waiting tasks and preempts others for those that found
+    /// no machine. Does nothing while the snapshot is staler than its bound.
+    pub(super) fn schedule(&mut self, now: Instant) {
         if self.writes.stale(now, self.policy.staleness) {
             return;
         }
-        let levels = self.waiting_by_priority(now);
+        let levels = self.scheduler_view().waiting_by_priority(now);
         if levels.is_empty() {
             return;
         }
         self.machines.refresh();
-        let mut pass = Pass {
-            slots: self.open_slots(now),
-            usage: self.usage(),
-            images: HashMap::new(),
-        };
-        let wall = self.wall_ms(now);
-        self.begin_starving(&mut pass, wall, now);
-        let mut tally = PassTally::default();
+        let mut pass = SchedulingPass::new(self.candidates(now), self.usage());
+        let wall_ms = self.wall_ms(now);
+        self.serve_starving_jobs(&mut pass, wall_ms, now);
+        let mut progress = PassProgress::default();
         for teams in levels.into_values() {
-            let queues = self.queues(teams, wall);
-            self.place_level(queues, &mut pass, &mut tally, now);
-            if tally.placed >= MOST_PLACED {
-                // Heartbeats and renewals come first; the next pass goes on.
+            let queues = TeamQueues::new(teams, self.scheduler_view(), wall_ms);
+            self.place_level(queues, &mut pass, &mut progress, now);
+            if progress.is_full() {
                 self.needs_pass = true;
                 return;
             }
         }
-        self.preempt(&tally.stuck, &pass, now);
+        self.preempt(&progress.unplaced_jobs, &pass, now);
     }
 
-    /// The jobs that may be placed now, by priority and team.
-    fn waiting_by_priority(&self, now: Instant) -> BTreeMap<Reverse<Priority>, JobsByTeam> {
-        let mut levels: BTreeMap<Reverse<Priority>, JobsByTeam> = BTreeMap::new();
-        for job in self.jobs.values() {
-            if self.placeable(job) > 0 && job.not_before.is_none_or(|at| at <= now) {
-                levels
-                    .entry(Reverse(job.spec.priority))
-                    .or_default()
-                    .entry(job.spec.team.clone())
-                    .or_default()
-                    .push(job.id.clone());
-            }
-        }
-        levels
-    }
-
-    /// A queue for each team, in the order in which its jobs go.
-    fn queues(&self, teams: JobsByTeam, wall: u64) -> HashMap<String, VecDeque<JobId>> {
-        let queue = |(team, mut ids): (String, Vec<JobId>)| {
-            ids.sort_by_cached_key(|id| self.jobs.get(id).map(|job| self.queue_key(job, wall)));
-            (team, ids.into())
-        };
-        teams.into_iter().map(queue).collect()
-    }
-
-    /// Places the jobs of one priority, a block at a time, until none finds room or the
-    /// pass has placed enough.
+    /// Places jobs of one priority, a team's turn at a time, until none finds a machine or
+    /// the pass is full.
     fn place_level(
         &mut self,
-        mut queues: HashMap<String, VecDeque<JobId>>,
-        pass: &mut Pass,
-        tally: &mut PassTally,
+        mut queues: TeamQueues,
+        pass: &mut SchedulingPass,
+        progress: &mut PassProgress,
         now: Instant,
     ) {
-        while let Some(team) = self.next_team(&queues, &pass.usage)
-            && let Some(queue) = queues.get_mut(&team)
-        {
-            let Some(id) = queue.front().cloned() else {
-                queues.remove(&team);
-                continue;
-            };
-            let placed = self.place_block(&id, pass, tally, now);
-            tally.placed += placed;
-            if tally.placed >= MOST_PLACED {
+        while let Some((team, id)) = queues.next(&pass.usage, self.scheduler_view()) {
+            let placed = self.place_turn(&id, pass, progress, now);
+            progress.placed_tasks += placed;
+            if progress.is_full() {
                 return;
             }
-            let left = self.jobs.get(&id).map_or(0, |job| self.placeable(job));
-            if placed == 0 || left == 0 {
-                queue.pop_front();
-                // Nothing gives way to a job that fails everywhere.
-                let is_suspect = self.jobs.get(&id).is_some_and(Job::is_suspect);
-                if left > 0 && !is_suspect {
-                    tally.stuck.push(id);
-                }
+            let view = self.scheduler_view();
+            let job = view.jobs.get(&id);
+            let left = job.map_or(0, |job| view.placeable_tasks(job));
+            if placed > 0 && left > 0 {
+                continue;
+            }
+            queues.pop(&team);
+            // Nothing is preempted for a job that fails wherever it runs.
+            if left > 0 && !job.is_some_and(Job::is_suspect) {
+                progress.unplaced_jobs.push(id);
             }
         }
     }
 
     /// Places some tasks of a job, or all of a gang; returns how many.
-    fn place_block(
+    fn place_turn(
         &mut self,
         id: &JobId,
-        pass: &mut Pass,
-        tally: &mut PassTally,
+        pass: &mut SchedulingPass,
+        progress: &mut PassProgress,
         now: Instant,
     ) -> usize {
         if !self.jobs.get(id).is_some_and(|job| job.spec.is_gang()) {
-            return self.place_some(id, BLOCK, pass, now);
+            return self.place_tasks(id, MAX_TASKS_PER_TURN, pass, now);
         }
         let placed = self.place_gang(id, pass, now);
-        if placed == 0 && tally.gathering < MOST_GATHERING {
-            tally.gathering += 1;
-            self.gather_for_gang(id, pass, now);
+        if placed == 0 && progress.gang_reservations < MAX_GANG_RESERVATIONS {
+            progress.gang_reservations += 1;
+            self.reserve_for_gang(id, pass, now);
         }
         placed
     }
 
-    /// Work that has waited for long without a single start gets one, whatever
-    /// comes before it: room is found, none is made.
-    fn begin_starving(&mut self, pass: &mut Pass, wall: u64, now: Instant) {
-        let mut starving: Vec<JobId> = self
-            .jobs
-            .values()
-            .filter(|job| {
-                let age = Duration::from_millis(wall.saturating_sub(job.at_ms));
-                age > STARVING
-                    && !job.spec.is_gang()
-                    && !job.is_suspect()
-                    && job.waiting() > 0
-                    && job.live().is_empty()
-                    && job.done().is_empty()
-                    && job.not_before.is_none_or(|at| at <= now)
-                    && self.placement_known(job)
-            })
-            .map(|job| job.id.clone())
-            .collect();
-        starving.sort_by_cached_key(|id| self.jobs.get(id).map(|job| self.queue_key(job, wall)));
-        for id in starving.into_iter().take(MOST_HELD) {
-            if self.place_some(&id, 1, pass, now) == 0 {
-                self.hold_for(&id, pass);
-            }
-        }
-    }
-
-    /// Keeps the emptiest machine that could hold a task of a job from other
-    /// batch work: small tasks would fill every hole there for ever.
-    fn hold_for(&self, id: &JobId, pass: &mut Pass) {
-        let Some(job) = self.jobs.get(id) else {
-            return;
-        };
-        let spec = &job.spec;
-        let emptiest = pass
-            .slots
-            .iter_mut()
-            .filter(|slot| {
-                !slot.held
-                    && allowed(spec, &slot.machine_type, &slot.zone, slot.spot)
-                    && self.worth_it(job, slot)
-                    && self
-                        .types
-                        .get(&*slot.machine_type)
-                        .is_some_and(|kind| Amounts::of_type(kind).holds(spec))
-            })
-            .max_by(|a, b| a.free.cores.total_cmp(&b.free.cores).then(b.id.cmp(&a.id)));
-        if let Some(slot) = emptiest {
-            slot.held = true;
-        }
-    }
-
-    /// Places some of a job's tasks; returns how many.
-    fn place_some(&mut self, id: &JobId, most: usize, pass: &mut Pass, now: Instant) -> usize {
+    /// Places up to `most` of a job's tasks; returns how many.
+    fn place_tasks(
+        &mut self,
+        id: &JobId,
+        most: usize,
+        pass: &mut SchedulingPass,
+        now: Instant,
+    ) -> usize {
         let mut placed = 0;
         while placed < most {
-            let Some(job) = self.jobs.get(id) else {
+            let view = self.scheduler_view();
+            let Some(job) = view.jobs.get(id) else {
                 break;
             };
             let spec = job.spec.clone();
-            if self.placeable(job) == 0 || !self.within_quota_limit(&pass.usage, &spec) {
+            if view.placeable_tasks(job) == 0 || !pass.usage.within_limit(view.policy, &spec) {
                 break;
             }
-            let all = self.placement_known(job);
-            self.look_for_image(&spec.image, pass);
-            let seed = self.seed(job, pass);
-            let Some(at) = seed.or_else(|| self.choose(job, pass)) else {
+            let all_reconciled = view.placements_reconciled(job);
+            pass.load_image_states(&spec.image, view);
+            let Some(index) = view.choose_candidate(job, pass) else {
                 break;
             };
-            let Some(index) = self.jobs.get_mut(id).and_then(|job| job.next_waiting(all)) else {
+            let job = self.jobs.get_mut(id);
+            let Some(task) = job.and_then(|job| job.next_waiting(all_reconciled)) else {
                 break;
             };
-            pass.take(&spec, at);
-            let machine = pass.slots[at].id.clone();
-            self.launch(id, index, &machine, now);
+            pass.place_task(&spec, index);
+            let machine = pass.candidates[index].id.clone();
+            let attempt_number = self.new_attempt_number();
+            self.launch(id, task, &machine, attempt_number, now);
             placed += 1;
         }
         placed
     }
 
-    fn launch(&mut self, id: &JobId, index: u32, machine_id: &MachineId, now: Instant) {
-        let attempt_number = self.new_attempt_number();
-        self.launch_as(id, index, machine_id, attempt_number, now);
-    }
-
-    pub(super) fn launch_as(
+    /// Records the launch of a task's attempt; the dispatcher sends it.
+    fn launch(
         &mut self,
         id: &JobId,
         index: u32,
@@ -282,7 +190,7 @@
             job: id.clone(),
             index,
         };
-        tracing::debug!(%task, attempt_number, machine = %machine_id, "launch");
+        tracing::debug!(%task, attempt = attempt_number, machine = %machine_id, "task launched");
         machine.attempts.insert(
             AttemptId {
                 task,
@@ -293,3 +201,31 @@
         self.writes.progress_changed(now);
     }
 }
+
+/// What the autoscaler asks of the scheduler.
+impl Shard {
+    /// What the teams use, summed over all machines.
+    pub(super) fn usage(&self) -> Usage {
+        self.scheduler_view().usage()
+    }
+
+    /// Whether one more task of a job stays within its team's quota limit.
+    pub(super) fn within_quota_limit(&self, usage: &Usage, spec: &JobSpec) -> bool {
+        usage.within_limit(&self.policy, spec)
+    }
+
+    /// A job's place among those of its priority.
+    pub(super) fn queue_key(&self, job: &Job, wall_ms: u64) -> QueueKey {
+        QueueKey::of(job, &self.policy, wall_ms)
+    }
+
+    /// The first due time of a job at or after `from_ms`; see [`queue::next_due`].
+    pub(super) fn next_due(&self, job: &Job, from_ms: u64) -> Option<u64> {
+        queue::next_due(job, &self.policy, from_ms)
+    }
+
+    /// How many tasks of a job with a zone rule may exist in each zone.
+    pub(super) fn live_zones(&self, job: &Job) -> BTreeMap<Arc<str>, u32> {
+        self.scheduler_view().tasks_by_zone(job)
+    }
+}
--- a/src/coordination/shard/scheduler/quota.rs
+++ b/src/coordination/shard/scheduler/quota.rs
@@ -1,30 +1,32 @@
-//! What teams use, and how far they may go.
+//! Quotas: what teams use, their guarantees and limits, and fair sharing beyond them.
 
+use std::cmp::Ordering;
 use std::collections::HashMap;
 
-use crate::coordination::shard::Shard;
+use super::view::SchedulerView;
+use crate::coordination::shard::Policy;
 use crate::coordination::shard::machines::Amounts;
 use crate::protocol::users::JobSpec;
 
-/// What sums of amounts may be off by.
-const LIMIT_ROUNDING: f64 = 1e-6;
+/// Largest rounding error, in cores or accelerators, of a team's summed usage.
+const QUOTA_ROUNDING: f64 = 1e-6;
 
-/// What the teams may be using, counting all that might exist.
+/// Upper bound of what each team uses: every task that may exist counts.
 #[derive(Debug, Default, Clone)]
 pub(in crate::coordination::shard) struct Usage {
     teams: HashMap<String, Amounts>,
-    /// What nobody knows the team of: it counts against every limit.
+    /// Used by tasks whose team is not known: counts against every team's limit.
     unknown: Amounts,
 }
 
 impl Usage {
-    /// What a team may be using.
-    pub fn of(&self, team: &str) -> Amounts {
+    /// The usage of a team.
+    pub(in crate::coordination::shard) fn of(&self, team: &str) -> Amounts {
         self.teams.get(team).copied().unwrap_or_default()
     }
 
-    /// Counts so many tasks of a job in.
-    pub fn add(&mut self, spec: &JobSpec, tasks: u32) {
+    /// Adds so many tasks of a job to its team's usage.
+    pub(in crate::coordination::shard) fn add(&mut self, spec: &JobSpec, tasks: u32) {
         if !self.teams.contains_key(&spec.team) {
             self.teams.insert(spec.team.clone(), Amounts::default());
         }
@@ -32,24 +34,94 @@
             used.give_many(spec, tasks);
         }
     }
+
+    /// Whether one more task of a job stays within its team's quota limit; a limit of
+    /// zero is none.
+    pub(super) fn within_limit(&self, policy: &Policy, spec: &JobSpec) -> bool {
+        let Some(team) = policy.teams.get(&spec.team) else {
+            return false;
+        };
+        let used = self.of(&spec.team);
+        let fits = |used: f64, unknown: f64, requested: f64, limit: f64| {
+            limit <= 0.0 || requested <= 0.0 || used + unknown + requested <= limit + QUOTA_ROUNDING
+        };
+        fits(used.cores, self.unknown.cores, spec.cores, team.cores_max)
+            && fits(
+                used.accelerators,
+                self.unknown.accelerators,
+                spec.accelerators,
+                team.accelerators_max,
+            )
+    }
+
+    /// Whether so many tasks of a job together stay within its team's quota limit.
+    pub(super) fn all_within_limit(&self, policy: &Policy, spec: &JobSpec, tasks: u32) -> bool {
+        let mut usage = self.clone();
+        usage.add(spec, tasks.saturating_sub(1));
+        usage.within_limit(policy, spec)
+    }
+
+    /// Whether one more task of a job stays within its team's quota guarantee.
+    pub(super) fn within_guarantee(&self, policy: &Policy, spec: &JobSpec) -> bool {
+        policy.teams.get(&spec.team).is_some_and(|team| {
+            let used = self.of(&spec.team);
+            used.cores + spec.cores <= team.cores + QUOTA_ROUNDING
+                && used.accelerators + spec.accelerators <= team.accelerators + QUOTA_ROUNDING
+        })
+    }
+
+    /// Whether a team would still use its whole core guarantee without this task.
+    pub(super) fn beyond_guarantee_without(&self, policy: &Policy, spec: &JobSpec) -> bool {
+        policy.teams.get(&spec.team).is_some_and(|team| {
+            let used = self.of(&spec.team);
+            used.cores - spec.cores >= team.cores
+        })
+    }
+
+    /// Where a team stands among those with waiting work, if this job is its next.
+    pub(super) fn fair_share_rank(&self, policy: &Policy, spec: &JobSpec) -> FairShareRank {
+        let share = policy.share_of(&spec.team);
+        let used = self.of(&spec.team);
+        FairShareRank {
+            beyond_guarantee: !self.within_guarantee(policy, spec),
+            weighted_usage: (used.cores + used.accelerators) / share,
+        }
+    }
 }
 
-impl Shard {
-    /// What the teams may be using, counted from the machines.
-    pub(in crate::coordination::shard) fn usage(&self) -> Usage {
+/// A team's rank under weighted fair sharing; the least is served first.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct FairShareRank {
+    beyond_guarantee: bool,
+    /// Cores and accelerators in use over the team's share.
+    weighted_usage: f64,
+}
+
+impl FairShareRank {
+    pub(super) fn compare(&self, other: &Self) -> Ordering {
+        self.beyond_guarantee
+            .cmp(&other.beyond_guarantee)
+            .then(self.weighted_usage.total_cmp(&other.weighted_usage))
+    }
+}
+
+impl SchedulerView<'_> {
+    /// What the teams use, summed over all machines.
+    pub(super) fn usage(&self) -> Usage {
         let mut usage = Usage::default();
         for machine in self.machines.values() {
-            let unreconciled = self.unreconciled.contains(&machine.id);
+            let unreconciled = self.is_unreconciled(machine);
+            // An unreconciled machine may be used whole, by anybody.
             let unknown = if unreconciled {
                 1
             } else {
                 machine.load.unknown
             };
             if unknown > 0
-                && let Some(kind) = self.types.get(&*machine.machine_type)
+                && let Some(machine_type) = self.machine_types.get(&*machine.machine_type)
             {
-                usage.unknown.cores += kind.cores * f64::from(unknown);
-                usage.unknown.accelerators += kind.accelerators * f64::from(unknown);
+                usage.unknown.cores += machine_type.cores * f64::from(unknown);
+                usage.unknown.accelerators += machine_type.accelerators * f64::from(unknown);
             }
             if !unreconciled {
                 for (spec, count) in &machine.load.tasks {
@@ -59,50 +131,4 @@
         }
         usage
     }
-
-    /// Whether one more task of a job stays within its team's limit.
-    pub(in crate::coordination::shard) fn within_quota_limit(
-        &self,
-        usage: &Usage,
-        spec: &JobSpec,
-    ) -> bool {
-        let Some(team) = self.policy.teams.get(&spec.team) else {
-            return false;
-        };
-        let used = usage.of(&spec.team);
-        let fits = |used: f64, unknown: f64, more: f64, most: f64| {
-            most <= 0.0 || more <= 0.0 || used + unknown + more <= most + LIMIT_ROUNDING
-        };
-        fits(used.cores, usage.unknown.cores, spec.cores, team.cores_max)
-            && fits(
-                used.accelerators,
-                usage.unknown.accelerators,
-                spec.accelerators,
-                team.accelerators_max,
-            )
-    }
-
-    /// Whether a team would still be within its guarantee with one more task.
-    pub(in crate::coordination::shard) fn within_quota(
-        &self,
-        usage: &Usage,
-        spec: &JobSpec,
-    ) -> bool {
-        self.policy.teams.get(&spec.team).is_some_and(|team| {
-            let used = usage.of(&spec.team);
-            used.cores + spec.cores <= team.cores + LIMIT_ROUNDING
-                && used.accelerators + spec.accelerators <= team.accelerators + LIMIT_ROUNDING
-        })
-    }
-
-    /// A team's place in the turn: within its guarantee first, then by what it
-    /// uses for its share.
-    pub(super) fn turn(&self, usage: &Usage, spec: &JobSpec) -> (bool, f64) {
-        let share = self.policy.share_of(&spec.team);
-        let used = usage.of(&spec.team);
-        (
-            !self.within_quota(usage, spec),
-            (used.cores + used.accelerators) / share,
-        )
-    }
 }
--- /dev/null
+++ b/src/coordination/shard/scheduler/scoring.rs
@@ -0,0 +1,150 @@
+//! Node scoring: which of the candidates that fit is best for a task.
+
+use std::cmp::Ordering;
+use std::time::Duration;
+
+use super::candidates::{Candidate, ImageState, SchedulingPass};
+use super::view::SchedulerView;
+use crate::coordination::shard::Policy;
+use crate::protocol::users::{JobKind, JobSpec};
+
+/// An image pull may take this multiple of the time that the machine type's rate gives.
+const IMAGE_PULL_MARGIN: f64 = 1.35;
+
+/// How bad a candidate is for a task; the least is best. The fields stand in the order
+/// of their weight.
+struct Score {
+    lacks_image: bool,
+    /// The image would be pulled for longer than the class's start objective.
+    image_too_late: bool,
+    outside_main_zone: bool,
+    costs_extra: bool,
+    on_demand: bool,
+    /// Free cores when bin packing, and their negative when spreading.
+    free_cores: f64,
+}
+
+impl Score {
+    fn compare(&self, other: &Self) -> Ordering {
+        self.flags()
+            .cmp(&other.flags())
+            .then(self.free_cores.total_cmp(&other.free_cores))
+    }
+
+    fn flags(&self) -> [bool; 5] {
+        [
+            self.lacks_image,
+            self.image_too_late,
+            self.outside_main_zone,
+            self.costs_extra,
+            self.on_demand,
+        ]
+    }
+}
+
+/// Scores the candidates for the tasks of one job.
+struct Scorer<'a> {
+    view: SchedulerView<'a>,
+    spec: &'a JobSpec,
+    /// The state in which an image counts as present.
+    sufficient_image: ImageState,
+    /// Whether tasks are spread over machines rather than packed.
+    spread: bool,
+    preferred_zone: Option<&'a str>,
+    start_objective: Option<Duration>,
+}
+
+impl<'a> Scorer<'a> {
+    fn new(view: SchedulerView<'a>, spec: &'a JobSpec) -> Self {
+        // Where capacity is held for quota guarantees, tasks are spread: losing a machine
+        // stops few of them, and images are cached in many places. Elsewhere they are
+        // packed, so that scale-in finds empty machines.
+        let spread = view.policy.holds_capacity();
+        Self {
+            view,
+            spec,
+            sufficient_image: if spread {
+                ImageState::Cached
+            } else {
+                ImageState::Pulling
+            },
+            spread,
+            // A network partition leaves services there in contact with a controller.
+            preferred_zone: match spec.kind {
+                JobKind::Service => view.main_zone,
+                JobKind::Batch | JobKind::Gang => None,
+            },
+            start_objective: start_objective(view.policy, spec),
+        }
+    }
+
+    fn score(&self, candidate: &Candidate, image: Option<&ImageState>) -> Score {
+        let lacks_image = image.is_none_or(|state| *state < self.sufficient_image);
+        let pull_exceeds = |objective| self.view.pull_exceeds(self.spec, candidate, objective);
+        Score {
+            lacks_image,
+            image_too_late: lacks_image && self.start_objective.is_some_and(pull_exceeds),
+            outside_main_zone: self
+                .preferred_zone
+                .is_some_and(|zone| *zone != *candidate.zone),
+            costs_extra: candidate.costs_extra,
+            on_demand: !candidate.spot,
+            // Whoever pulls an image does so where most room for its next tasks is.
+            free_cores: if lacks_image || self.spread {
+                -candidate.free.cores
+            } else {
+                candidate.free.cores
+            },
+        }
+    }
+}
+
+impl SchedulerView<'_> {
+    /// The best candidate for a task among those that are eligible, by index; the first
+    /// of equals.
+    pub(super) fn best_candidate(
+        &self,
+        spec: &JobSpec,
+        pass: &SchedulingPass,
+        eligible: impl Fn(&Candidate) -> bool,
+    ) -> Option<usize> {
+        let scorer = Scorer::new(*self, spec);
+        let images = pass.image_states(spec);
+        pass.candidates
+            .iter()
+            .enumerate()
+            .filter(|(_, candidate)| eligible(candidate))
+            .map(|(index, candidate)| (scorer.score(candidate, images.get(index)), index))
+            .min_by(|(score, _), (other, _)| score.compare(other))
+            .map(|(_, index)| index)
+    }
+
+    /// Whether a task would miss its class's start objective on a candidate for want of
+    /// its image.
+    pub(super) fn misses_start_objective(
+        &self,
+        spec: &JobSpec,
+        pass: &SchedulingPass,
+        index: usize,
+    ) -> bool {
+        pass.image_state(spec, index) < ImageState::Cached
+            && start_objective(self.policy, spec).is_some_and(|objective| {
+                self.pull_exceeds(spec, &pass.candidates[index], objective)
+            })
+    }
+
+    /// Whether a candidate may need longer than this to pull a job's image.
+    fn pull_exceeds(&self, spec: &JobSpec, candidate: &Candidate, longest: Duration) -> bool {
+        let machine_type = self.machine_types.get(&*candidate.machine_type);
+        machine_type.is_some_and(|machine_type| {
+            machine_type.fetch_gb_per_s > 0.0
+                && spec.image_gb / machine_type.fetch_gb_per_s * IMAGE_PULL_MARGIN
+                    > longest.as_secs_f64()
+        })
+    }
+}
+
+/// The longest wait for a start that the class's service-level objective allows.
+fn start_objective(policy: &Policy, spec: &JobSpec) -> Option<Duration> {
+    policy.wait_within.get(&spec.class).copied()
+}
--- /dev/null
+++ b/src/coordination/shard/scheduler/starvation.rs
@@ -0,0 +1,87 @@
+//! Starvation: jobs that waited for long without a single start get one first.
+
+use std::time::{Duration, Instant};
+
+use super::candidates::{Candidate, SchedulingPass};
+use super::view::SchedulerView;
+use crate::coordination::shard::machines::Amounts;
+use crate::coordination::shard::{Job, Shard};
+use crate::protocol::JobId;
+use crate::protocol::users::JobSpec;
+
+/// How long a job waits without a start until it counts as starving. Users count a wait
+/// of more than four minutes as an outage.
+const STARVATION_WAIT: Duration = Duration::from_secs(150);
+/// Most starving jobs that are served, or have a machine reserved, in one pass.
+const MAX_STARVING_JOBS: usize = 16;
+
+impl Shard {
+    /// Starts one task of each starving job, ahead of priority and fair share, or reserves
+    /// a machine for it. Nothing is preempted for it.
+    pub(super) fn serve_starving_jobs(
+        &mut self,
+        pass: &mut SchedulingPass,
+        wall_ms: u64,
+        now: Instant,
+    ) {
+        let mut starving = self.scheduler_view().starving_jobs(wall_ms, now);
+        starving.truncate(MAX_STARVING_JOBS);
+        for id in starving {
+            if self.place_tasks(&id, 1, pass, now) == 0
+                && let Some(job) = self.jobs.get(&id)
+            {
+                self.scheduler_view().reserve_for_starving(job, pass);
+            }
+        }
+    }
+}
+
+impl SchedulerView<'_> {
+    /// The starving jobs in the order of their queue keys.
+    fn starving_jobs(&self, wall_ms: u64, now: Instant) -> Vec<JobId> {
+        let mut starving: Vec<JobId> = self
+            .jobs
+            .values()
+            .filter(|job| self.is_starving(job, wall_ms, now))
+            .map(|job| job.id.clone())
+            .collect();
+        self.sort_by_queue_key(&mut starving, wall_ms);
+        starving
+    }
+
+    fn is_starving(&self, job: &Job, wall_ms: u64, now: Instant) -> bool {
+        let age = Duration::from_millis(wall_ms.saturating_sub(job.at_ms));
+        let never_started = job.live().is_empty() && job.done().is_empty();
+        age > STARVATION_WAIT
+            && !job.spec.is_gang()
+            && !job.is_suspect()
+            && job.waiting() > 0
+            && never_started
+            && job.not_before.is_none_or(|at| at <= now)
+            && self.placements_reconciled(job)
+    }
+
+    /// Reserves the emptiest machine whose type could run a task of a job: without that,
+    /// smaller batch tasks would take each resource there as it becomes free.
+    fn reserve_for_starving(&self, job: &Job, pass: &mut SchedulingPass) {
+        let spec = &job.spec;
+        let emptiest = pass
+            .candidates
+            .iter_mut()
+            .filter(|candidate| {
+                !candidate.reserved
+                    && candidate.allows(spec)
+                    && candidate.cost_acceptable(job)
+                    && self.type_could_run(candidate, spec)
+            })
+            .max_by(|a, b| a.free.cores.total_cmp(&b.free.cores).then(b.id.cmp(&a.id)));
+        if let Some(candidate) = emptiest {
+            candidate.reserved = true;
+        }
+    }
+
+    fn type_could_run(&self, candidate: &Candidate, spec: &JobSpec) -> bool {
+        let machine_type = self.machine_types.get(&*candidate.machine_type);
+        machine_type.is_some_and(|machine_type| Amounts::of_type(machine_type).holds(spec))
+    }
+}
