--- a/src/coordination/requests.rs
+++ b/src/coordination/requests.rs
@@ -18,7 +18,7 @@
 use crate::protocol::users::{JobKind, JobSpec, JobView, Stage, parse_submission, valid_job_id};
 use crate::settings::platform::Peer;
 use crate::storage::job_index::JobStatus;
-use crate::storage::kv_client::{KvError, TransactionOutcome, backoff};
+use crate::storage::kv_client::{KvError, Refusal, TransactionOutcome, backoff};
 use crate::storage::records::{FORMAT_VERSION, FinalRecord, JobRecord};
 use crate::storage::{job_transition, keys};
 
@@ -248,7 +248,7 @@
     let mut attempt = 0;
     loop {
         match call().await {
-            Err(KvError::Refused("429")) if attempt < BUSY_TRIES => {
+            Err(KvError::Refused(Refusal::RateLimited)) if attempt < BUSY_TRIES => {
                 attempt += 1;
                 tokio::time::sleep(backoff(attempt)).await;
             }
@@ -260,7 +260,7 @@
 /// Writes for a user in turn; who would wait for too long is told to come back.
 async fn user_write(node: &Node, txn: &Transaction) -> Result<TransactionOutcome, KvError> {
     let Some(wait) = node.user_writes.take(node.now()) else {
-        return Err(KvError::Refused("busy"));
+        return Err(KvError::Refused(Refusal::LocalRateLimit));
     };
     tokio::time::sleep(wait).await;
     patient(|| node.kv.txn(txn, STORE)).await
@@ -435,7 +435,7 @@
             TransactionOutcome::Conflict => {
                 attempt += 1;
                 if attempt > 5 {
-                    return Err(KvError::Refused("conflicts"));
+                    return Err(KvError::Refused(Refusal::TooManyConflicts));
                 }
             }
         }
--- a/src/storage/kv_client.rs
+++ b/src/storage/kv_client.rs
@@ -20,9 +20,9 @@
 /// Why the key-value store didn't do what was asked.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum KvError {
-    /// It said 503 or 429, or was never reached: nothing was done.
+    /// The request was not carried out, for this reason.
     #[error("refused ({0})")]
-    Refused(&'static str),
+    Refused(Refusal),
     /// It may have done it, or may still do it.
     #[error("no answer")]
     NoAnswer,
@@ -42,6 +42,26 @@
     Unexpected(String),
 }
 
+/// Why a request was surely not carried out.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+pub enum Refusal {
+    /// The store answered 503: it serves nobody here now.
+    #[error("503")]
+    Unavailable,
+    /// The store answered 429: it is at its rate limit.
+    #[error("429")]
+    RateLimited,
+    /// No connection to the store came about.
+    #[error("no connection")]
+    NotConnected,
+    /// This controller's own share of the store's writes is used up; nothing was sent.
+    #[error("busy")]
+    LocalRateLimit,
+    /// Other writers changed the same keys at every try.
+    #[error("conflicts")]
+    TooManyConflicts,
+}
+
 /// What became of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TransactionOutcome {
@@ -158,11 +178,11 @@
         self.note(&result);
         match result {
             Ok(answer) => match answer.status {
-                StatusCode::SERVICE_UNAVAILABLE => Err(KvError::Refused("503")),
-                StatusCode::TOO_MANY_REQUESTS => Err(KvError::Refused("429")),
+                StatusCode::SERVICE_UNAVAILABLE => Err(KvError::Refused(Refusal::Unavailable)),
+                StatusCode::TOO_MANY_REQUESTS => Err(KvError::Refused(Refusal::RateLimited)),
                 _ => Ok(answer),
             },
-            Err(CallError::NotSent) => Err(KvError::Refused("no connection")),
+            Err(CallError::NotSent) => Err(KvError::Refused(Refusal::NotConnected)),
             Err(CallError::NoAnswer) => Err(KvError::NoAnswer),
             // Only what a watch has missed has no limit of its own.
             Err(CallError::TooLarge) => Err(KvError::TooOld),
