--- a/src/api/peer.rs
+++ b/src/api/peer.rs
@@ -10,7 +10,7 @@
 
 use crate::coordination::node::Node;
 use crate::coordination::peering::{cancellations, extension, heartbeat};
-use crate::coordination::requests::{self, UserRequest};
+use crate::coordination::requests::{self, RequestOrigin, UserRequest};
 use crate::protocol::peer_messages::{CancellationsRequest, ReviveLease};
 use crate::protocol::peers::{PeerAnswer, PeerRequest, decode_request, encode_answer};
 
@@ -42,7 +42,7 @@
     let Some(request) = request else {
         return PeerAnswer::Unreadable;
     };
-    let response = requests::answer(node, request, true).await;
+    let response = requests::answer(node, request, RequestOrigin::Peer).await;
     PeerAnswer::Answer {
         status: response.status,
         body: response.body,
--- a/src/api/user.rs
+++ b/src/api/user.rs
@@ -9,7 +9,7 @@
 
 use super::{read_body, respond};
 use crate::coordination::node::Node;
-use crate::coordination::requests::{self, UserRequest, UserResponse};
+use crate::coordination::requests::{self, RequestOrigin, UserRequest, UserResponse};
 
 /// Whether the load balancer should send users here.
 pub(super) async fn ready(State(node): State<Arc<Node>>) -> Response {
@@ -28,15 +28,22 @@
             None,
         ));
     };
-    respond(requests::answer(&node, UserRequest::Submit(body.to_vec()), false).await)
+    respond(
+        requests::answer(
+            &node,
+            UserRequest::Submit(body.to_vec()),
+            RequestOrigin::User,
+        )
+        .await,
+    )
 }
 
 /// Reads a job's state.
 pub(super) async fn poll(State(node): State<Arc<Node>>, Path(id): Path<String>) -> Response {
-    respond(requests::answer(&node, UserRequest::Poll(id), false).await)
+    respond(requests::answer(&node, UserRequest::Poll(id), RequestOrigin::User).await)
 }
 
 /// Cancels a job.
 pub(super) async fn cancel(State(node): State<Arc<Node>>, Path(id): Path<String>) -> Response {
-    respond(requests::answer(&node, UserRequest::Cancel(id), false).await)
+    respond(requests::answer(&node, UserRequest::Cancel(id), RequestOrigin::User).await)
 }
--- a/src/coordination/peering/mod.rs
+++ b/src/coordination/peering/mod.rs
@@ -25,7 +25,7 @@
 /// machine was asked for a heartbeat at once.
 const LEADER_GRACE: Duration = Duration::from_secs(2);
 /// A peer's heartbeat older than this means that it can't be reached.
-const HEARTBEAT_FRESH: Duration = Duration::from_secs(3);
+pub(super) const HEARTBEAT_FRESH: Duration = Duration::from_secs(3);
 /// The path of the first frames, [`PeerRequest`] and [`PeerAnswer`].
 const PEER: &str = "/peer";
 
--- /dev/null
+++ b/src/coordination/requests/routing.rs
@@ -0,0 +1,125 @@
+//! Which controller answers a request: this one, a peer, or whichever is first.
+//!
+//! A request is hedged: if the key-value store hasn't answered this controller for a while, peers
+//! are asked as well. Every request is idempotent, so that it may be carried out twice.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use tracing::debug;
+
+use super::forwarding::forward_to_peers;
+use super::request::{Operation, RequestOrigin, UserRequest};
+use super::response::UserResponse;
+use super::{cancellation, status_query, submission};
+use crate::coordination::node::Node;
+use crate::storage::kv_client::KvError;
+
+/// How long a submission or cancellation waits for the store before a peer is asked as well.
+const WRITE_HEDGE_DELAY: Duration = Duration::from_millis(80);
+/// The same for a status query, which shares a catch-up read with many others.
+const POLL_HEDGE_DELAY: Duration = Duration::from_millis(600);
+/// Pause between two checks whether this controller's writes for users still queue.
+const WRITE_QUEUE_CHECK: Duration = WRITE_HEDGE_DELAY;
+
+/// How a user's request is answered.
+enum Route {
+    /// At once, with what is known here.
+    Immediate(UserResponse),
+    /// By a peer that the key-value store serves.
+    Peers,
+    /// From the key-value store, hedged by the peers.
+    Store,
+}
+
+/// Answers a user's request.
+pub async fn answer(node: &Arc<Node>, request: UserRequest, origin: RequestOrigin) -> UserResponse {
+    // What is invalid in itself is refused wherever it arrives.
+    let operation = match request.validate() {
+        Ok(operation) => operation,
+        Err(invalid) => return invalid.into(),
+    };
+    match origin {
+        RequestOrigin::Peer => execute(node, operation)
+            .await
+            .unwrap_or_else(|error| store_failed(&error)),
+        RequestOrigin::User => match route(node, &operation) {
+            Route::Immediate(response) => response,
+            Route::Peers => forward_to_peers(node, &request)
+                .await
+                .unwrap_or_else(UserResponse::store_unavailable),
+            Route::Store => answer_hedged(node, &request, operation).await,
+        },
+    }
+}
+
+fn route(node: &Node, operation: &Operation) -> Route {
+    // A final state never changes.
+    if let Operation::Poll { id } = operation
+        && let Some((stage, tasks)) = node.job_index.final_state(id)
+    {
+        return Route::Immediate(UserResponse::finished_job(id, stage, tasks));
+    }
+    if !node.kv_lost() {
+        Route::Store
+    } else if node.peer_served() {
+        Route::Peers
+    } else if node.is_isolated() {
+        Route::Immediate(UserResponse::unavailable("this controller is cut off"))
+    } else {
+        Route::Store
+    }
+}
+
+/// Carries out a request on the key-value store.
+async fn execute(node: &Arc<Node>, operation: Operation) -> Result<UserResponse, KvError> {
+    match operation {
+        Operation::Submit { id, spec } => submission::submit(node, &id, *spec).await,
+        Operation::Poll { id } => status_query::poll(node, &id).await,
+        Operation::Cancel { id } => cancellation::cancel(node, &id).await,
+    }
+}
+
+async fn answer_hedged(
+    node: &Arc<Node>,
+    request: &UserRequest,
+    operation: Operation,
+) -> UserResponse {
+    let hedge = hedge(node, request, hedge_delay(&operation));
+    let local = execute(node, operation);
+    tokio::pin!(local, hedge);
+    tokio::select! {
+        result = &mut local => match result {
+            Ok(response) => response,
+            Err(error) => forward_to_peers(node, request)
+                .await
+                .unwrap_or_else(|| store_failed(&error)),
+        },
+        response = &mut hedge => match response {
+            Some(response) => response,
+            None => local.await.unwrap_or_else(|error| store_failed(&error)),
+        },
+    }
+}
+
+fn hedge_delay(operation: &Operation) -> Duration {
+    match operation {
+        Operation::Poll { .. } => POLL_HEDGE_DELAY,
+        Operation::Submit { .. } | Operation::Cancel { .. } => WRITE_HEDGE_DELAY,
+    }
+}
+
+/// Forwards a request once this controller's own try has taken long.
+async fn hedge(node: &Arc<Node>, request: &UserRequest, delay: Duration) -> Option<UserResponse> {
+    tokio::time::sleep(delay).await;
+    // While writes queue here, the peers are as busy: the request's turn comes first here.
+    while node.user_writes.queue(node.now()) > Duration::ZERO {
+        tokio::time::sleep(WRITE_QUEUE_CHECK).await;
+    }
+    forward_to_peers(node, request).await
+}
+
+fn store_failed(error: &KvError) -> UserResponse {
+    debug!(%error, "user request not answered by the key-value store");
+    UserResponse::store_unavailable()
+}
--- a/src/coordination/tests/peering.rs
+++ b/src/coordination/tests/peering.rs
@@ -73,7 +73,7 @@
 /// workers: it answers neither users nor workers, and leaves the balancer.
 #[tokio::test]
 async fn a_controller_cut_off_from_all_is_unready_and_says_so_at_once() {
-    use crate::coordination::requests::{UserRequest, answer};
+    use crate::coordination::requests::{RequestOrigin, UserRequest, answer};
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
     node.lock().types = Some(Vec::new());
@@ -86,7 +86,12 @@
     assert!(node.ready(), "an outage for all: nobody is served anyway");
     clock.advance(Duration::from_secs(3));
     assert!(!node.ready());
-    let reply = answer(&node, UserRequest::Poll("run-1".into()), false).await;
+    let reply = answer(
+        &node,
+        UserRequest::Poll("run-1".into()),
+        RequestOrigin::User,
+    )
+    .await;
     assert_eq!(reply.status, 503);
     assert!(node.live_lease().is_none() && node.leader_id().is_none());
     note_heartbeat(&node, peer);
--- a/tests/trial/meetings.rs
+++ b/tests/trial/meetings.rs
@@ -14,7 +14,7 @@
 use valegap::coordination::node::Node;
 use valegap::coordination::peering::cancellations::ask_for_cancellations;
 use valegap::coordination::peering::extension::{all_grant_extension, all_vote_for_revival};
-use valegap::coordination::requests::{UserRequest, UserResponse, answer};
+use valegap::coordination::requests::{RequestOrigin, UserRequest, UserResponse, answer};
 use valegap::coordination::shard::{Action, ShardWrite};
 use valegap::coordination::worker_leases::cancellation_freshness;
 use valegap::protocol::FencingToken;
@@ -88,17 +88,22 @@
     answer(
         node,
         UserRequest::Submit(body.to_string().into_bytes()),
-        false,
+        RequestOrigin::User,
     )
     .await
 }
 
 async fn cancel(node: &Arc<Node>, id: &str) -> UserResponse {
-    answer(node, UserRequest::Cancel(id.to_owned()), false).await
+    answer(
+        node,
+        UserRequest::Cancel(id.to_owned()),
+        RequestOrigin::User,
+    )
+    .await
 }
 
 async fn poll(node: &Arc<Node>, id: &str) -> UserResponse {
-    answer(node, UserRequest::Poll(id.to_owned()), false).await
+    answer(node, UserRequest::Poll(id.to_owned()), RequestOrigin::User).await
 }
 
 fn stage(reply: &UserResponse) -> String {
