--- a/src/coordination/shard/autoscaler/arrivals.rs
+++ b/src/coordination/shard/autoscaler/arrivals.rs
@@ -1,4 +1,4 @@
-//! The history of arrivals of each class of jobs, from which the next arrivals are foreseen.
+//! The arrivals of each job class, from which the next ones are foreseen.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -6,17 +6,33 @@
 
 use crate::protocol::users::JobSpec;
 
-/// How long arrivals are remembered to foresee the next ones.
-const ARRIVALS: Duration = Duration::from_secs(120);
+/// How long arrivals are remembered.
+const ARRIVAL_WINDOW: Duration = Duration::from_secs(120);
 
-/// What is known of a class of jobs.
+/// Number of equal slots of the window in which arrivals are counted.
+const SLOTS: usize = 12;
+
+/// Number of slots, those with the fewest arrivals, that the rate is taken from.
+const RATE_SLOTS: usize = 10;
+
+/// A job that was accepted.
+#[derive(Debug, Clone, Copy)]
+struct Arrival {
+    at: Instant,
+    tasks: u32,
+}
+
+/// The recent arrivals of one job class.
 #[derive(Debug)]
 pub(super) struct ClassHistory {
-    pub(super) spec: Arc<JobSpec>,
-    arrivals: VecDeque<(Instant, u32)>,
+    /// The specification of the newest job.
+    spec: Arc<JobSpec>,
+    /// The arrivals within the window, in the order in which they were recorded.
+    arrivals: VecDeque<Arrival>,
 }
 
 impl ClassHistory {
+    /// The history of a class of which no job is recorded yet.
     pub(super) fn new(spec: &JobSpec) -> Self {
         Self {
             spec: Arc::new(spec.clone()),
@@ -24,43 +40,45 @@
         }
     }
 
-    /// Remembers a job that was accepted at a moment not long before `now`.
-    pub(super) fn note_arrival(&mut self, spec: &JobSpec, at: Instant, now: Instant) {
+    /// The specification of the newest job of the class.
+    pub(super) fn spec(&self) -> &Arc<JobSpec> {
+        &self.spec
+    }
+
+    /// Records a job that was accepted at a moment not long before `now`.
+    pub(super) fn record(&mut self, spec: &JobSpec, at: Instant, now: Instant) {
         if *self.spec != *spec {
             self.spec = Arc::new(spec.clone());
         }
-        self.arrivals.push_back((at, spec.tasks));
-        while self
-            .arrivals
-            .front()
-            .is_some_and(|(at, _)| now.saturating_duration_since(*at) > ARRIVALS)
-        {
+        let tasks = spec.tasks;
+        self.arrivals.push_back(Arrival { at, tasks });
+        let expired =
+            |arrival: &Arrival| now.saturating_duration_since(arrival.at) > ARRIVAL_WINDOW;
+        while self.arrivals.front().is_some_and(expired) {
             self.arrivals.pop_front();
         }
     }
 
-    /// Whether some job of the class has come lately.
+    /// Whether a job of the class arrived within the window.
     pub(super) fn is_recent(&self, now: Instant) -> bool {
         let last = self.arrivals.back();
-        last.is_some_and(|(at, _)| now.saturating_duration_since(*at) <= ARRIVALS)
+        last.is_some_and(|arrival| now.saturating_duration_since(arrival.at) <= ARRIVAL_WINDOW)
     }
 
-    /// Tasks per second to reckon with. Arrivals are counted in slots, and the
-    /// fullest ones left out: a burst that is over says nothing of what comes.
+    /// Expected arrivals in tasks per second. The slots with the most arrivals are left out:
+    /// a burst that has ended says nothing about what comes next.
     pub(super) fn rate(&self, now: Instant) -> f64 {
-        const SLOTS: usize = 12;
-        const KEPT: usize = 10;
-        let slot = ARRIVALS / SLOTS as u32;
+        let slot = ARRIVAL_WINDOW / SLOTS as u32;
         let mut counts = [0_u32; SLOTS];
-        for (at, tasks) in &self.arrivals {
-            let age = now.saturating_duration_since(*at);
+        for arrival in &self.arrivals {
+            let age = now.saturating_duration_since(arrival.at);
             let index = (age.as_secs_f64() / slot.as_secs_f64()) as usize;
             if let Some(count) = counts.get_mut(index) {
-                *count += tasks;
+                *count += arrival.tasks;
             }
         }
         counts.sort_unstable();
-        let kept: u32 = counts[..KEPT].iter().sum();
-        f64::from(kept) / (slot.as_secs_f64() * KEPT as f64)
+        let kept: u32 = counts[..RATE_SLOTS].iter().sum();
+        f64::from(kept) / (slot.as_secs_f64() * RATE_SLOTS as f64)
     }
 }
--- a/src/coordination/shard/autoscaler/tests.rs
+++ b/src/coordination/shard/autoscaler/backoff/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Found at full size: with eighteen kinds of which the cheap ones were used
-/// up, asking these again every 15 s left no time to ask for the others.
+/// Found at full size: with eighteen kinds of which the cheap ones were used up,
+/// requesting these again every 15 s left no time to request the others.
 #[test]
 fn a_kind_that_is_used_up_is_left_alone_for_longer_each_time() {
     let start = Instant::now();
@@ -11,19 +11,19 @@
         zone: "north".into(),
         spot: true,
     };
-    let mut autoscaler = Autoscaler::default();
-    assert!(!autoscaler.refuses(&kind, start));
+    let mut backoff = CapacityBackoff::default();
+    assert!(!backoff.is_active(&kind, start));
     let mut now = start;
     for times in [1, 2, 4, 8, 8] {
-        autoscaler.note_refusal(kind.clone(), pause, now);
+        backoff.record_shortage(kind.clone(), pause, now);
         now += pause * times;
-        assert!(autoscaler.refuses(&kind, now - Duration::from_secs(1)));
-        assert!(!autoscaler.refuses(&kind, now));
+        assert!(backoff.is_active(&kind, now - Duration::from_secs(1)));
+        assert!(!backoff.is_active(&kind, now));
     }
-    autoscaler.refused.remove(&kind);
-    autoscaler.note_refusal(kind.clone(), pause, now);
+    backoff.reset(&kind);
+    backoff.record_shortage(kind.clone(), pause, now);
     assert!(
-        !autoscaler.refuses(&kind, now + pause),
+        !backoff.is_active(&kind, now + pause),
         "some were to be had since"
     );
 }
--- a/src/coordination/shard/autoscaler/capacity.rs
+++ b/src/coordination/shard/autoscaler/capacity.rs
@@ -2,10 +2,8 @@
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
-use super::boot_times::Overdue;
-use super::machine_kind::{PLAN_EVERY, startup};
 use crate::coordination::shard::machines::Amounts;
 use crate::coordination::shard::scheduler::allowed;
 use crate::coordination::shard::{Machine, Shard};
@@ -13,14 +11,6 @@
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::{JobKind, JobSpec, Priority};
 
-/// Over how long the room that a priority finds is averaged.
-const ROOM_MEMORY: Duration = Duration::from_secs(60);
-
-/// How long a machine may attempt_number to come up, in times of what is usual, before the plan
-/// counts on it no more; a few seconds are added.
-const LATEST_START: f64 = 2.0;
-const LATEST_START_MARGIN: Duration = Duration::from_secs(3);
-
 /// How soon the room of a machine can be used. The order is that in which the plan
 /// fills machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -134,12 +124,11 @@
         let mut capacities: Vec<Capacity> = machines
             .filter_map(|machine| self.capacity_of(machine, now))
             .collect();
-        for pending_rental in self.autoscaler.pending_rentals.values() {
-            let rental = &pending_rental.rental;
+        for rental in self.autoscaler.rentals.iter() {
             let Some(kind) = self.types.get(&rental.machine_type) else {
                 continue;
             };
-            let ready_in_s = self.boot_s(kind, &rental.zone, now);
+            let ready_in_s = self.expected_boot_s(kind, &rental.zone, now);
             for _ in 0..rental.count {
                 capacities.push(Capacity::to_come(
                     kind,
@@ -164,12 +153,9 @@
         if self.is_leaving(machine) {
             return None;
         }
-        let coming = machine.last_contact.is_none() && !machine.admitted;
+        let coming = machine.is_booting();
         if coming {
-            let age = now.saturating_duration_since(machine.rented);
-            let usual = startup(kind).mul_f64(self.boot_patience_factor(machine, now));
-            let overdue = age > usual.mul_f64(LATEST_START) + LATEST_START_MARGIN;
-            if overdue && !self.counts_though_overdue(machine, now) {
+            if !self.may_still_boot(machine, kind, now) {
                 return None;
             }
         } else if machine.last_contact.is_some()
@@ -179,7 +165,7 @@
         }
         let ready_in_s = if coming {
             let age = now.saturating_duration_since(machine.rented);
-            (self.boot_s(kind, &machine.zone, now) - age.as_secs_f64()).max(0.0)
+            (self.expected_boot_s(kind, &machine.zone, now) - age.as_secs_f64()).max(0.0)
         } else {
             0.0
         };
@@ -200,50 +186,12 @@
             used: false,
             readiness,
             ready_in_s,
-            late: coming && self.boot_slowness(machine, now) > LATEST_START,
+            late: coming && self.boots_late(machine, now),
         })
     }
 
-    /// Where all machines come late, every other overdue one is counted on all the same: so
-    /// no more are ordered in all than as many again.
-    fn counts_though_overdue(&self, machine: &Machine, now: Instant) -> bool {
-        let all_late = self.boot_slowness(machine, now) > LATEST_START;
-        all_late
-            && machine
-                .id
-                .bytes()
-                .last()
-                .is_some_and(|digit| digit % 2 == 0)
-    }
-
-    /// Takes in which machines are not up though they should be. In a zone of which nothing
-    /// is heard they may well be up.
-    pub(super) fn note_overdue_boots(&mut self, now: Instant) {
-        let unreachable_zones = self.unreachable_zones(now);
-        let coming = self.machines.values().filter(|machine| {
-            machine.last_contact.is_none()
-                && !machine.admitted
-                && !self.is_leaving(machine)
-                && !unreachable_zones.contains(&machine.zone)
-        });
-        let overdue = coming.filter_map(|machine| {
-            let kind = self.types.get(&*machine.machine_type)?;
-            let age = now.saturating_duration_since(machine.rented);
-            let usual = startup(kind);
-            let late = age > usual.mul_f64(LATEST_START) + LATEST_START_MARGIN;
-            late.then(|| Overdue {
-                machine_type: machine.machine_type.clone(),
-                zone: machine.zone.clone(),
-                rented: machine.rented,
-                ratio: age.as_secs_f64() / usual.as_secs_f64().max(1.0),
-            })
-        });
-        let overdue: Vec<Overdue> = overdue.collect();
-        self.autoscaler.boot_times.note_overdue(&overdue, now);
-    }
-
     /// Whether a machine is on its way out, or can't be reached.
-    fn is_leaving(&self, machine: &Machine) -> bool {
+    pub(super) fn is_leaving(&self, machine: &Machine) -> bool {
         machine.deleting
             || machine.cordoned
             || machine.preemption_notice.is_some()
@@ -259,12 +207,10 @@
             .filter(|job| job.spec.kind == JobKind::Batch && job.spec.spot)
             .map(|job| (job.spec.priority, job.spec.clone()))
             .collect();
-        let weight = PLAN_EVERY.as_secs_f64() / ROOM_MEMORY.as_secs_f64();
         for (priority, spec) in specs {
             let cheap = capacities.iter().filter(|capacity| !capacity.costly);
-            let now = cores_for(&spec, cheap);
-            let usual = self.autoscaler.usual_cores.entry(priority).or_insert(now);
-            *usual += (now - *usual) * weight;
+            let cores = cores_for(&spec, cheap);
+            self.autoscaler.record_reachable_cores(priority, cores);
         }
     }
 }
--- a/src/coordination/shard/autoscaler/demand.rs
+++ b/src/coordination/shard/autoscaler/demand.rs
@@ -5,6 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use super::arrivals::ClassHistory;
 use super::capacity::{Capacity, cores_for};
 use crate::coordination::shard::scheduler::Usage;
 use crate::coordination::shard::{Job, Shard};
@@ -151,8 +152,7 @@
             // The average is that of all zones.
             return now;
         }
-        let usual = self.autoscaler.usual_cores.get(&job.spec.priority).copied();
-        now.max(usual.unwrap_or(0.0))
+        now.max(self.autoscaler.average_reachable_cores(job.spec.priority))
     }
 
     /// The cores, costly ones or others, that a job's tasks can have: if it is bound to
@@ -228,7 +228,7 @@
         let run = job.spec.duration_s * ESTIMATE_MARGIN;
         let slack = self.slack(job, run, wall)?;
         let boot = match job.spec.deadline_s {
-            Some(_) => self.quickest().as_secs_f64(),
+            Some(_) => self.fastest_boot().as_secs_f64(),
             None => 0.0,
         };
         Some(slack + boot)
@@ -260,7 +260,7 @@
         let deadline = job.spec.deadline_s.and_then(|_| {
             let due = self.next_due(job, wall + soonest.as_millis() as u64)?;
             let left = due.saturating_sub(job.at_ms) as f64 / 1e3 - age;
-            Some(left - run - self.quickest().as_secs_f64())
+            Some(left - run - self.fastest_boot().as_secs_f64())
         });
         [start, finish, deadline]
             .into_iter()
@@ -270,7 +270,7 @@
 
     /// Room for jobs that can't wait until a machine is up.
     fn foreseen(&self, now: Instant) -> Vec<Demand> {
-        let quickest = self.quickest();
+        let quickest = self.fastest_boot();
         let mut demands = Vec::new();
         for (class, history) in &self.autoscaler.classes {
             let within = self.policy.wait_within.get(class).copied();
@@ -290,7 +290,7 @@
             }
             let count = (expected + expected.sqrt()).max(running * self.policy.headroom);
             demands.push(Demand {
-                spec: history.spec.clone(),
+                spec: history.spec().clone(),
                 count: count.ceil().clamp(1.0, MOST_FORESEEN_OF_CLASS) as u32,
                 job: None,
                 filter: OfferFilter::Any,
@@ -307,7 +307,7 @@
         let unfinished = unfinished.filter(|job| job.final_stage.is_none() && !job.is_suspect());
         let teams: BTreeSet<&str> = unfinished.map(|job| &*job.spec.team).collect();
         for team in teams {
-            self.autoscaler.note_work(team, now);
+            self.autoscaler.record_work(team, now);
         }
     }
 
@@ -347,7 +347,7 @@
     /// an array rather than a service.
     fn typical_of(&self, team: &str) -> Option<Arc<JobSpec>> {
         let classes = self.autoscaler.classes.values();
-        let specs = classes.map(|history| &history.spec);
+        let specs = classes.map(ClassHistory::spec);
         let rank = |spec: &&Arc<JobSpec>| {
             let batch = spec.kind == JobKind::Batch;
             (spec.team != *team, Reverse(batch))
--- a/src/coordination/shard/autoscaler/drain.rs
+++ b/src/coordination/shard/autoscaler/drain.rs
@@ -256,13 +256,13 @@
         if self.policy.holds_capacity() {
             return 0.0;
         }
-        let boot = self.quickest().as_secs_f64() * 2.0;
+        let boot = self.fastest_boot().as_secs_f64() * 2.0;
         let classes = self.autoscaler.classes.values();
         classes
-            .filter(|class| class.spec.kind == JobKind::Service)
+            .filter(|class| class.spec().kind == JobKind::Service)
             .map(|class| {
                 let tasks = class.rate(now) * boot;
-                (tasks + tasks.sqrt()) * class.spec.cores
+                (tasks + tasks.sqrt()) * class.spec().cores
             })
             .sum()
     }
--- a/src/coordination/shard/autoscaler/machine_kind.rs
+++ b/src/coordination/shard/autoscaler/machine_kind.rs
@@ -2,24 +2,19 @@
 
 use std::time::Duration;
 
+use crate::coordination::shard::Machine;
 use crate::protocol::cloud::{MachineType, Rental};
 
-/// A machine is charged for this long at least.
-pub(super) const LEAST_CHARGE: Duration = Duration::from_secs(60);
+/// The cloud bills a machine for this long at least.
+pub(super) const MINIMUM_BILLED: Duration = Duration::from_secs(60);
 
-/// Pause before a rental or a deletion is tried again.
+/// Pause before an unanswered rental or deletion is requested again.
 pub(super) const CLOUD_RETRY: Duration = Duration::from_secs(1);
 
-/// Pause between two plans.
-pub(super) const PLAN_EVERY: Duration = Duration::from_millis(500);
+/// Upper bound of the boot time that is taken over from a machine type, in seconds.
+const MAX_STARTUP_S: f64 = 1e6;
 
-/// Machines are often up later than usual by this much.
-pub(super) const BOOT_MARGIN: f64 = 1.2;
-
-/// Longest start that is taken as meant.
-const LONGEST_STARTUP_S: f64 = 1e6;
-
-/// A machine type in a zone, spot or not.
+/// A machine type in a zone, spot or ordinary: the unit in which machines are rented.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct MachineKind {
     pub machine_type: String,
@@ -27,8 +22,8 @@
     pub spot: bool,
 }
 
-impl MachineKind {
-    pub(super) fn of(rental: &Rental) -> Self {
+impl From<&Rental> for MachineKind {
+    fn from(rental: &Rental) -> Self {
         Self {
             machine_type: rental.machine_type.clone(),
             zone: rental.zone.clone(),
@@ -37,7 +32,17 @@
     }
 }
 
-/// The usual time until a new machine is up.
-pub(super) fn startup(kind: &MachineType) -> Duration {
-    Duration::from_secs_f64(kind.startup_s.clamp(0.0, LONGEST_STARTUP_S))
+impl From<&Machine> for MachineKind {
+    fn from(machine: &Machine) -> Self {
+        Self {
+            machine_type: machine.machine_type.to_string(),
+            zone: machine.zone.to_string(),
+            spot: machine.spot,
+        }
+    }
+}
+
+/// The usual boot time of a machine type, as the cloud names it.
+pub(super) fn usual_boot(kind: &MachineType) -> Duration {
+    Duration::from_secs_f64(kind.startup_s.clamp(0.0, MAX_STARTUP_S))
 }
--- a/src/coordination/shard/autoscaler/mod.rs
+++ b/src/coordination/shard/autoscaler/mod.rs
@@ -1,6 +1,17 @@
-//! Carrying out the plan: rentals, returns, and what the cloud says.
+//! The autoscaler: scales the shard's machines out and in.
+//!
+//! Every tick it retries what the cloud has not answered and declares lost machines dead. Every
+//! half second it makes a plan: it compares the demand (waiting tasks, foreseen arrivals,
+//! reserved quota) with the capacity that exists or is on its way, then rents machines,
+//! drains little used ones and deletes those that are not needed.
+//!
+//! [`Shard::tick`] calls [`Shard::autoscale`]; the scheduler asks what a machine is reserved
+//! for; the reconciler reports boots and lost machines. The autoscaler never places a task
+//! and never calls the cloud: requests leave as [`Action`](super::Action)s.
 
 mod arrivals;
+mod backoff;
+mod boot_estimates;
 mod boot_times;
 mod capacity;
 mod demand;
@@ -9,91 +20,61 @@
 mod machine_loss;
 mod offer;
 mod plan;
+mod rentals;
 mod scale_in;
 mod scale_out;
 
-use std::collections::{BTreeMap, HashMap};
+use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use self::arrivals::ClassHistory;
+use self::backoff::CapacityBackoff;
 use self::boot_times::BootTimes;
 pub(super) use self::drain::hosts_services;
-use self::machine_kind::{LEAST_CHARGE, MachineKind, PLAN_EVERY, startup};
+use self::machine_kind::{MINIMUM_BILLED, usual_boot};
+use self::rentals::PendingRentals;
+pub(super) use self::scale_in::DeletionReason;
 pub use self::scale_out::RentalOutcome;
 use super::{Machine, Shard};
-use crate::protocol::cloud::{MachineType, Rental};
+use crate::protocol::cloud::MachineType;
 use crate::protocol::users::{JobSpec, Priority};
 
-/// Most machines in one rental request.
-const MOST_PER_RENTAL: u32 = 50;
+/// Pause between two plans.
+const PLAN_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Names of machines that are gone are kept at least this long.
-const REMEMBER_GONE: Duration = Duration::from_secs(900);
+/// Time constant of the moving average of the cores within reach of a priority.
+const REACHABLE_CORES_WINDOW: Duration = Duration::from_secs(60);
 
-/// How often the pause after a refusal doubles at the most.
-const LONGEST_REFUSAL: u32 = 3;
+/// The names of deleted machines are kept at least this long: an older machine list may
+/// still contain them.
+const DELETED_MACHINE_RETENTION: Duration = Duration::from_secs(900);
 
-/// A rental under way.
-#[derive(Debug)]
-struct PendingRental {
-    rental: Rental,
-    retry: Option<Instant>,
-}
-
-/// A kind of machine of which the cloud had too few.
-#[derive(Debug, Clone, Copy)]
-struct Refusal {
-    until: Instant,
-    /// How often in a row.
-    times: u32,
-}
-
-/// The cloud's side of the shard.
+/// What the autoscaler remembers between two plans.
+///
+/// Invariant: a rental is requested from the cloud only after its record is durable, and the
+/// name of a request is never used again (see [`PendingRentals`]).
 #[derive(Debug, Default)]
 pub struct Autoscaler {
-    pending_rentals: BTreeMap<String, PendingRental>,
-    refused: HashMap<MachineKind, Refusal>,
-    /// How long new machines attempt_number to come up.
+    rentals: PendingRentals,
+    backoff: CapacityBackoff,
     boot_times: BootTimes,
-    next_rental: u64,
     last_plan: Option<Instant>,
+    /// Arrivals by job class.
     classes: BTreeMap<String, ClassHistory>,
     /// When each team last had an unfinished job, as far as this leader has seen.
     last_work: BTreeMap<String, Instant>,
-    /// Cheap cores that each priority has found lately.
-    usual_cores: BTreeMap<Priority, f64>,
+    /// Moving average, by priority, of the cores on low-cost machines within its reach.
+    reachable_cores: BTreeMap<Priority, f64>,
 }
 
 impl Autoscaler {
-    /// There is one more to be had of a kind: it may be asked for again.
-    fn note_freed(&mut self, kind: &MachineKind) {
-        self.refused.remove(kind);
-    }
-
-    /// Whether a kind is better not asked for now.
-    fn refuses(&self, kind: &MachineKind, now: Instant) -> bool {
-        self.refused
-            .get(kind)
-            .is_some_and(|refusal| refusal.until > now)
-    }
-
-    /// The cloud has too few of a kind. Each time in a row it is left alone for
-    /// twice as long: where many kinds are used up, asking them all again in turn
-    /// would never come to the one of which there is more.
-    fn note_refusal(&mut self, kind: MachineKind, pause: Duration, now: Instant) {
-        let times = self.refused.get(&kind).map_or(0, |refusal| refusal.times);
-        let until = now + pause * (1 << times.min(LONGEST_REFUSAL));
-        let times = times + 1;
-        self.refused.insert(kind, Refusal { until, times });
-    }
-
     /// Records how long a machine took to boot whose first heartbeat has come.
-    pub(super) fn note_boot(&mut self, machine: &Machine, kind: &MachineType, now: Instant) {
+    pub(super) fn record_boot(&mut self, machine: &Machine, kind: &MachineType, now: Instant) {
         let took = now.saturating_duration_since(machine.rented);
-        let ratio = took.as_secs_f64() / startup(kind).as_secs_f64().max(1.0);
+        let ratio = took.as_secs_f64() / usual_boot(kind).as_secs_f64().max(1.0);
         let (kind, zone) = (&machine.machine_type, &machine.zone);
         self.boot_times
-            .note_arrival(kind, zone, machine.rented, ratio, now);
+            .record_boot(kind, zone, machine.rented, ratio, now);
     }
 
     /// How many times longer than usual machines of a type take to boot in a zone; 1 at least.
@@ -101,8 +82,20 @@
         self.boot_times.slowness(machine_type, zone, now)
     }
 
-    /// Notes that a team has an unfinished job.
-    fn note_work(&mut self, team: &str, now: Instant) {
+    /// Records a job that was accepted at a moment not long before `now`.
+    pub(super) fn record_arrival(&mut self, spec: &JobSpec, at: Instant, now: Instant) {
+        match self.classes.get_mut(&spec.class) {
+            Some(history) => history.record(spec, at, now),
+            None => {
+                let mut history = ClassHistory::new(spec);
+                history.record(spec, at, now);
+                self.classes.insert(spec.class.clone(), history);
+            }
+        }
+    }
+
+    /// Records that a team has an unfinished job.
+    fn record_work(&mut self, team: &str, now: Instant) {
         if let Some(last) = self.last_work.get_mut(team) {
             *last = now;
         } else {
@@ -115,52 +108,55 @@
         self.last_work.get(team).copied()
     }
 
-    /// Remembers a job that was accepted at a moment not long before `now`.
-    pub fn note_arrival(&mut self, spec: &JobSpec, at: Instant, now: Instant) {
-        match self.classes.get_mut(&spec.class) {
-            Some(history) => history.note_arrival(spec, at, now),
-            None => {
-                let mut history = ClassHistory::new(spec);
-                history.note_arrival(spec, at, now);
-                self.classes.insert(spec.class.clone(), history);
-            }
+    /// Updates the moving average of the cores within reach of a priority.
+    fn record_reachable_cores(&mut self, priority: Priority, cores: f64) {
+        let weight = PLAN_INTERVAL.as_secs_f64() / REACHABLE_CORES_WINDOW.as_secs_f64();
+        let average = self.reachable_cores.entry(priority).or_insert(cores);
+        *average += (cores - *average) * weight;
+    }
+
+    /// The average number of cores within reach of a priority; 0 if none was recorded.
+    fn average_reachable_cores(&self, priority: Priority) -> f64 {
+        self.reachable_cores.get(&priority).copied().unwrap_or(0.0)
+    }
+
+    /// Whether the next plan is due; if so, `now` counts as its time.
+    fn begin_plan(&mut self, now: Instant) -> bool {
+        let recent = |last| now.saturating_duration_since(last) < PLAN_INTERVAL;
+        if self.last_plan.is_some_and(recent) {
+            return false;
         }
+        self.last_plan = Some(now);
+        true
     }
 }
 
 impl Shard {
+    /// Periodic work: retries, lost machines and, when it is due, a plan.
     pub(super) fn autoscale(&mut self, now: Instant) {
-        self.retry_cloud(now);
+        self.retry_cloud_requests(now);
         self.delete_lost_machines(now);
-        if self
-            .autoscaler
-            .last_plan
-            .is_some_and(|last| now.saturating_duration_since(last) < PLAN_EVERY)
-        {
+        if !self.autoscaler.begin_plan(now) {
             return;
         }
-        self.autoscaler.last_plan = Some(now);
         self.deleted_machines
-            .retain(|_, at| now.saturating_duration_since(*at) < REMEMBER_GONE);
+            .retain(|_, at| now.saturating_duration_since(*at) < DELETED_MACHINE_RETENTION);
         if self.types.is_empty() {
             return;
         }
         self.plan(now);
     }
 
-    /// Whether a machine is there for batch work alone and not cheap: work that
-    /// can wait leaves it, so that it can be given back. What is paid for in
-    /// any case is not costly.
+    /// Whether an ordinary machine is there for batch work alone: tasks that can wait for
+    /// spot machines leave it, so that it can be deleted. One whose minimum charge is not
+    /// used up is paid for in any case and does not count.
     pub(super) fn costly(&self, machine: &Machine, now: Instant) -> bool {
-        let paid = now.saturating_duration_since(machine.rented) < LEAST_CHARGE / 2;
+        let paid = now.saturating_duration_since(machine.rented) < MINIMUM_BILLED / 2;
         !paid && self.barren(machine)
     }
 
-    /// Whether a machine costs the full price and no service keeps it.
+    /// Whether a machine costs the ordinary price and hosts no service that keeps it.
     pub(super) fn barren(&self, machine: &Machine) -> bool {
         !machine.spot && !self.policy.holds_capacity() && !hosts_services(machine)
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/coordination/shard/autoscaler/offer.rs
+++ b/src/coordination/shard/autoscaler/offer.rs
@@ -4,8 +4,9 @@
 use std::sync::Arc;
 use std::time::Instant;
 
+use super::boot_estimates::BOOT_MARGIN;
 use super::demand::{Demand, OfferFilter};
-use super::machine_kind::{BOOT_MARGIN, LEAST_CHARGE, MachineKind};
+use super::machine_kind::{MINIMUM_BILLED, MachineKind};
 use crate::coordination::shard::Shard;
 use crate::coordination::shard::machines::Amounts;
 use crate::coordination::shard::scheduler::allowed;
@@ -87,7 +88,7 @@
             let zones = kind.zones.iter();
             let open = zones.filter(|zone| !self.cut_off.contains(*zone));
             for zone in open.filter(|zone| only.is_none_or(|only| only == **zone)) {
-                let ready_in_s = self.boot_s(kind, zone, now);
+                let ready_in_s = self.expected_boot_s(kind, zone, now);
                 for spot in [false, true] {
                     let offer = Offer {
                         kind: kind.clone(),
@@ -127,7 +128,7 @@
         };
         if fits == 0
             || !allowed(spec, &offer.kind.name, &offer.zone, offer.spot)
-            || self.autoscaler.refuses(&kind, now)
+            || self.autoscaler.backoff.is_active(&kind, now)
         {
             return None;
         }
@@ -154,7 +155,7 @@
 /// Seconds for which a machine is reckoned to be of use to a job.
 fn run_s(spec: &JobSpec) -> f64 {
     if spec.duration_s > 0.0 {
-        spec.duration_s.max(LEAST_CHARGE.as_secs_f64()) * RUNS
+        spec.duration_s.max(MINIMUM_BILLED.as_secs_f64()) * RUNS
     } else {
         LONG_RUN_S
     }
--- a/src/coordination/shard/autoscaler/plan.rs
+++ b/src/coordination/shard/autoscaler/plan.rs
@@ -2,17 +2,15 @@
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
-use super::MOST_PER_RENTAL;
 use super::capacity::Capacity;
 use super::demand::{Demand, OfferFilter};
-use super::machine_kind::{BOOT_MARGIN, MachineKind, startup};
+use super::machine_kind::MachineKind;
 use super::offer::{MachineCounts, Offer};
+use crate::coordination::shard::Shard;
 use crate::coordination::shard::scheduler::allowed;
-use crate::coordination::shard::{Machine, Shard};
 use crate::protocol::JobId;
-use crate::protocol::cloud::MachineType;
 
 /// One plan as it is worked out.
 struct Plan {
@@ -85,7 +83,7 @@
 impl Shard {
     /// Compares the room that is wanted with the room there is.
     pub(super) fn plan(&mut self, now: Instant) {
-        self.note_overdue_boots(now);
+        self.update_overdue_boots(now);
         let capacities = self.capacities(now);
         self.note_cores(&capacities);
         let demands = self.demands(&capacities, now);
@@ -149,7 +147,7 @@
     /// machines come much later than usual.
     fn latest_s(&self, demand: &Demand, zone: Option<&str>, plan: &Plan, now: Instant) -> f64 {
         let boots = &self.autoscaler.boot_times;
-        let matters = demand.spec.is_gang() || boots.in_trouble(now);
+        let matters = demand.spec.is_gang() || boots.any_slow(now);
         let Some(slack) = demand.slack_s.filter(|_| matters) else {
             return f64::INFINITY;
         };
@@ -158,33 +156,10 @@
         slack.max(soonest)
     }
 
-    /// How many times longer than usual a machine that is not up yet takes.
-    pub(super) fn boot_slowness(&self, machine: &Machine, now: Instant) -> f64 {
-        self.autoscaler
-            .boot_slowness(&machine.machine_type, &machine.zone, now)
-    }
-
-    /// How many times longer than usual a machine that is not up yet is waited for.
-    pub(super) fn boot_patience_factor(&self, machine: &Machine, now: Instant) -> f64 {
-        let boots = &self.autoscaler.boot_times;
-        boots.patience(&machine.machine_type, &machine.zone, now)
-    }
-
-    /// Seconds until a machine that is rented now is up, if it takes as long as it often
-    /// does, and has lately.
-    pub(super) fn boot_s(&self, kind: &MachineType, zone: &str, now: Instant) -> f64 {
-        let slowness = self.autoscaler.boot_slowness(&kind.name, zone, now);
-        startup(kind).as_secs_f64() * BOOT_MARGIN * slowness
-    }
-
     /// Rents what is wanted and gives back what isn't.
     fn act_on(&mut self, plan: Plan, now: Instant) {
         let growing = plan.wanted.keys().any(|kind| !kind.spot)
-            || self
-                .autoscaler
-                .pending_rentals
-                .values()
-                .any(|b| !b.rental.spot);
+            || self.autoscaler.rentals.iter().any(|rental| !rental.spot);
         self.reopen(&plan.capacities);
         // Work that nobody has reconciled yet is in no plan.
         let accounted = self.unreconciled.is_empty();
@@ -192,9 +167,9 @@
             self.consolidate(&plan.capacities, !growing, now);
         }
         for (kind, count) in plan.wanted {
-            self.request_machines(kind, count.min(MOST_PER_RENTAL));
+            self.request_machines(kind, count);
         }
-        self.delete_spare_machines(&plan.capacities, now);
+        self.delete_unneeded_machines(&plan.capacities, now);
     }
 
     fn machine_counts(&self) -> MachineCounts {
@@ -230,15 +205,6 @@
         let offer = self.best_offer(demand, demand.count, None, &plan.machine_counts, now)?;
         Some(offer.zone.as_str().into())
     }
-
-    /// The shortest usual time until a new machine is up.
-    pub(super) fn quickest(&self) -> Duration {
-        self.types
-            .values()
-            .map(|kind| startup(kind))
-            .min()
-            .unwrap_or_default()
-    }
 }
 
 /// The zone with most room for a demand. With little of it there, where machines come
--- a/src/coordination/shard/autoscaler/scale_in.rs
+++ b/src/coordination/shard/autoscaler/scale_in.rs
@@ -1,33 +1,84 @@
-//! Scale-in: deleting machines that nobody needs or that never came up.
+//! Scale-in: deleting machines that are not needed or never booted.
 
 use std::collections::HashSet;
-use std::sync::Arc;
+use std::fmt;
 use std::time::{Duration, Instant};
 
+use super::boot_times::BootPool;
 use super::capacity::Capacity;
-use super::machine_kind::{CLOUD_RETRY, LEAST_CHARGE, MachineKind, startup};
+use super::machine_kind::{CLOUD_RETRY, MINIMUM_BILLED, MachineKind, usual_boot};
 use crate::coordination::shard::{Action, Machine, Shard};
 use crate::protocol::MachineId;
 
 /// Most machines in one deletion request.
-const MOST_PER_DELETION: usize = 100;
+const MAX_PER_DELETION: usize = 100;
 
-/// Times of a usual boot, and some more, after which a machine that is not up is given
-/// back; at most so long where all come late.
-const BOOTS_TO_GIVE_UP: f64 = 4.0;
-const BOOT_ALLOWANCE: Duration = Duration::from_secs(30);
-const LONGEST_BOOT_PATIENCE: Duration = Duration::from_secs(900);
+/// Multiple of the usual boot time, plus an allowance, after which a machine that has not
+/// booted is abandoned; at most the maximum where all machines of its type are late.
+const ABANDON_BOOTS: f64 = 4.0;
+const ABANDON_ALLOWANCE: Duration = Duration::from_secs(30);
+const MAX_BOOT_WAIT: Duration = Duration::from_secs(900);
 
-/// The same for a machine whose type isn't known.
-const PATIENCE_WITH_UNKNOWN: Duration = Duration::from_secs(300);
+/// The same for a machine whose type is not known.
+const UNKNOWN_TYPE_BOOT_WAIT: Duration = Duration::from_secs(300);
+
+/// A machine that is not needed may be deleted this long before its minimum charge is used
+/// up: the deletion itself takes time.
+const DELETION_LEAD: Duration = Duration::from_secs(5);
+
+/// Why a machine is deleted. The text is the `reason` of the log.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(in crate::coordination::shard) enum DeletionReason {
+    /// Missing from the cloud's list, or past its preemption notice, and unreachable.
+    Reclaimed,
+    /// Unreachable, and one of the last machines that hold up the reconciliation.
+    Unreconciled,
+    /// Unreachable for longer than `abandon-late-s` allows.
+    Unreachable,
+    /// No contact since its worker's lease expired: its tasks have stopped.
+    LeaseExpired,
+    /// It answers, but has sent no heartbeat of its own since its worker's lease expired.
+    HeartbeatsMissing,
+    /// The cloud lists it as failed.
+    CloudFailure,
+    /// It has not booted in time.
+    NeverBooted,
+    /// It is empty and accepts no more tasks.
+    Drained,
+    /// It is idle and in no plan.
+    NotNeeded,
+    /// Its worker restarted with tasks unaccounted for.
+    WorkerRestarted,
+    /// An earlier leader recorded its deletion.
+    RecordedEarlier,
+}
+
+impl fmt::Display for DeletionReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Reclaimed => "reclaimed by the cloud",
+            Self::Unreconciled => "among the last unreconciled machines",
+            Self::Unreachable => "worker unreachable",
+            Self::LeaseExpired => "worker lease expired",
+            Self::HeartbeatsMissing => "worker sends no heartbeats",
+            Self::CloudFailure => "listed as failed by the cloud",
+            Self::NeverBooted => "never booted",
+            Self::Drained => "drained",
+            Self::NotNeeded => "not needed",
+            Self::WorkerRestarted => "worker restarted",
+            Self::RecordedEarlier => "deletion recorded by an earlier leader",
+        })
+    }
+}
 
 impl Shard {
-    /// Gives a machine back; its tasks count until the cloud says 200.
+    /// Records the deletion of a machine, which is requested once the record is durable. Its
+    /// tasks count until the cloud confirms that the machine no longer exists.
     pub(in crate::coordination::shard) fn begin_deletion(
         &mut self,
         id: &MachineId,
         now: Instant,
-        why: &str,
+        reason: DeletionReason,
     ) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -39,35 +90,37 @@
         tracing::info!(
             machine = %id,
             age_s = now.saturating_duration_since(machine.rented).as_secs(),
-            why,
-            "machine given back"
+            %reason,
+            "machine deletion started"
         );
         self.record_deletion(id);
     }
 
-    /// Asks the cloud to delete machines whose return is on record.
+    /// Requests the deletion of machines; the record of each is durable.
     pub(in crate::coordination::shard) fn delete(&mut self, ids: &[MachineId]) {
-        for batch in ids.chunks(MOST_PER_DELETION) {
+        for batch in ids.chunks(MAX_PER_DELETION) {
             self.out.push(Action::Delete(batch.to_vec()));
         }
     }
 
-    /// The cloud answered (or didn't) a deletion.
+    /// Requests deletions again that the cloud has not answered.
+    pub(super) fn retry_deletions(&mut self, now: Instant) {
+        let due = self
+            .machines
+            .ids(|m| m.deletion_retry.is_some_and(|at| at <= now));
+        for id in &due {
+            if let Some(machine) = self.machines.get_mut(id) {
+                machine.deletion_retry = None;
+            }
+        }
+        self.delete(&due);
+    }
+
+    /// The cloud confirmed a deletion (`done`), or did not answer.
     pub fn deletion_answered(&mut self, ids: &[MachineId], done: bool, now: Instant) {
         for id in ids {
             if done {
-                // The machine and everything on it are gone.
-                self.empty_machine(id, now);
-                if let Some(machine) = self.machines.remove(id) {
-                    self.record_gone(id);
-                    let kind = MachineKind {
-                        machine_type: machine.machine_type.to_string(),
-                        zone: machine.zone.to_string(),
-                        spot: machine.spot,
-                    };
-                    self.autoscaler.note_freed(&kind);
-                }
-                self.deleted_machines.insert(id.clone(), now);
+                self.remove_deleted(id, now);
             } else if let Some(machine) = self.machines.get_mut(id) {
                 machine.deletion_retry = Some(now + CLOUD_RETRY);
             }
@@ -75,60 +128,80 @@
         self.needs_pass = true;
     }
 
-    /// How long a machine that is not up yet is waited for. Where none comes up in time,
-    /// giving them all back would only begin the wait anew.
-    fn boot_patience(&self, machine: &Machine, now: Instant) -> Duration {
+    /// Removes a machine that no longer exists, with everything on it.
+    fn remove_deleted(&mut self, id: &MachineId, now: Instant) {
+        self.empty_machine(id, now);
+        if let Some(machine) = self.machines.remove(id) {
+            self.record_gone(id);
+            // The cloud has one more of that kind.
+            self.autoscaler.backoff.reset(&MachineKind::from(&machine));
+        }
+        self.deleted_machines.insert(id.clone(), now);
+    }
+
+    /// How long to wait for a machine that has not booted. Where none boots in time, deleting
+    /// all of them would only start the wait again.
+    fn boot_wait(&self, machine: &Machine, now: Instant) -> Duration {
         let Some(kind) = self.types.get(&*machine.machine_type) else {
-            return PATIENCE_WITH_UNKNOWN;
+            return UNKNOWN_TYPE_BOOT_WAIT;
         };
-        let slowness = self.boot_patience_factor(machine, now);
-        let patience = startup(kind).mul_f64(BOOTS_TO_GIVE_UP) + BOOT_ALLOWANCE;
-        patience
-            .mul_f64(slowness)
-            .min(LONGEST_BOOT_PATIENCE.max(patience))
+        let factor = self.boot_wait_factor(machine, now);
+        let wait = usual_boot(kind).mul_f64(ABANDON_BOOTS) + ABANDON_ALLOWANCE;
+        wait.mul_f64(factor).min(MAX_BOOT_WAIT.max(wait))
     }
 
-    /// Gives back what is empty and in no plan, and what never came up.
-    pub(super) fn delete_spare_machines(&mut self, capacities: &[Capacity], now: Instant) {
-        let spare: HashSet<&MachineId> = capacities
+    /// Deletes the machines that are empty and in no plan, and those that never booted.
+    pub(super) fn delete_unneeded_machines(&mut self, capacities: &[Capacity], now: Instant) {
+        let unused: HashSet<&MachineId> = capacities
             .iter()
             .filter(|capacity| !capacity.used)
             .filter_map(|capacity| capacity.machine.as_ref())
             .collect();
-        let mut back: Vec<(MachineId, &str)> = Vec::new();
-        let mut late: Vec<(Arc<str>, Arc<str>)> = Vec::new();
+        let mut unneeded: Vec<(MachineId, DeletionReason)> = Vec::new();
+        let mut abandoned: Vec<BootPool> = Vec::new();
         for machine in self.machines.values().filter(|m| !m.deleting) {
-            let age = now.saturating_duration_since(machine.rented);
-            if machine.last_contact.is_none() && !machine.admitted {
-                if age > self.boot_patience(machine, now) {
-                    late.push((machine.machine_type.clone(), machine.zone.clone()));
-                    back.push((machine.id.clone(), "it never came up"));
-                }
-                continue;
-            }
-            let unrecorded = |m: &Machine| m.attempts.values().any(|a| !a.clearable);
-            if !machine.load.idle() || unrecorded(machine) {
+            let Some(reason) = self.why_unneeded(machine, unused.contains(&machine.id), now) else {
                 continue;
+            };
+            if reason == DeletionReason::NeverBooted {
+                abandoned.push(BootPool::from(machine));
             }
-            let idle = machine
-                .idle_since
-                .is_some_and(|since| now.saturating_duration_since(since) >= self.policy.idle);
-            if machine.cordoned || machine.draining || machine.preemption_notice.is_some() {
-                back.push((machine.id.clone(), "it is empty and gets no more tasks"));
-            } else if idle
-                && self.unreconciled.is_empty()
-                && spare.contains(&machine.id)
-                && age + Duration::from_secs(5) > LEAST_CHARGE
-            {
-                back.push((machine.id.clone(), "it is not needed"));
-            }
+            unneeded.push((machine.id.clone(), reason));
+        }
+        for pool in abandoned {
+            self.autoscaler.boot_times.record_abandoned(&pool, now);
+        }
+        for (id, reason) in unneeded {
+            self.begin_deletion(&id, now, reason);
+        }
+    }
+
+    /// Why a machine is to be deleted; None if it is not. `unused` says that the plan leaves
+    /// it unused.
+    fn why_unneeded(
+        &self,
+        machine: &Machine,
+        unused: bool,
+        now: Instant,
+    ) -> Option<DeletionReason> {
+        let age = now.saturating_duration_since(machine.rented);
+        if machine.is_booting() {
+            let too_late = age > self.boot_wait(machine, now);
+            return too_late.then_some(DeletionReason::NeverBooted);
         }
-        for (machine_type, zone) in late {
-            let boots = &mut self.autoscaler.boot_times;
-            boots.note_given_up(&machine_type, &zone, now);
+        // An end that is not on record yet would be lost with the machine.
+        let has_unrecorded = machine.attempts.values().any(|a| !a.clearable);
+        if !machine.load.idle() || has_unrecorded {
+            return None;
         }
-        for (id, why) in back {
-            self.begin_deletion(&id, now, why);
+        if machine.cordoned || machine.draining || machine.preemption_notice.is_some() {
+            return Some(DeletionReason::Drained);
         }
+        let idle = machine
+            .idle_since
+            .is_some_and(|since| now.saturating_duration_since(since) >= self.policy.idle);
+        let not_needed =
+            idle && self.unreconciled.is_empty() && unused && age + DELETION_LEAD > MINIMUM_BILLED;
+        not_needed.then_some(DeletionReason::NotNeeded)
     }
 }
--- a/src/coordination/shard/autoscaler/scale_out.rs
+++ b/src/coordination/shard/autoscaler/scale_out.rs
@@ -1,92 +1,110 @@
-//! Scale-out: rental requests and what the cloud answers.
+//! Scale-out: rental requests, the cloud's answers to them, and its machine list.
 
+use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-use super::PendingRental;
-use super::machine_kind::{CLOUD_RETRY, MachineKind};
+use super::machine_kind::MachineKind;
+use super::scale_in::DeletionReason;
 use crate::coordination::shard::{Action, Machine, Shard};
 use crate::protocol::MachineId;
 use crate::protocol::cloud::{Listed, ListedState, Rental};
 
+/// Most machines in one rental request.
+const MAX_PER_RENTAL: u32 = 50;
+
+/// Upper bound of a machine's age that is taken over from the cloud's list, in seconds.
+const MAX_LISTED_AGE_S: f64 = 1e8;
+
 /// What became of a rental request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RentalOutcome {
-    /// These machines are rented.
+    /// These machines are rented; possibly fewer than requested.
     Rented(Vec<String>),
-    /// The cloud has none of that kind.
+    /// The cloud has no machine of that kind.
     NoCapacity,
-    /// Malformed in the cloud's eyes: not to be repeated.
+    /// The cloud rejected the request as malformed: it must not be repeated.
     Rejected,
-    /// It may have been carried out, or may still be.
+    /// The request may have been executed, or may still be.
     Unknown,
 }
 
 impl Shard {
-    pub(super) fn retry_cloud(&mut self, now: Instant) {
-        for pending_rental in self.autoscaler.pending_rentals.values_mut() {
-            if pending_rental.retry.is_some_and(|at| at <= now) {
-                pending_rental.retry = None;
-                self.out.push(Action::Rent(pending_rental.rental.clone()));
-            }
+    /// Requests again what the cloud has not answered.
+    pub(super) fn retry_cloud_requests(&mut self, now: Instant) {
+        for rental in self.autoscaler.rentals.take_due(now) {
+            self.out.push(Action::Rent(rental));
         }
-        let again = self
-            .machines
-            .ids(|m| m.deletion_retry.is_some_and(|at| at <= now));
-        for id in &again {
-            if let Some(machine) = self.machines.get_mut(id) {
-                machine.deletion_retry = None;
-            }
+        self.retry_deletions(now);
+    }
+
+    /// Records the rental of so many machines; it is requested once the record is durable.
+    pub(super) fn request_machines(&mut self, kind: MachineKind, count: u32) {
+        let rental = self.autoscaler.rentals.add(
+            kind,
+            count.min(MAX_PER_RENTAL),
+            &self.policy.node_id,
+            self.fencing_token,
+        );
+        if let Some(rental) = rental {
+            self.record_scale_out(&rental);
         }
-        self.delete(&again);
     }
 
-    /// The cloud answered (or didn't) a rental.
+    /// Requests a rental again that an earlier leader recorded and perhaps requested.
+    pub(in crate::coordination::shard) fn resume_rental(&mut self, rental: Rental) {
+        self.out.push(Action::Rent(rental.clone()));
+        self.autoscaler.rentals.restore(rental);
+    }
+
+    /// The cloud answered a rental request, or did not.
     pub fn rental_answered(&mut self, request: &str, outcome: RentalOutcome, now: Instant) {
-        let Some(pending_rental) = self.autoscaler.pending_rentals.get_mut(request) else {
+        let Some(rental) = self.autoscaler.rentals.get(request).cloned() else {
             return;
         };
-        let rental = pending_rental.rental.clone();
-        let key = MachineKind::of(&rental);
         match outcome {
             RentalOutcome::Unknown => {
-                pending_rental.retry = Some(now + CLOUD_RETRY);
+                self.autoscaler.rentals.retry_later(request, now);
                 return;
             }
-            RentalOutcome::Rented(names) => {
-                if (names.len() as u32) < rental.count {
-                    self.autoscaler.note_refusal(key, self.policy.refused, now);
-                } else {
-                    self.autoscaler.refused.remove(&key);
-                }
-                tracing::info!(
-                    request,
-                    machine_type = rental.machine_type,
-                    zone = rental.zone,
-                    spot = rental.spot,
-                    asked = rental.count,
-                    got = names.len(),
-                    "machines rented"
-                );
-                for name in names {
-                    self.expect_machine(
-                        &name,
-                        &rental.machine_type,
-                        &rental.zone,
-                        rental.spot,
-                        now,
-                    );
-                }
-            }
+            RentalOutcome::Rented(names) => self.add_rented(&rental, &names, now),
             RentalOutcome::NoCapacity | RentalOutcome::Rejected => {
-                self.autoscaler.note_refusal(key, self.policy.refused, now);
+                self.record_shortage(&rental, now);
             }
         }
-        self.autoscaler.pending_rentals.remove(request);
+        self.autoscaler.rentals.remove(request);
         self.clear_scale_out(request);
         self.needs_pass = true;
     }
 
-    fn expect_machine(
+    /// Adds the machines of a rental that was met, in whole or in part.
+    fn add_rented(&mut self, rental: &Rental, names: &[String], now: Instant) {
+        if (names.len() as u32) < rental.count {
+            self.record_shortage(rental, now);
+        } else {
+            self.autoscaler.backoff.reset(&MachineKind::from(rental));
+        }
+        tracing::info!(
+            request = rental.request,
+            machine_type = rental.machine_type,
+            zone = rental.zone,
+            spot = rental.spot,
+            requested = rental.count,
+            rented = names.len(),
+            "machines rented"
+        );
+        for name in names {
+            self.add_machine(name, &rental.machine_type, &rental.zone, rental.spot, now);
+        }
+    }
+
+    fn record_shortage(&mut self, rental: &Rental, now: Instant) {
+        let kind = MachineKind::from(rental);
+        let pause = self.policy.refused;
+        self.autoscaler.backoff.record_shortage(kind, pause, now);
+    }
+
+    /// Adds a machine that has not booted, unless it is known or was deleted.
+    fn add_machine(
         &mut self,
         name: &str,
         machine_type: &str,
@@ -103,90 +121,64 @@
         self.machines.insert(machine);
     }
 
-    /// A rental that an earlier leader recorded and perhaps requested.
-    pub(in crate::coordination::shard) fn resume_rental(&mut self, rental: Rental) {
-        self.out.push(Action::Rent(rental.clone()));
-        self.autoscaler.pending_rentals.insert(
-            rental.request.clone(),
-            PendingRental {
-                rental,
-                retry: None,
-            },
-        );
-    }
-
-    /// The whole machine list, as old as it may be.
+    /// The cloud's whole machine list arrived; it may be outdated.
     pub fn listed(&mut self, list: &[Listed], now: Instant) {
-        let mut failed = Vec::new();
         for entry in list {
-            if entry.state == ListedState::Failed
-                && !self.deleted_machines.contains_key(entry.id.as_str())
-            {
-                failed.push(MachineId::from(entry.id.as_str()));
-            }
-            let age = Duration::from_secs_f64(entry.age_s.clamp(0.0, 1e8));
-            let rented = now.checked_sub(age).unwrap_or(now);
-            self.expect_machine(
-                &entry.id,
-                &entry.machine_type,
-                &entry.zone,
-                entry.spot,
-                rented,
-            );
-            let outdated = |m: &Machine| !m.listed || m.addr.is_empty() || m.rented > rented;
-            if self.machines.get(&entry.id).is_some_and(outdated)
-                && let Some(machine) = self.machines.get_mut(&entry.id)
-            {
-                machine.listed = true;
-                machine.rented = machine.rented.min(rented);
-                if machine.addr.is_empty() {
-                    machine.addr.clone_from(&entry.addr);
-                }
+            self.apply_listed(entry, now);
+        }
+        self.update_vanished(list);
+        self.delete_failed(list, now);
+        self.needs_pass = true;
+    }
+
+    /// Takes over what one entry of the list says of its machine.
+    fn apply_listed(&mut self, entry: &Listed, now: Instant) {
+        let age = Duration::from_secs_f64(entry.age_s.clamp(0.0, MAX_LISTED_AGE_S));
+        let rented = now.checked_sub(age).unwrap_or(now);
+        self.add_machine(
+            &entry.id,
+            &entry.machine_type,
+            &entry.zone,
+            entry.spot,
+            rented,
+        );
+        let outdated = |m: &Machine| !m.listed || m.addr.is_empty() || m.rented > rented;
+        if self.machines.get(&entry.id).is_some_and(outdated)
+            && let Some(machine) = self.machines.get_mut(&entry.id)
+        {
+            machine.listed = true;
+            machine.rented = machine.rented.min(rented);
+            if machine.addr.is_empty() {
+                machine.addr.clone_from(&entry.addr);
             }
         }
-        let present: std::collections::HashSet<&str> =
-            list.iter().map(|entry| entry.id.as_str()).collect();
-        // A list may be older than the one before: this alone proves nothing,
-        // but a machine that is silent as well is best deleted.
-        let missing = |m: &Machine| {
-            !present.contains(&*m.id) && (m.listed || m.last_contact.is_some() || m.admitted)
-        };
+    }
+
+    /// Marks the machines that are missing from the list. A list may be older than the one
+    /// before, so this alone proves nothing; but a machine that is also unreachable is best
+    /// deleted.
+    fn update_vanished(&mut self, list: &[Listed]) {
+        let present: HashSet<&str> = list.iter().map(|entry| entry.id.as_str()).collect();
+        let missing = |m: &Machine| !present.contains(&*m.id) && (m.listed || !m.is_booting());
         for id in self.machines.ids(|m| m.vanished != missing(m)) {
             if let Some(machine) = self.machines.get_mut(&id) {
                 machine.vanished = !present.contains(&*id);
             }
         }
-        for id in failed {
-            self.begin_deletion(&id, now, "the cloud lists it as failed");
-        }
-        self.needs_pass = true;
     }
 
-    /// Records a rental of so many machines, which is asked for once it is written.
-    pub(super) fn request_machines(&mut self, kind: MachineKind, count: u32) {
-        // One request for a kind at a time: its answer tells of the capacity.
-        let mut pending_rentals = self.autoscaler.pending_rentals.values();
-        if pending_rentals.any(|pending_rental| MachineKind::of(&pending_rental.rental) == kind) {
-            return;
+    /// Deletes the machines that the cloud lists as failed.
+    fn delete_failed(&mut self, list: &[Listed], now: Instant) {
+        for entry in list {
+            if entry.state == ListedState::Failed
+                && !self.deleted_machines.contains_key(entry.id.as_str())
+            {
+                self.begin_deletion(
+                    &MachineId::from(entry.id.as_str()),
+                    now,
+                    DeletionReason::CloudFailure,
+                );
+            }
         }
-        self.autoscaler.next_rental += 1;
-        let rental = Rental {
-            request: format!(
-                "{}-{}-{}",
-                self.policy.node_id, self.fencing_token, self.autoscaler.next_rental
-            ),
-            machine_type: kind.machine_type,
-            zone: kind.zone,
-            spot: kind.spot,
-            count,
-        };
-        self.record_scale_out(&rental);
-        self.autoscaler.pending_rentals.insert(
-            rental.request.clone(),
-            PendingRental {
-                rental,
-                retry: None,
-            },
-        );
     }
 }
--- a/src/coordination/shard/dispatch/answers.rs
+++ b/src/coordination/shard/dispatch/answers.rs
@@ -3,6 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::COMMAND_RETRY;
+use crate::coordination::shard::autoscaler::DeletionReason;
 use crate::coordination::shard::{CommandOutcome, Phase, Shard};
 use crate::protocol::workers::Command;
 use crate::protocol::{AttemptId, MachineId};
@@ -49,7 +50,7 @@
                     // came back with a worker that began anew. What it held is
                     // gone, and what is under way to it may land yet; only its
                     // deletion tells the two apart.
-                    self.begin_deletion(id, now, "its worker has started over");
+                    self.begin_deletion(id, now, DeletionReason::WorkerRestarted);
                     return;
                 }
                 self.apply_heartbeat(&heartbeat, now);
--- a/src/coordination/shard/jobs/lifecycle.rs
+++ b/src/coordination/shard/jobs/lifecycle.rs
@@ -16,7 +16,7 @@
         if self.jobs.contains_key(id) {
             return;
         }
-        self.autoscaler.note_arrival(&record.spec, now, now);
+        self.autoscaler.record_arrival(&record.spec, now, now);
         tracing::info!(
             fencing_token = %self.fencing_token,
             job = id,
--- a/src/coordination/shard/machines/mod.rs
+++ b/src/coordination/shard/machines/mod.rs
@@ -155,9 +155,15 @@
         (self.agent_epoch.unwrap_or(0), self.sequence)
     }
 
-    /// Whether its worker has ever been expected to send heartbeats to us.
+    /// Whether it is rented and has not booted, as far as is known: its worker has never been
+    /// heard from.
+    pub fn is_booting(&self) -> bool {
+        self.last_contact.is_none() && !self.admitted
+    }
+
+    /// Whether its worker is expected to send heartbeats to us.
     pub fn expects_heartbeats(&self) -> bool {
-        !self.deleting && (self.last_contact.is_some() || self.admitted)
+        !self.deleting && !self.is_booting()
     }
 
     /// For how long its worker has not been heard in any way.
--- a/src/coordination/shard/reconciler/mod.rs
+++ b/src/coordination/shard/reconciler/mod.rs
@@ -163,12 +163,12 @@
         let Some(machine) = self.machines.get(id) else {
             return;
         };
-        if machine.last_contact.is_some() || machine.admitted || machine.rented < self.acquired {
+        if !machine.is_booting() || machine.rented < self.acquired {
             return;
         }
         let Some(kind) = self.types.get(&*machine.machine_type) else {
             return;
         };
-        self.autoscaler.note_boot(machine, kind, now);
+        self.autoscaler.record_boot(machine, kind, now);
     }
 }
--- a/src/coordination/shard/reconciler/recovery.rs
+++ b/src/coordination/shard/reconciler/recovery.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 
 use crate::coordination::leadership::lease::DELEGATION_TIME;
-use crate::coordination::shard::autoscaler::Autoscaler;
+use crate::coordination::shard::autoscaler::{Autoscaler, DeletionReason};
 use crate::coordination::shard::{Job, Machine, Machines, Policy, Shard, persistence};
 use crate::protocol::MachineId;
 use crate::storage::records::{JobRecord, RentalRecord, RosterRecord};
@@ -80,7 +80,7 @@
         for (id, mod_revision, record) in recovered.jobs {
             let age = Duration::from_millis(wall_ms.saturating_sub(record.accepted_at_ms));
             let at = now.checked_sub(age).unwrap_or(now);
-            shard.autoscaler.note_arrival(&record.spec, at, now);
+            shard.autoscaler.record_arrival(&record.spec, at, now);
             let id = id.as_str().into();
             shard.jobs.insert(
                 std::sync::Arc::clone(&id),
@@ -123,7 +123,7 @@
             shard.unreconciled.insert(id.clone());
             shard.machines.insert(machine);
             if record.deleting {
-                shard.begin_deletion(&id, now, "its return was on record");
+                shard.begin_deletion(&id, now, DeletionReason::RecordedEarlier);
             } else {
                 shard.probe(&id, 1);
             }
