--- a/src/coordination/peering/delegation.rs
+++ b/src/coordination/peering/delegation.rs
@@ -47,7 +47,7 @@
         own.advance_grants.last_answer(node_ids, longest, now)
     });
     node.with_shard(&lease, "delegations", |shard, _| {
-        shard.note_answers_by_others(kept, now)
+        shard.note_advance_renewals(kept, now)
     });
 }
 
@@ -116,7 +116,7 @@
     };
     let zones = zones_of(node, &unreached);
     node.with_shard(&lease, "delegations", |shard, _| {
-        shard.set_cut_off(zones);
+        shard.set_partitioned_zones(zones);
         revoke_all_but(shard, |node_id| unreached.contains(node_id));
     });
     if unreached.is_empty() {
@@ -180,7 +180,7 @@
     let heartbeats = whole_heartbeats(pages.into_iter().filter_map(parse), lease.fencing_token);
     node.with_shard(lease, "delegations", |shard, now| {
         for heartbeat in &heartbeats {
-            shard.relayed(heartbeat, now);
+            shard.apply_relayed_heartbeat(heartbeat, now);
         }
     });
 }
--- a/src/coordination/shard/autoscaler/capacity.rs
+++ b/src/coordination/shard/autoscaler/capacity.rs
@@ -196,7 +196,7 @@
             || machine.cordoned
             || machine.preemption_notice.is_some()
             || machine.vanished
-            || (machine.last_contact.is_none() && self.cut_off.contains(&*machine.zone))
+            || (machine.last_contact.is_none() && self.delegations.is_partitioned(&machine.zone))
     }
 
     /// Takes the room of the moment into the averages.
--- a/src/coordination/shard/autoscaler/machine_loss.rs
+++ b/src/coordination/shard/autoscaler/machine_loss.rs
@@ -175,7 +175,7 @@
         overview: &ReachabilityOverview,
         now: Instant,
     ) -> Option<DeletionReason> {
-        if now <= machine.lease_expires_at || self.others_may_answer() {
+        if now <= machine.lease_expires_at || self.others_may_renew_leases() {
             return None;
         }
         let in_unreachable_zone = overview.unreachable_zones.contains(&machine.zone);
@@ -196,7 +196,7 @@
         let lease = self.policy.worker_lease;
         if many {
             lease * MANY_UNREACHABLE_LEASES
-        } else if self.answered_in_cut(machine) {
+        } else if self.may_be_renewed_in_partition(machine) {
             lease + self.policy.advance_delegation
         } else {
             lease
--- a/src/coordination/shard/autoscaler/offer.rs
+++ b/src/coordination/shard/autoscaler/offer.rs
@@ -86,7 +86,7 @@
         let mut best: Option<(f64, Offer)> = None;
         for kind in self.types.values() {
             let zones = kind.zones.iter();
-            let open = zones.filter(|zone| !self.cut_off.contains(*zone));
+            let open = zones.filter(|zone| !self.delegations.is_partitioned(zone));
             for zone in open.filter(|zone| only.is_none_or(|only| only == **zone)) {
                 let ready_in_s = self.expected_boot_s(kind, zone, now);
                 for spot in [false, true] {
--- /dev/null
+++ b/src/coordination/shard/delegations/tests.rs
@@ -0,0 +1,35 @@
+use std::time::{Duration, Instant};
+
+use super::Delegations;
+use crate::coordination::leadership::lease::DELEGATION_TIME;
+
+#[test]
+fn a_delegate_is_listed_until_its_last_answer_may_have_left() {
+    let start = Instant::now();
+    let mut delegations = Delegations::default();
+    delegations.grant("beta", start);
+    delegations.begin_revocation("beta");
+    assert!(!delegations.is_granted("beta"));
+    assert!(!delegations.remove_ended(start + DELEGATION_TIME * 10));
+    let revoked = start + Duration::from_secs(30);
+    delegations.revocation_written("beta", revoked);
+    assert!(!delegations.remove_ended(revoked + DELEGATION_TIME));
+    assert!(delegations.any_active(), "its clock may run slow");
+    assert!(delegations.remove_ended(revoked + DELEGATION_TIME * 2));
+    assert!(!delegations.any_active());
+    assert_eq!(delegations.active_for(revoked), None);
+}
+
+#[test]
+fn a_delegation_granted_again_survives_the_write_of_its_revocation() {
+    let start = Instant::now();
+    let mut delegations = Delegations::default();
+    delegations.grant("beta", start);
+    delegations.begin_revocation("beta");
+    delegations.grant("beta", start + Duration::from_secs(1));
+    delegations.revocation_written("beta", start + Duration::from_secs(2));
+    assert_eq!(delegations.granted().collect::<Vec<_>>(), ["beta"]);
+    let later = start + Duration::from_secs(60);
+    assert!(!delegations.remove_ended(later));
+    assert_eq!(delegations.active_for(later), Some(later - start));
+}
--- a/src/coordination/shard/dispatch/lease_expiry.rs
+++ b/src/coordination/shard/dispatch/lease_expiry.rs
@@ -8,12 +8,12 @@
 impl Shard {
     /// Ends the agent epochs whose leases are surely over.
     pub(in crate::coordination::shard) fn expire_leases(&mut self, now: Instant) {
-        if self.others_may_answer() {
+        if self.others_may_renew_leases() {
             return;
         }
         // What was surely over when others' answers were last reckoned with is
         // so for ever: a later answer revives nothing.
-        let Some(answers) = self.answers_by_others(now) else {
+        let Some(answers) = self.advance_renewals(now) else {
             return;
         };
         let known_at = answers.known_at;
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -121,14 +121,8 @@
     autoscaler: autoscaler::Autoscaler,
     writes: persistence::WriteQueue,
     delegations: delegations::Delegations,
-    /// What is known of others' answers to workers, once something is.
-    answers_by_others: Option<delegations::AnswersByOthers>,
     /// By machine, the tasks that the last leader's snapshot had there.
     snapshot_placements: HashMap<MachineId, u32>,
-    /// Since when something has been delegated without a break.
-    delegating_since: Option<Instant>,
-    /// Zones all of whose controllers can't be reached: likely cut off.
-    cut_off: BTreeSet<String>,
     next_attempt_number: u64,
     next_command: u64,
     /// The zone of a controller that holds most machines: services are safest
@@ -261,11 +255,6 @@
         !self.unreconciled.is_empty() || self.jobs.values().any(waits)
     }
 
-    /// Which zones are likely cut off from us.
-    pub fn set_cut_off(&mut self, zones: BTreeSet<String>) {
-        self.cut_off = zones;
-    }
-
     /// Whether something changed since decisions were last made.
     pub fn needs_pass(&self) -> bool {
         self.needs_pass
--- a/src/coordination/shard/persistence/flush.rs
+++ b/src/coordination/shard/persistence/flush.rs
@@ -42,7 +42,9 @@
                 }
                 WritePurpose::Delete(id) => deletable.push(id.clone()),
                 WritePurpose::RecordScaleOut(rental) => self.out.push(Action::Rent(rental.clone())),
-                WritePurpose::RevokeDelegation(node_id) => self.revoked(node_id, now),
+                WritePurpose::RevokeDelegation(node_id) => {
+                    self.delegations.revocation_written(node_id, now)
+                }
                 WritePurpose::ClearScaleOut(_)
                 | WritePurpose::Delegate
                 | WritePurpose::SnapshotChunk { .. } => {}
--- a/src/coordination/shard/reconciler/recovery.rs
+++ b/src/coordination/shard/reconciler/recovery.rs
@@ -63,10 +63,7 @@
             autoscaler: Autoscaler::default(),
             writes: persistence::WriteQueue::default(),
             delegations: Default::default(),
-            answers_by_others: None,
             snapshot_placements: HashMap::new(),
-            delegating_since: None,
-            cut_off: BTreeSet::new(),
             // A task's attempt number never repeats, whatever was lost: the
             // fencing token is in it.
             next_attempt_number: fencing_token.revision() << ATTEMPT_BITS,
--- a/src/coordination/shard/tests/delegations.rs
+++ b/src/coordination/shard/tests/delegations.rs
@@ -76,13 +76,13 @@
     assert!(script.launches().is_empty(), "both tasks may run on vm-1");
     let runs = vec![task_status("run-1/0", 7, TaskState::Running, None)];
     let older = script.heartbeat_of("vm-1", TOKEN - 1, runs.clone());
-    script.shard.relayed(&older, script.now);
+    script.shard.apply_relayed_heartbeat(&older, script.now);
     assert!(
         script.shard.wants_inventories(),
         "commands of the earlier leader may still arrive"
     );
     let heartbeat = script.heartbeat_of("vm-1", TOKEN, runs);
-    script.shard.relayed(&heartbeat, script.now);
+    script.shard.apply_relayed_heartbeat(&heartbeat, script.now);
     script.reconcile();
     assert!(!script.shard.wants_inventories());
     let launches = script.launches();
@@ -128,7 +128,7 @@
         |script: &mut ScriptedShard, time: Duration, kept: Option<Duration>| {
             script.now = start + time;
             let kept = kept.map(|time| start + time);
-            script.shard.note_answers_by_others(kept, script.now);
+            script.shard.note_advance_renewals(kept, script.now);
             script.advance(Duration::ZERO);
             script.shard.summary().contains("unresolved 1")
         };
--- a/src/coordination/shard/tests/gangs/faults.rs
+++ b/src/coordination/shard/tests/gangs/faults.rs
@@ -56,7 +56,9 @@
     script.submit("run-1", bound);
     assert_eq!(script.execute_launches().len(), 1);
     script.all_in_state("vm-3", TaskState::Running);
-    script.shard.set_cut_off(["south".to_owned()].into());
+    script
+        .shard
+        .set_partitioned_zones(["south".to_owned()].into());
     let spread = JobSpec {
         scatter: true,
         ..gang(4, 4.0)
@@ -74,7 +76,7 @@
     let live = script.shard.jobs()["run-1"].live().len();
     assert_eq!(live, 1, "it may run in the partitioned zone");
     // The partition ends: there is capacity for half of it in each zone.
-    script.shard.set_cut_off([].into());
+    script.shard.set_partitioned_zones([].into());
     script.shard.job_finished("run-1", Some(Stage::Cancelled));
     script.all_ended("vm-3", AttemptOutcome::Stopped);
     script.advance(second(1));
--- a/src/coordination/shard/tests/scale/fleet.rs
+++ b/src/coordination/shard/tests/scale/fleet.rs
@@ -48,7 +48,7 @@
     cluster
         .script
         .shard
-        .set_cut_off(["south".to_owned()].into());
+        .set_partitioned_zones(["south".to_owned()].into());
     let deletions = partition_for_a_minute(&mut cluster, north);
     assert_eq!(
         cluster.tasks_running(),
--- a/src/coordination/shard/tests/simulation/leader.rs
+++ b/src/coordination/shard/tests/simulation/leader.rs
@@ -68,7 +68,7 @@
     pub(super) fn tick_leader(&mut self) {
         let now = self.now;
         let answered = self.last_delegated_answer(now);
-        self.on_leader(|shard| shard.note_answers_by_others(answered, now));
+        self.on_leader(|shard| shard.note_advance_renewals(answered, now));
         self.on_leader(|shard| shard.tick(now));
     }
 
