--- a/src/coordination/shard/autoscaler/demand.rs
+++ b/src/coordination/shard/autoscaler/demand.rs
@@ -118,8 +118,8 @@
     /// The jobs that tasks wait of, in the order in which they get room.
     fn waiting_jobs(&self, wall: u64) -> Vec<&Job> {
         let waits = |job: &&Job| {
-            let gives_up = job.spec.is_gang() && job.is_suspect();
-            job.waiting().min(job.tries_left()) > 0 && !gives_up
+            let gives_up = job.spec.is_gang() && job.is_crash_looping();
+            job.waiting().min(job.retry_budget()) > 0 && !gives_up
         };
         let mut jobs: Vec<&Job> = self.jobs.values().filter(waits).collect();
         jobs.sort_by_cached_key(|job| (Reverse(job.spec.priority), self.queue_key(job, wall)));
@@ -129,7 +129,7 @@
     /// Counts a job's waiting tasks as far as its team's limit lets them run; None for
     /// a gang that would run in part.
     fn enqueue(&self, job: &Job, queue: &mut Queue) -> Option<u32> {
-        let waiting = job.waiting().min(job.tries_left()).min(MOST_FORESEEN);
+        let waiting = job.waiting().min(job.retry_budget()).min(MOST_FORESEEN);
         let mut count = 0;
         while count < waiting && self.within_quota_limit(&queue.usage, &job.spec) {
             queue.usage.add(&job.spec, 1);
@@ -304,7 +304,8 @@
     fn note_work(&mut self, now: Instant) {
         let unfinished = self.jobs.values();
         // A job that fails everywhere has no use for more room than a try takes.
-        let unfinished = unfinished.filter(|job| job.final_stage.is_none() && !job.is_suspect());
+        let unfinished =
+            unfinished.filter(|job| job.final_stage.is_none() && !job.is_crash_looping());
         let teams: BTreeSet<&str> = unfinished.map(|job| &*job.spec.team).collect();
         for team in teams {
             self.autoscaler.record_work(team, now);
--- a/src/coordination/shard/health/slowness.rs
+++ b/src/coordination/shard/health/slowness.rs
@@ -1,21 +1,22 @@
-//! Finding machines on which tasks run far longer than others of the same job elsewhere.
+//! Machines on which tasks run far longer than others of the same job elsewhere.
 
 use std::time::{Duration, Instant};
 
-use crate::coordination::shard::{Phase, Shard};
+use crate::coordination::shard::{Attempt, Job, Machine, Phase, Shard};
 use crate::protocol::users::JobKind;
 use crate::protocol::{AttemptId, MachineId};
 
-/// Least number of completed tasks of a job, and least share of its tasks, that
-/// tell how long the others should run: the first to end are the shortest.
-const LEAST_COMPLETED: u32 = 3;
-const LEAST_COMPLETED_SHARE: f64 = 0.5;
-/// A task that has run this much longer than the average of its job is overdue.
-const FAR_SLOWER: f64 = 2.5;
-/// Room for short tasks, whose times say little.
-const ALLOWANCE: Duration = Duration::from_secs(5);
-/// Overdue tasks after which a machine is given up.
-const SLOW_TASKS: u32 = 2;
+/// Least number of a job's completed tasks that tell how long the others should run.
+const MIN_COMPLETED: u32 = 3;
+/// The same as a share of the job's tasks: the first to complete are the shortest.
+const MIN_COMPLETED_SHARE: f64 = 0.5;
+/// A task is overdue after so many times the mean run time of its job's completed tasks, and
+/// [`OVERDUE_MARGIN`] more.
+const OVERDUE_MULTIPLE: f64 = 2.5;
+/// Time added to that multiple, for short tasks, whose run times vary more.
+const OVERDUE_MARGIN: Duration = Duration::from_secs(5);
+/// Overdue tasks after which a machine is cordoned.
+const OVERDUE_TASKS_TO_CORDON: u32 = 2;
 
 /// Run times of one job's completed tasks.
 #[derive(Debug, Clone, Copy, Default)]
@@ -25,67 +26,84 @@
 }
 
 impl RunTimes {
+    /// Notes that a task completed after it had run for `ran`.
     pub fn note(&mut self, ran: Duration) {
         self.total += ran;
         self.count += 1;
     }
 
-    /// The time past which a task is overdue, once enough are known.
+    /// The run time past which a task of a job with so many tasks is overdue; none while too
+    /// few have completed.
     fn overdue_after(&self, tasks: u32) -> Option<Duration> {
-        let enough = self.count >= LEAST_COMPLETED
-            && f64::from(self.count) >= f64::from(tasks) * LEAST_COMPLETED_SHARE;
-        enough.then(|| (self.total / self.count).mul_f64(FAR_SLOWER) + ALLOWANCE)
+        let enough = self.count >= MIN_COMPLETED
+            && f64::from(self.count) >= f64::from(tasks) * MIN_COMPLETED_SHARE;
+        enough.then(|| (self.total / self.count).mul_f64(OVERDUE_MULTIPLE) + OVERDUE_MARGIN)
     }
 }
 
+/// An attempt that has run for too long, not yet counted against its machine.
+struct OverdueAttempt {
+    machine: MachineId,
+    attempt: AttemptId,
+}
+
 impl Shard {
-    /// Gives machines up on which several tasks run far longer than others of their
-    /// jobs do elsewhere: their work moves, as far as it can be saved with it.
+    /// Cordons machines on which several tasks run far longer than others of their jobs do
+    /// elsewhere, and moves their tasks, as far as checkpoints save their work.
     pub(in crate::coordination::shard) fn find_slow_machines(&mut self, now: Instant) {
-        let mut overdue: Vec<(MachineId, AttemptId)> = Vec::new();
-        for job in self.jobs.values() {
-            // Tasks that resume from a checkpoint run for any time.
-            let bound = job.ran.overdue_after(job.spec.tasks);
-            let comparable = job.spec.checkpoint_s <= 0.0 && !job.spec.is_gang();
-            let Some(bound) = bound.filter(|_| comparable) else {
-                continue;
-            };
-            let mut hosts: Vec<&MachineId> = job.live().values().collect();
-            hosts.sort();
-            hosts.dedup();
-            for machine in hosts.into_iter().filter_map(|id| self.machines.get(id)) {
-                for (key, attempt) in machine.attempts_of(&job.id) {
-                    let over = attempt
-                        .running_since
-                        .is_some_and(|since| now.saturating_duration_since(since) > bound);
-                    let runs = attempt.phase == Phase::Running && attempt.stop.is_none();
-                    if over && runs && !attempt.overdue {
-                        overdue.push((machine.id.clone(), key.clone()));
-                    }
-                }
-            }
+        let overdue: Vec<OverdueAttempt> = self
+            .jobs
+            .values()
+            .flat_map(|job| self.overdue_attempts(job, now))
+            .collect();
+        let slow: Vec<MachineId> = overdue
+            .iter()
+            .filter_map(|overdue| self.note_overdue(overdue))
+            .collect();
+        for id in slow {
+            self.evict_tasks(&id);
         }
-        let mut slow: Vec<MachineId> = Vec::new();
-        for (id, key) in overdue {
-            let Some(machine) = self.machines.get_mut(&id) else {
-                continue;
-            };
-            if let Some(attempt) = machine.attempts.get_mut(&key) {
-                attempt.overdue = true;
-                machine.slow_tasks += 1;
-            }
-            if machine.slow_tasks >= SLOW_TASKS && !machine.cordoned {
-                machine.cordoned = true;
-                tracing::info!(machine = %machine.id, "machine given up: its tasks run far longer than others of their jobs");
-                slow.push(machine.id.clone());
-            }
+    }
+
+    /// The overdue attempts of one job.
+    fn overdue_attempts(&self, job: &Job, now: Instant) -> Vec<OverdueAttempt> {
+        // Attempts that resume from a checkpoint run for any time.
+        let comparable = job.spec.checkpoint_s <= 0.0 && !job.spec.is_gang();
+        let overdue_after = job.ran.overdue_after(job.spec.tasks);
+        let Some(overdue_after) = overdue_after.filter(|_| comparable) else {
+            return Vec::new();
+        };
+        let mut hosts: Vec<&MachineId> = job.live().values().collect();
+        hosts.sort();
+        hosts.dedup();
+        let hosts = hosts.into_iter().filter_map(|id| self.machines.get(id));
+        hosts
+            .flat_map(|machine| overdue_on(machine, job, overdue_after, now))
+            .collect()
+    }
+
+    /// Counts an overdue attempt against its machine; returns the machine if it is cordoned
+    /// for it.
+    fn note_overdue(&mut self, overdue: &OverdueAttempt) -> Option<MachineId> {
+        let machine = self.machines.get_mut(&overdue.machine)?;
+        if let Some(attempt) = machine.attempts.get_mut(&overdue.attempt) {
+            attempt.overdue = true;
+            machine.slow_tasks += 1;
         }
-        for id in slow {
-            self.clear_slow_machine(&id);
+        if machine.slow_tasks < OVERDUE_TASKS_TO_CORDON || machine.cordoned {
+            return None;
         }
+        machine.cordoned = true;
+        tracing::info!(
+            machine = %machine.id,
+            reason = "its tasks run far longer than others of their jobs",
+            "machine cordoned"
+        );
+        Some(machine.id.clone())
     }
 
-    fn clear_slow_machine(&mut self, id: &MachineId) {
+    /// Stops all tasks on a machine; those of batch jobs get the time to save a checkpoint.
+    fn evict_tasks(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -101,3 +119,27 @@
         self.needs_pass = true;
     }
 }
+
+/// The job's attempts on one machine that have become overdue.
+fn overdue_on(
+    machine: &Machine,
+    job: &Job,
+    overdue_after: Duration,
+    now: Instant,
+) -> impl Iterator<Item = OverdueAttempt> {
+    let attempts = machine.attempts_of(&job.id);
+    attempts
+        .filter(move |(_, attempt)| is_overdue(attempt, overdue_after, now))
+        .map(|(id, _)| OverdueAttempt {
+            machine: machine.id.clone(),
+            attempt: id.clone(),
+        })
+}
+
+/// Whether an attempt has run for too long and doesn't count against its machine yet.
+fn is_overdue(attempt: &Attempt, overdue_after: Duration, now: Instant) -> bool {
+    let late = attempt
+        .running_since
+        .is_some_and(|since| now.saturating_duration_since(since) > overdue_after);
+    late && attempt.phase == Phase::Running && attempt.stop.is_none() && !attempt.overdue
+}
--- /dev/null
+++ b/src/coordination/shard/health/tests.rs
@@ -0,0 +1,57 @@
+use std::time::{Duration, Instant};
+
+use super::failure_history::Failure;
+use super::{FailureEvidence, FailureHistory};
+use crate::protocol::{JobId, MachineId};
+
+#[test]
+fn the_pause_between_rounds_of_failures_doubles_up_to_its_bound() {
+    let job: JobId = "run-1".into();
+    let machine: MachineId = "vm-1".into();
+    let mut history = FailureHistory::default();
+    let mut now = Instant::now();
+    let mut pauses = Vec::new();
+    for _ in 0..12 {
+        let failure = Failure {
+            job: &job,
+            machine: &machine,
+            began: now,
+            ran: Duration::ZERO,
+        };
+        now += Duration::from_secs(1);
+        pauses.push(history.note_failure(&failure, now));
+        assert_eq!(
+            history.note_failure(&failure, now),
+            None,
+            "an attempt of the same round"
+        );
+        now += Duration::from_secs(1);
+    }
+    assert_eq!(pauses[0], None, "the first retry is at once");
+    for (n, pause) in pauses[1..].iter().enumerate() {
+        let pause = pause.expect("a pause").as_secs_f64();
+        let without_jitter = 2_f64.powi(n as i32).min(60.0);
+        assert!((0.75..=1.25).contains(&(pause / without_jitter)), "{pause}");
+    }
+    assert!(history.is_crash_looping());
+    history.note_success();
+    assert!(history.is_clear() && !history.is_crash_looping());
+    assert!(history.includes(&machine), "it is avoided all the same");
+}
+
+#[test]
+fn unexplained_failures_quarantine_a_machine_for_a_while_and_sound_jobs_prove_its_fault() {
+    let now = Instant::now();
+    let [first, second]: [JobId; 2] = ["run-1".into(), "run-2".into()];
+    let mut evidence = FailureEvidence::default();
+    evidence.note_failure(&first, false, now);
+    assert!(!evidence.is_quarantined(now), "one job may be at fault");
+    evidence.note_failure(&second, false, now);
+    assert!(evidence.is_quarantined(now));
+    assert!(!evidence.is_quarantined(now + Duration::from_secs(61)));
+    evidence.confirm(&first);
+    assert!(!evidence.proves_fault());
+    evidence.confirm(&second);
+    assert!(evidence.proves_fault());
+    assert!(!evidence.is_quarantined(now), "nothing is unexplained");
+}
--- a/src/coordination/shard/machines/mod.rs
+++ b/src/coordination/shard/machines/mod.rs
@@ -190,7 +190,7 @@
             && !self.outbound_unreachable
             && !self.deleting
             && !self.cordoned
-            && !self.failures.quarantines(now)
+            && !self.failures.is_quarantined(now)
             && !self.draining
             && self.preemption_notice.is_none()
             && !self.vanished
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -251,7 +251,7 @@
 
     /// Whether work waits that may be placed, or machines are unaccounted for.
     pub fn is_busy(&self) -> bool {
-        let waits = |job: &Job| job.waiting() > 0 && !job.is_suspect();
+        let waits = |job: &Job| job.waiting() > 0 && !job.is_crash_looping();
         !self.unreconciled.is_empty() || self.jobs.values().any(waits)
     }
 
--- a/src/coordination/shard/scheduler/mod.rs
+++ b/src/coordination/shard/scheduler/mod.rs
@@ -110,7 +110,7 @@
             }
             queues.pop(&team);
             // Nothing is preempted for a job that fails wherever it runs.
-            if left > 0 && !job.is_some_and(Job::is_suspect) {
+            if left > 0 && !job.is_some_and(Job::is_crash_looping) {
                 progress.unplaced_jobs.push(id);
             }
         }
--- a/src/coordination/shard/scheduler/starvation.rs
+++ b/src/coordination/shard/scheduler/starvation.rs
@@ -54,7 +54,7 @@
         let never_started = job.live().is_empty() && job.done().is_empty();
         age > STARVATION_WAIT
             && !job.spec.is_gang()
-            && !job.is_suspect()
+            && !job.is_crash_looping()
             && job.waiting() > 0
             && never_started
             && job.not_before.is_none_or(|at| at <= now)
--- a/src/coordination/shard/scheduler/view.rs
+++ b/src/coordination/shard/scheduler/view.rs
@@ -52,7 +52,7 @@
     /// unreconciled, only those that were on a machine this leader knew of: no
     /// earlier leader can have started them elsewhere.
     pub(super) fn placeable_tasks(&self, job: &Job) -> u32 {
-        self.startable_tasks(job).min(job.tries_left())
+        self.startable_tasks(job).min(job.retry_budget())
     }
 
     fn startable_tasks(&self, job: &Job) -> u32 {
--- a/src/coordination/shard/tests/failing_jobs.rs
+++ b/src/coordination/shard/tests/failing_jobs.rs
@@ -141,7 +141,7 @@
     for _ in 0..100 {
         run_one_second(&mut script, &MACHINES, &fails_everywhere);
     }
-    assert!(script.shard.jobs()["run-9"].is_suspect());
+    assert!(script.shard.jobs()["run-9"].is_crash_looping());
     let fixed = |_: &str, _: &str| TaskState::Running;
     let tried = (0..80).any(|_| run_one_second(&mut script, &MACHINES, &fixed) > 0);
     assert!(tried);
@@ -216,7 +216,7 @@
         run_one_second(&mut script, &MACHINES, &faulty);
     }
     let job = &script.shard.jobs()["run-1"];
-    assert!(!job.is_suspect());
+    assert!(!job.is_crash_looping());
     assert_eq!(job.live().len(), 6, "all the capacity of sound machines");
 }
 
@@ -287,6 +287,6 @@
         run_one_second(&mut script, &MACHINES, &fails_everywhere);
     }
     let job = &script.shard.jobs()["run-9"];
-    assert!(job.is_suspect());
+    assert!(job.is_crash_looping());
     assert_eq!(job.waiting() + job.live().len() as u32, 24);
 }
