--- a/src/coordination/leadership/stored_records.rs
+++ b/src/coordination/leadership/stored_records.rs
@@ -104,7 +104,7 @@
 fn parse_roster_page(item: &KeyValue) -> Vec<RecoveredMachine> {
     let page = item.key.strip_prefix(&keys::roster_prefix());
     let page = page.and_then(|page| page.parse().ok());
-    let (Some(page), Some(machines)) = (page, roster::read_page(&item.value)) else {
+    let (Some(page), Ok(machines)) = (page, roster::decode_page(&item.value)) else {
         tracing::error!(key = item.key, "a page of the roster can't be read");
         return Vec::new();
     };
--- a/src/coordination/node/mod.rs
+++ b/src/coordination/node/mod.rs
@@ -19,9 +19,9 @@
 use crate::coordination::worker_leases::cancellation_freshness;
 use crate::protocol::JobId;
 use crate::settings::Settings;
-use crate::storage::budget::Turns;
 use crate::storage::job_index::JobIndex;
 use crate::storage::kv_client::{KvClient, KvError};
+use crate::storage::rate_limiter::RateLimiter;
 use crate::storage::records::JobRecord;
 use crate::transport::client::HttpClient;
 
@@ -81,7 +81,7 @@
     /// Probes that may be under way to workers.
     pub probes: Semaphore,
     /// This controller's share of the writes, for users.
-    pub user_writes: Turns,
+    pub user_writes: RateLimiter,
     /// The client for the other controllers.
     pub peers_http: HttpClient,
     /// Tells this run of the process from earlier ones.
@@ -101,7 +101,7 @@
         let started = clock.now();
         let job_index = JobIndex::new(catch_up_pace(&settings));
         let rate = settings.platform.settings.kv.planned().write_rps * USER_WRITE_SHARE;
-        let user_writes = Turns::new(rate, LONGEST_TURN);
+        let user_writes = RateLimiter::new(rate, LONGEST_TURN);
         let sockets = settings.platform.settings.resources.max_connections;
         Arc::new(Self {
             policy: Policy::new(&settings),
@@ -167,7 +167,7 @@
                 .map(|job| job.id.clone())
                 .collect();
             for id in over {
-                let stage = self.job_index.final_state(&id).map(|(stage, _)| stage);
+                let stage = self.job_index.final_state(&id).map(|state| state.stage);
                 shard.job_finished(&id, stage);
             }
         });
--- a/src/coordination/peering/cancellations.rs
+++ b/src/coordination/peering/cancellations.rs
@@ -9,9 +9,7 @@
 use super::{ROUND_DEADLINE, post};
 use crate::coordination::clock_drift;
 use crate::coordination::node::Node;
-use crate::protocol::peer_messages::{
-    CANCELLATIONS, CancellationsRequest, CancelledJob, ConfirmedCancellations,
-};
+use crate::protocol::peer_messages::{CANCELLATIONS, CancellationsRequest, ConfirmedCancellations};
 use crate::settings::platform::Peer;
 
 /// Age of the last look at the jobs past which others are asked what they told.
@@ -27,10 +25,7 @@
     let jobs = node.job_index.cancelled_after(asked.after);
     ConfirmedCancellations {
         up_ms: node.up_time().as_millis() as u64,
-        jobs: jobs.map(|jobs| {
-            let job = |(job, revision)| CancelledJob { job, revision };
-            jobs.into_iter().map(job).collect()
-        }),
+        jobs,
     }
 }
 
@@ -44,8 +39,7 @@
     let Some(jobs) = told.jobs else {
         return;
     };
-    let cancelled = jobs.into_iter().map(|told| (told.job, told.revision));
-    node.job_index.note_cancelled(cancelled.collect());
+    node.job_index.note_cancelled(jobs);
     node.notify_finished_jobs();
     let began = clock_drift::latest_start(Duration::from_millis(told.up_ms), node.now());
     let counts = node
--- a/src/coordination/peering/delegation.rs
+++ b/src/coordination/peering/delegation.rs
@@ -16,7 +16,7 @@
 use crate::protocol::kv::{KeyValue, Mutation, Transaction};
 use crate::protocol::workers::WorkerHeartbeat;
 use crate::settings::platform::Peer;
-use crate::storage::inventory::{Batch, whole_heartbeats};
+use crate::storage::inventory::{InventoryBatch, whole_heartbeats};
 use crate::storage::keys;
 use crate::storage::kv_client::KvError;
 use crate::storage::records::{
@@ -206,7 +206,7 @@
     page
 }
 
-fn next_batch(node: &Node, fencing_token: FencingToken) -> Option<Batch> {
+fn next_batch(node: &Node, fencing_token: FencingToken) -> Option<InventoryBatch> {
     let group = random_id();
     let mut inner = node.lock();
     let most = inner.delegate.inventory_bytes.unwrap_or(node.value_bytes());
--- a/src/coordination/requests/kv_access.rs
+++ b/src/coordination/requests/kv_access.rs
@@ -36,7 +36,7 @@
     node: &Node,
     transaction: &Transaction,
 ) -> Result<TransactionOutcome, KvError> {
-    let Some(wait) = node.user_writes.take(node.now()) else {
+    let Ok(wait) = node.user_writes.reserve(node.now()) else {
         return Err(KvError::Refused(Refusal::LocalRateLimit));
     };
     tokio::time::sleep(wait).await;
--- a/src/coordination/requests/routing.rs
+++ b/src/coordination/requests/routing.rs
@@ -13,6 +13,7 @@
 use super::response::UserResponse;
 use super::{cancellation, status_query, submission};
 use crate::coordination::node::Node;
+use crate::storage::job_index::FinalState;
 use crate::storage::kv_client::KvError;
 
 /// How long a submission or cancellation waits for the store before a peer is asked as well.
@@ -56,7 +57,7 @@
 fn route(node: &Node, operation: &Operation) -> Route {
     // A final state never changes.
     if let Operation::Poll { id } = operation
-        && let Some((stage, tasks)) = node.job_index.final_state(id)
+        && let Some(FinalState { stage, tasks }) = node.job_index.final_state(id)
     {
         return Route::Immediate(UserResponse::finished_job(id, stage, tasks));
     }
@@ -113,7 +114,7 @@
 async fn hedge(node: &Arc<Node>, request: &UserRequest, delay: Duration) -> Option<UserResponse> {
     tokio::time::sleep(delay).await;
     // While writes queue here, the peers are as busy: the request's turn comes first here.
-    while node.user_writes.queue(node.now()) > Duration::ZERO {
+    while node.user_writes.delay(node.now()) > Duration::ZERO {
         tokio::time::sleep(WRITE_QUEUE_CHECK).await;
     }
     forward_to_peers(node, request).await
--- a/src/coordination/requests/status_query.rs
+++ b/src/coordination/requests/status_query.rs
@@ -6,7 +6,7 @@
 use super::response::UserResponse;
 use crate::coordination::node::Node;
 use crate::coordination::shard::TaskCounts;
-use crate::storage::job_index::JobStatus;
+use crate::storage::job_index::{FinalState, JobStatus};
 use crate::storage::kv_client::KvError;
 
 /// Answers with a job's state.
@@ -17,7 +17,9 @@
     retry_rate_limited(|| node.catch_up()).await?;
     match node.job_index.find(id) {
         JobStatus::Open => Ok(UserResponse::unfinished_job(id, task_counts(node, id))),
-        JobStatus::Finished(stage, tasks) => Ok(UserResponse::finished_job(id, stage, tasks)),
+        JobStatus::Finished(FinalState { stage, tasks }) => {
+            Ok(UserResponse::finished_job(id, stage, tasks))
+        }
         JobStatus::Unknown => Ok(match read_final(node, id).await? {
             Some(record) => UserResponse::finished_job(id, record.stage, record.tasks),
             None => UserResponse::not_found(),
--- a/src/coordination/shard/persistence/snapshots.rs
+++ b/src/coordination/shard/persistence/snapshots.rs
@@ -5,7 +5,7 @@
 use super::snapshot_rounds::CompletedAttempt;
 use crate::coordination::shard::{Job, Phase, Shard};
 use crate::protocol::workers::AttemptOutcome;
-use crate::storage::snapshot;
+use crate::storage::snapshot::{self, SnapshotRow, TaskPlacement};
 
 /// About how many bytes a placement takes in a snapshot.
 const PLACEMENT_BYTES: usize = 18;
@@ -21,15 +21,19 @@
         let unfinished = self.jobs.values().filter(|job| job.final_stage.is_none());
         let rows: Vec<_> = unfinished
             .map(|job| {
-                let placed = if with_placements {
+                let placements = if with_placements {
                     placements(job)
                 } else {
                     Vec::new()
                 };
-                (&*job.id, job.done(), placed)
+                SnapshotRow {
+                    job: &job.id,
+                    done: job.done(),
+                    placements,
+                }
             })
             .collect();
-        let chunks = snapshot::encode(rows.into_iter(), self.policy.value_bytes);
+        let chunks = snapshot::encode(rows, self.policy.value_bytes);
         let covered = self.unrecorded_completions();
         self.writes.begin_snapshot_round(&chunks, covered, now);
     }
@@ -73,12 +77,15 @@
 }
 
 /// The machines of a job's tasks, by task index.
-fn placements(job: &Job) -> Vec<(u32, String)> {
+fn placements(job: &Job) -> Vec<TaskPlacement> {
     let live = job.live().iter();
-    let mut placed: Vec<(u32, String)> = live
-        .map(|(index, machine)| (*index, machine.to_string()))
+    let mut placed: Vec<TaskPlacement> = live
+        .map(|(index, machine)| TaskPlacement {
+            index: *index,
+            machine: machine.to_string(),
+        })
         .collect();
-    placed.sort_unstable();
+    placed.sort_unstable_by_key(|placement| placement.index);
     placed
 }
 
--- a/src/coordination/shard/reconciler/recovery.rs
+++ b/src/coordination/shard/reconciler/recovery.rs
@@ -85,17 +85,16 @@
             );
         }
         for (id, progress) in snapshot::decode(recovered.chunks.values()) {
-            for machine in progress.placed.values() {
+            for machine in progress.placements.values() {
                 *shard
                     .snapshot_placements
                     .entry(machine.as_str().into())
                     .or_default() += 1;
             }
             if let Some(job) = shard.jobs.get_mut(id.as_str()) {
-                for (from, to) in progress.done.ranges() {
-                    for n in from..=to.min(job.spec.tasks - 1) {
-                        job.complete(n);
-                    }
+                let tasks = job.spec.tasks;
+                for index in progress.done.iter().take_while(|index| *index < tasks) {
+                    job.complete(index);
                 }
             }
         }
--- a/src/coordination/shard/tests/scale/cluster.rs
+++ b/src/coordination/shard/tests/scale/cluster.rs
@@ -15,7 +15,7 @@
 use crate::protocol::workers::{Command, TaskState, WorkerHeartbeat};
 use crate::protocol::{FencingToken, MachineId, TaskId};
 use crate::storage::keys;
-use crate::storage::roster::read_page;
+use crate::storage::roster::decode_page;
 
 pub(super) const MACHINES: usize = 4_000;
 pub(super) const TASKS: u32 = 1_000;
@@ -256,7 +256,7 @@
             .filter(|(key, _)| key.starts_with(&prefix));
         let machines = pages.flat_map(|(key, value)| {
             let page = key[prefix.len()..].parse().expect("a page");
-            let machines = read_page(value).expect("a page of the roster");
+            let machines = decode_page(value).expect("a page of the roster");
             machines
                 .into_iter()
                 .map(move |(id, record)| RecoveredMachine { id, page, record })
--- a/src/coordination/shard/tests/scale/records.rs
+++ b/src/coordination/shard/tests/scale/records.rs
@@ -14,7 +14,7 @@
 use crate::protocol::workers::TaskState;
 use crate::storage::keys;
 use crate::storage::records::RosterRecord;
-use crate::storage::roster::read_page;
+use crate::storage::roster::decode_page;
 
 fn roster_entry(n: usize) -> RosterRecord {
     RosterRecord {
@@ -64,7 +64,7 @@
     let mut names = BTreeSet::new();
     for (key, value) in &store {
         let page = key[keys::roster_prefix().len()..].parse().expect("a page");
-        for (id, record) in read_page(value).expect("a page") {
+        for (id, record) in decode_page(value).expect("a page") {
             read.load(page, MachineId::from(id.as_str()), record);
             names.insert(id);
         }
--- a/src/coordination/shard/tests/simulation/kv_store.rs
+++ b/src/coordination/shard/tests/simulation/kv_store.rs
@@ -15,7 +15,7 @@
 use crate::protocol::users::{JobKind, Stage};
 use crate::storage::keys;
 use crate::storage::records::{FORMAT_VERSION, FinalRecord, JobRecord};
-use crate::storage::roster::read_page;
+use crate::storage::roster::decode_page;
 
 /// How long a controller waits before it retries a write in an outage.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
@@ -66,7 +66,7 @@
         let mut recovered = Vec::new();
         for (key, value) in &self.roster {
             let page = key[keys::roster_prefix().len()..].parse().expect("a page");
-            for (id, record) in read_page(value).expect("a roster page") {
+            for (id, record) in decode_page(value).expect("a roster page") {
                 recovered.push(RecoveredMachine { id, page, record });
             }
         }
--- a/src/coordination/tests/cancellation_freshness.rs
+++ b/src/coordination/tests/cancellation_freshness.rs
@@ -91,7 +91,7 @@
             mod_revision: ACCEPTED,
         };
         for node in [&leader, &peer] {
-            node.job_index.take(vec![opened.clone()], LOOKED);
+            node.job_index.apply(vec![opened.clone()], LOOKED);
             node.lock().cancellations.caught_up(now);
         }
         leader.lock().leadership = Some(Leadership {
@@ -217,7 +217,7 @@
     gap.peer_cancels();
     gap.pass(second(2));
     let restarted = peer(gap.clock.clone());
-    restarted.job_index.take(Vec::new(), LOOKED);
+    restarted.job_index.apply(Vec::new(), LOOKED);
     for _ in 0..40 {
         gap.pass(second(1));
         gap.ask(&restarted);
@@ -251,7 +251,7 @@
         key: keys::job("run-000001"),
         mod_revision: CANCELLED,
     };
-    gap.leader.job_index.take(vec![gone], CANCELLED);
+    gap.leader.job_index.apply(vec![gone], CANCELLED);
     gap.leader.notify_finished_jobs();
     assert!(stops(gap.heartbeat()));
     // The watch, far behind, still tells of its acceptance.
--- a/src/storage/inventory.rs
+++ b/src/storage/inventory.rs
@@ -1,48 +1,52 @@
-//! What delegated workers hold, laid out as values of the key-value store.
+//! The layout of a delegate's inventory: the heartbeats of delegated workers, as values of the
+//! key-value store, from which the leader reconciles machines that it can't reach.
 //!
-//! A page holds whole heartbeats. A heartbeat that is larger than a value may be, since the
-//! limits were lowered, is divided into parts, each on a page of its own. An older
-//! version ignores the field with the parts, and so takes no part for a whole heartbeat:
-//! the machine is then reconciled by its worker's lease.
+//! A page has whole heartbeats. One that is larger than a value may be, which can only be since
+//! the limits were lowered, is split into parts, each on a page of its own. Versions that don't
+//! know parts ignore them, and so never take a part for a whole heartbeat: they reconcile the
+//! machine once its worker's lease has expired.
 
-use crate::protocol::FencingToken;
 use std::collections::BTreeMap;
 
 use super::records::{FORMAT_VERSION, HeartbeatPart, InventoryRecord};
+use crate::protocol::FencingToken;
 use crate::protocol::workers::{TaskStatus, WorkerHeartbeat};
 
-/// Room left in a page for its frame.
-const PAGE_FRAME: usize = 96;
-/// Room left in a page with a part for what the part adds to a heartbeat.
-const PART_FRAME: usize = 128;
+/// Bytes of a page that are kept free for what surrounds its heartbeats.
+const INVENTORY_PAGE_OVERHEAD_BYTES: usize = 96;
+/// Bytes of a page with a part that are kept free for the part's own fields.
+const PART_OVERHEAD_BYTES: usize = 128;
+/// What counts as the size of a value that can't be encoded: more than any page has, and far
+/// from an overflow when a few are added.
+const UNENCODABLE_BYTES: usize = usize::MAX / 4;
 
-/// Pages that belong together: a page of whole heartbeats, or all parts of one.
+/// Pages that are written together: one of whole heartbeats, or all parts of one heartbeat.
 #[derive(Debug)]
-pub struct Batch {
+pub struct InventoryBatch {
     /// The pages.
     pub pages: Vec<InventoryRecord>,
-    /// What the pages hold, to be laid out again if they can't be written.
+    /// The heartbeats on the pages, for [`PendingHeartbeats::put_back`] if the write fails.
     pub heartbeats: Vec<WorkerHeartbeat>,
 }
 
-/// The heartbeats of delegated workers, by machine, that no page holds yet.
+/// The latest heartbeats of delegated workers, by machine, that are on no page yet.
 #[derive(Debug, Default)]
 pub struct PendingHeartbeats {
     heartbeats: BTreeMap<String, WorkerHeartbeat>,
 }
 
 impl PendingHeartbeats {
-    /// Takes a heartbeat in; a newer one replaces it.
+    /// Adds a heartbeat in place of the machine's earlier one.
     pub fn insert(&mut self, heartbeat: WorkerHeartbeat) {
         self.heartbeats.insert(heartbeat.machine.clone(), heartbeat);
     }
 
-    /// Forgets all of them.
+    /// Removes all heartbeats.
     pub fn clear(&mut self) {
         self.heartbeats.clear();
     }
 
-    /// Takes heartbeats back that could not be written, unless there are newer ones.
+    /// Returns heartbeats that could not be written, except where there is a newer one.
     pub fn put_back(&mut self, heartbeats: Vec<WorkerHeartbeat>) {
         for heartbeat in heartbeats {
             self.heartbeats
@@ -51,86 +55,81 @@
         }
     }
 
-    /// Lays out the next heartbeats for values of this size; None if there are none.
-    /// `group` tells the parts of one heartbeat from those of all others.
+    /// Takes the next heartbeats that fit a value of this size together, or one that has to be
+    /// split; None if none are pending. `split_id` distinguishes the parts of one heartbeat from
+    /// those of all others.
     pub fn next_batch(
         &mut self,
         fencing_token: FencingToken,
         value_bytes: usize,
-        group: u64,
-    ) -> Option<Batch> {
-        let room = value_bytes.saturating_sub(PAGE_FRAME);
+        split_id: u64,
+    ) -> Option<InventoryBatch> {
+        let capacity = value_bytes.saturating_sub(INVENTORY_PAGE_OVERHEAD_BYTES);
         let mut heartbeats = Vec::new();
         let mut bytes = 0;
         while let Some(next) = self.heartbeats.first_entry() {
-            let size = json_size(next.get()) + 1;
-            if bytes + size > room && !heartbeats.is_empty() {
+            let size = json_bytes(next.get()) + 1;
+            if bytes + size > capacity && !heartbeats.is_empty() {
                 break;
             }
             bytes += size;
             heartbeats.push(next.remove());
-            if bytes > room {
-                return Some(divided(heartbeats, fencing_token, room, group));
-            }
         }
         if heartbeats.is_empty() {
             return None;
         }
-        let page = InventoryRecord {
-            format_version: FORMAT_VERSION,
-            fencing_token,
-            heartbeats: heartbeats.clone(),
-            parts: Vec::new(),
+        let pages = if bytes > capacity {
+            let split = |heartbeat| split(heartbeat, capacity, split_id);
+            let parts = heartbeats.iter().flat_map(split);
+            parts
+                .map(|part| page_with_part(part, fencing_token))
+                .collect()
+        } else {
+            vec![page_of_whole(heartbeats.clone(), fencing_token)]
         };
-        Some(Batch {
-            pages: vec![page],
-            heartbeats,
-        })
+        Some(InventoryBatch { pages, heartbeats })
     }
 }
 
-/// Divides a heartbeat, the only one of these, into as many parts as it needs.
-fn divided(
-    heartbeats: Vec<WorkerHeartbeat>,
-    fencing_token: FencingToken,
-    room: usize,
-    group: u64,
-) -> Batch {
-    let parts = heartbeats
-        .iter()
-        .flat_map(|heartbeat| divide(heartbeat, room, group));
-    let pages = parts.map(|part| InventoryRecord {
+fn page_of_whole(heartbeats: Vec<WorkerHeartbeat>, fencing_token: FencingToken) -> InventoryRecord {
+    InventoryRecord {
+        format_version: FORMAT_VERSION,
+        fencing_token,
+        heartbeats,
+        parts: Vec::new(),
+    }
+}
+
+fn page_with_part(part: HeartbeatPart, fencing_token: FencingToken) -> InventoryRecord {
+    InventoryRecord {
         format_version: FORMAT_VERSION,
         fencing_token,
         heartbeats: Vec::new(),
         parts: vec![part],
-    });
-    Batch {
-        pages: pages.collect(),
-        heartbeats,
     }
 }
 
-fn divide(heartbeat: &WorkerHeartbeat, room: usize, group: u64) -> Vec<HeartbeatPart> {
-    let part = |first: usize, tasks: &[TaskStatus]| HeartbeatPart {
-        split_id: group,
+/// Splits a heartbeat into as many parts as its tasks need, each with at least one task.
+fn split(heartbeat: &WorkerHeartbeat, capacity: usize, split_id: u64) -> Vec<HeartbeatPart> {
+    let part = |first_task: usize, tasks: &[TaskStatus]| HeartbeatPart {
+        split_id,
         total_tasks: heartbeat.tasks.len(),
-        first_task: first,
+        first_task,
         heartbeat: WorkerHeartbeat {
             tasks: tasks.to_vec(),
             ..without_tasks(heartbeat)
         },
     };
-    let frame = json_size(&without_tasks(heartbeat)) + PART_FRAME;
+    let overhead = json_bytes(&without_tasks(heartbeat)) + PART_OVERHEAD_BYTES;
     let mut parts = Vec::new();
     let mut first = 0;
-    let mut bytes = frame;
-    for (at, task) in heartbeat.tasks.iter().enumerate() {
-        let size = json_size(task) + 1;
-        if bytes + size > room && at > first {
-            parts.push(part(first, &heartbeat.tasks[first..at]));
-            first = at;
-            bytes = frame;
+    let mut bytes = overhead;
+    for (index, task) in heartbeat.tasks.iter().enumerate() {
+        let size = json_bytes(task) + 1;
+        if bytes + size > capacity && index > first {
+            parts.push(part(first, &heartbeat.tasks[first..index]));
+            first = index;
+            bytes = overhead;
         }
         bytes += size;
     }
@@ -153,23 +152,23 @@
     }
 }
 
-fn json_size(value: &impl serde::Serialize) -> usize {
-    serde_json::to_vec(value).map_or(usize::MAX / 4, |text| text.len())
+fn json_bytes(value: &impl serde::Serialize) -> usize {
+    serde_json::to_vec(value).map_or(UNENCODABLE_BYTES, |text| text.len())
 }
 
-/// All heartbeats that pages of one fencing token hold whole, in one piece or in parts. A heartbeat
-/// of which a part is missing is left out: less than all that a machine holds must
-/// never be taken for all.
+/// All heartbeats that these pages have whole, in one piece or in parts, if they were received
+/// on behalf of the leader with this fencing token. A heartbeat of which a part is missing is
+/// left out: some of a machine's tasks must never be taken for all of them.
 pub fn whole_heartbeats(
     pages: impl IntoIterator<Item = InventoryRecord>,
     fencing_token: FencingToken,
 ) -> Vec<WorkerHeartbeat> {
     let mut heartbeats = Vec::new();
     let mut parts: BTreeMap<(u64, String), Vec<HeartbeatPart>> = BTreeMap::new();
-    for page in pages
-        .into_iter()
-        .filter(|page| page.fencing_token == fencing_token)
-    {
+    for page in pages {
+        if page.fencing_token != fencing_token {
+            continue;
+        }
         heartbeats.extend(page.heartbeats);
         for part in page.parts {
             let key = (part.split_id, part.heartbeat.machine.clone());
@@ -184,18 +183,18 @@
 fn join(mut parts: Vec<HeartbeatPart>) -> Option<WorkerHeartbeat> {
     parts.sort_by_key(|part| part.first_task);
     let first = parts.first()?;
-    let total = first.total_tasks;
+    let total_tasks = first.total_tasks;
     let mut joined = without_tasks(&first.heartbeat);
     for part in parts {
-        let heartbeat = &part.heartbeat;
-        let same = (part.total_tasks, heartbeat.agent_epoch, heartbeat.sequence)
-            == (total, joined.agent_epoch, joined.sequence);
-        if !same || part.first_task != joined.tasks.len() {
+        let same_heartbeat = part.total_tasks == total_tasks
+            && part.heartbeat.agent_epoch == joined.agent_epoch
+            && part.heartbeat.sequence == joined.sequence;
+        if !same_heartbeat || part.first_task != joined.tasks.len() {
             return None;
         }
         joined.tasks.extend(part.heartbeat.tasks);
     }
-    (joined.tasks.len() == total).then_some(joined)
+    (joined.tasks.len() == total_tasks).then_some(joined)
 }
 
 #[cfg(test)]
--- a/src/storage/job_index.rs
+++ b/src/storage/job_index.rs
@@ -1,245 +1,185 @@
-//! What one controller knows of all jobs, brought up to date by single looks
-//! at the key-value store that answer many users at once.
+//! One controller's index of all jobs: which are open, and in which final state the latest
+//! others ended.
 //!
-//! A look is a `follow` that doesn't wait: its answer holds every change up to
-//! its revision, so whatever the job index says then was true at some moment
-//! after the look was sent. Final states never change and need no look.
+//! [`JobIndex::catch_up`] makes reads of the index linearizable: it reads every change of the
+//! jobs' records up to the store's current revision, so that whatever the index then says was
+//! true at some moment after the call. Callers that wait at the same time share one read, which
+//! keeps the cost of many users' polls to a few requests a second. A final state never changes
+//! and needs no catch-up read.
 
-use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
-use std::sync::{Mutex, MutexGuard};
+use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
+use self::state::IndexState;
 use super::keys;
 use super::kv_client::{KvClient, KvError};
 use super::records::FinalRecord;
 use crate::clock::Clock;
-use crate::protocol::kv::{KeyValue, WatchEvent};
+use crate::protocol::kv::WatchEvent;
+use crate::protocol::peer_messages::CancelledJob;
 use crate::protocol::users::Stage;
 
-/// Final states that are remembered; older ones are read singly.
-const MOST_FINAL: usize = 20_000;
-/// Cancelled jobs of which other controllers can be told.
-const MOST_CANCELLED: usize = 2_000;
-/// Deadline of a look.
+mod state;
+
+/// Deadline of a catch-up read.
 const CATCH_UP_DEADLINE: Duration = Duration::from_millis(1200);
-/// Deadline of reading all open jobs.
+/// Deadline of each page when all open jobs are listed.
 const RELOAD_DEADLINE: Duration = Duration::from_millis(1500);
 
-/// What the job index says of a job.
+/// A job's final state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum JobStatus {
-    /// Accepted, and neither done nor cancelled.
-    Open,
-    /// Over, and how many tasks it had.
-    Finished(Stage, u32),
-    /// Not open; whether it is over or never was, only its record tells.
-    Unknown,
-}
-
-#[derive(Debug, Default)]
-struct IndexState {
-    /// The revision up to which it is complete; None before the first load.
-    revision: Option<u64>,
-    open: HashSet<String>,
-    finished: HashMap<String, (Stage, u32)>,
-    /// Final jobs in the order in which they came.
-    order: VecDeque<String>,
-    /// Cancelled jobs by the revision at which they were, the latest ones.
-    cancelled: BTreeMap<u64, String>,
-    /// What was cancelled up to this revision isn't all in there any more.
-    dropped: u64,
-    /// How often something was found to be open no more.
-    endings: u64,
+pub struct FinalState {
+    /// Done or cancelled.
+    pub stage: Stage,
+    /// How many tasks the job had.
+    pub tasks: u32,
 }
 
-impl IndexState {
-    fn remember(&mut self, id: &str, stage: Stage, tasks: u32, revision: u64) {
-        self.open.remove(id);
-        self.endings += 1;
-        if self
-            .finished
-            .insert(id.to_owned(), (stage, tasks))
-            .is_none()
-        {
-            self.order.push_back(id.to_owned());
-        }
-        if stage == Stage::Cancelled {
-            self.cancelled.insert(revision, id.to_owned());
-        }
-        while self.cancelled.len() > MOST_CANCELLED {
-            if let Some((revision, _)) = self.cancelled.pop_first() {
-                self.dropped = self.dropped.max(revision);
-            }
-        }
-        while self.order.len() > MOST_FINAL {
-            if let Some(oldest) = self.order.pop_front() {
-                self.finished.remove(&oldest);
-            }
+impl From<&FinalRecord> for FinalState {
+    fn from(record: &FinalRecord) -> Self {
+        Self {
+            stage: record.stage,
+            tasks: record.tasks,
         }
     }
+}
 
-    fn load(&mut self, items: &[KeyValue], revision: u64) {
-        let ids = items
-            .iter()
-            .filter_map(|item| item.key.strip_prefix(keys::JOBS));
-        self.open = ids.map(str::to_owned).collect();
-        self.revision = Some(revision);
-        self.endings += 1;
-    }
-
-    fn take(&mut self, events: Vec<WatchEvent>, revision: u64) {
-        for event in events {
-            match event {
-                WatchEvent::Put {
-                    key,
-                    value,
-                    mod_revision,
-                } => {
-                    if let Some(id) = key.strip_prefix(keys::JOBS) {
-                        self.open.insert(id.to_owned());
-                    } else if let Some(id) = key.strip_prefix(keys::FINAL_JOBS)
-                        && let Ok(last) = serde_json::from_value::<FinalRecord>(value)
-                    {
-                        self.remember(id, last.stage, last.tasks, mod_revision);
-                    }
-                }
-                WatchEvent::Delete { key, .. } => {
-                    if let Some(id) = key.strip_prefix(keys::JOBS) {
-                        self.open.remove(id);
-                        self.endings += 1;
-                    }
-                }
-            }
-        }
-        self.revision = self.revision.max(Some(revision));
-    }
+/// What the index knows of a job.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum JobStatus {
+    /// Accepted, and neither done nor cancelled.
+    Open,
+    /// In its final state.
+    Finished(FinalState),
+    /// Not open. Only the store tells whether it ended long ago or never existed.
+    Unknown,
 }
 
-/// The last look: when it was sent, and how it went.
-type LastCatchUp = Option<(Instant, Result<(), KvError>)>;
+/// The last catch-up read: when it was sent, and its result, which all waiting callers share.
+#[derive(Debug)]
+struct LastCatchUp {
+    sent: Instant,
+    result: Result<(), KvError>,
+}
 
-/// All jobs as one controller knows them.
+/// The index of all jobs, shared by everything in one controller that needs it.
 pub struct JobIndex {
-    index: Mutex<IndexState>,
-    last: tokio::sync::Mutex<LastCatchUp>,
-    /// Least pause between the sending of two looks.
-    pace: Duration,
+    state: Mutex<IndexState>,
+    /// Held while a catch-up read is under way, so that there is one at a time.
+    last_catch_up: tokio::sync::Mutex<Option<LastCatchUp>>,
+    /// Least time between the sending of two catch-up reads.
+    catch_up_interval: Duration,
 }
 
 impl JobIndex {
-    /// A job index that catches up at most once in this time.
-    pub fn new(pace: Duration) -> Self {
+    /// An empty index that sends at most one catch-up read in this time.
+    pub fn new(catch_up_interval: Duration) -> Self {
         Self {
-            index: Mutex::default(),
-            last: tokio::sync::Mutex::new(None),
-            pace,
+            state: Mutex::default(),
+            last_catch_up: tokio::sync::Mutex::new(None),
+            catch_up_interval,
         }
     }
 
-    fn index(&self) -> MutexGuard<'_, IndexState> {
-        self.index.lock().unwrap_or_else(|e| e.into_inner())
+    fn state(&self) -> MutexGuard<'_, IndexState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A job's final state, if it is known: it needs no look.
-    pub fn final_state(&self, id: &str) -> Option<(Stage, u32)> {
-        self.index().finished.get(id).copied()
+    /// A job's final state, if the index has it. True at any time, without a catch-up read.
+    pub fn final_state(&self, id: &str) -> Option<FinalState> {
+        self.state().final_state(id)
     }
 
-    /// Notes a final record that was written or read at a revision.
-    pub fn record_final(&self, id: &str, last: &FinalRecord, revision: u64) {
-        self.index().remember(id, last.stage, last.tasks, revision);
+    /// Records a final state that was written or read at this store revision.
+    pub fn record_final(&self, id: &str, record: &FinalRecord, revision: u64) {
+        self.state().record_final(id, record.into(), revision);
     }
 
-    /// Another controller says that these jobs were cancelled, and when.
-    pub fn note_cancelled(&self, cancelled: Vec<(String, u64)>) {
-        let mut index = self.index();
-        for (id, revision) in cancelled {
-            // Its number of tasks doesn't matter: none of them counts as done.
-            let tasks = index.finished.get(&id).map_or(0, |(_, tasks)| *tasks);
-            index.remember(&id, Stage::Cancelled, tasks, revision);
+    /// Records cancellations that another controller has confirmed to users.
+    pub fn note_cancelled(&self, cancelled: Vec<CancelledJob>) {
+        let mut state = self.state();
+        for CancelledJob { job, revision } in cancelled {
+            state.record_cancelled(&job, revision);
         }
     }
 
-    /// All jobs that were cancelled after a revision, as far as this controller
-    /// has told anybody, with their revisions; None if they may not be all.
-    pub fn cancelled_after(&self, revision: u64) -> Option<Vec<(String, u64)>> {
-        let index = self.index();
-        let after = index.cancelled.range(revision.saturating_add(1)..);
-        (revision >= index.dropped).then(|| after.map(|(at, id)| (id.clone(), *at)).collect())
+    /// All jobs known to be cancelled at a later revision than this, in the order of their
+    /// revisions; None if some have been forgotten, so that the list may not be complete.
+    pub fn cancelled_after(&self, revision: u64) -> Option<Vec<CancelledJob>> {
+        self.state().cancelled_after(revision)
     }
 
-    /// The revision up to which it is complete.
+    /// The store revision up to which the index is complete; None before the first load.
     pub fn revision(&self) -> Option<u64> {
-        self.index().revision
+        self.state().revision()
     }
 
-    /// Rises whenever something is found to be open no more.
+    /// A count that rises whenever some job may have ceased to be open: compared with an earlier
+    /// value, it tells whether [`Self::has_ended`] may give another answer.
     pub fn finished_count(&self) -> u64 {
-        self.index().endings
+        self.state().finished_count()
     }
 
-    /// Whether a job whose record has this version is known to be over.
+    /// Whether the job whose record had this revision is known to have ended.
     pub fn has_ended(&self, id: &str, mod_revision: u64) -> bool {
-        let index = self.index();
-        index.finished.contains_key(id)
-            || (!index.open.contains(id) && index.revision.is_some_and(|at| mod_revision <= at))
+        self.state().has_ended(id, mod_revision)
     }
 
-    /// Whether a job was open at the last look.
+    /// Whether the job was open at the last catch-up read.
     pub fn is_open(&self, id: &str) -> bool {
-        self.index().open.contains(id)
+        self.state().is_open(id)
     }
 
-    /// What is known of a job, as of the last look.
+    /// What is known of a job as of the last catch-up read.
     pub fn find(&self, id: &str) -> JobStatus {
-        let index = self.index();
-        match index.finished.get(id) {
-            Some((stage, tasks)) => JobStatus::Finished(*stage, *tasks),
-            None if index.open.contains(id) => JobStatus::Open,
-            None => JobStatus::Unknown,
-        }
+        self.state().find(id)
     }
 
-    /// Returns once a look that was sent after this call has been answered, with
-    /// the moment at which it was. All who wait then share it, and its failure.
-    pub async fn catch_up(&self, state: &KvClient, clock: &dyn Clock) -> Result<Instant, KvError> {
-        let asked = clock.now();
-        let mut last = self.last.lock().await;
-        if let Some((sent, result)) = &*last {
-            if *sent >= asked {
-                return result.clone().map(|()| *sent);
+    /// Returns once a catch-up read that was sent after this call has been answered, with the
+    /// time at which it was sent. All callers that wait share one read, and its failure.
+    pub async fn catch_up(&self, kv: &KvClient, clock: &dyn Clock) -> Result<Instant, KvError> {
+        let called = clock.now();
+        let mut last = self.last_catch_up.lock().await;
+        if let Some(last) = &*last {
+            if last.sent >= called {
+                return last.result.clone().map(|()| last.sent);
             }
-            let rest = (*sent + self.pace).saturating_duration_since(clock.now());
-            tokio::time::sleep(rest).await;
+            let next = last.sent + self.catch_up_interval;
+            tokio::time::sleep(next.saturating_duration_since(clock.now())).await;
         }
         let sent = clock.now();
-        let result = self.refresh(state).await;
-        *last = Some((sent, result.clone()));
+        let result = self.refresh(kv).await;
+        *last = Some(LastCatchUp {
+            sent,
+            result: result.clone(),
+        });
         result.map(|()| sent)
     }
 
-    /// Takes in all changes up to a revision.
-    pub(crate) fn take(&self, events: Vec<WatchEvent>, revision: u64) {
-        self.index().take(events, revision);
+    /// Applies all changes of job records up to a revision.
+    pub(crate) fn apply(&self, events: Vec<WatchEvent>, revision: u64) {
+        self.state().apply(events, revision);
     }
 
-    async fn refresh(&self, state: &KvClient) -> Result<(), KvError> {
-        let revision = self.index().revision;
+    /// Reads the changes since the last read, or all open jobs if the store no longer has those
+    /// changes.
+    async fn refresh(&self, kv: &KvClient) -> Result<(), KvError> {
+        let revision = self.revision();
         if let Some(revision) = revision {
-            match state
+            match kv
                 .catch_up(keys::ALL_JOBS, revision, CATCH_UP_DEADLINE)
                 .await
             {
                 Ok(page) => {
-                    self.take(page.events, page.revision);
+                    self.apply(page.events, page.revision);
                     return Ok(());
                 }
                 Err(KvError::TooOld) => {}
                 Err(error) => return Err(error),
             }
         }
-        let (items, revision) = state.list(keys::JOBS, RELOAD_DEADLINE).await?;
-        self.index().load(&items, revision);
+        let (items, revision) = kv.list(keys::JOBS, RELOAD_DEADLINE).await?;
+        self.state().load(&items, revision);
         Ok(())
     }
 }
--- /dev/null
+++ b/src/storage/job_index/state.rs
@@ -0,0 +1,158 @@
+//! The index itself: a pure state that events are applied to.
+
+use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
+
+use super::{FinalState, JobStatus};
+use crate::protocol::kv::{KeyValue, WatchEvent};
+use crate::protocol::peer_messages::CancelledJob;
+use crate::protocol::users::Stage;
+use crate::storage::keys;
+use crate::storage::records::FinalRecord;
+
+/// Most final states that are kept; those of other jobs are read from the store one by one.
+pub(super) const MAX_FINAL_STATES: usize = 20_000;
+/// Most cancellations that are kept for other controllers to ask for.
+const MAX_CANCELLATIONS: usize = 2_000;
+
+/// What is known of all jobs up to one store revision.
+#[derive(Debug, Default)]
+pub(super) struct IndexState {
+    /// The revision up to which it is complete; None before the first load.
+    revision: Option<u64>,
+    open: HashSet<String>,
+    finished: HashMap<String, FinalState>,
+    /// The jobs of `finished`, the one recorded first in front.
+    finished_order: VecDeque<String>,
+    /// The latest cancelled jobs by the revision of their cancellation.
+    cancelled: BTreeMap<u64, String>,
+    /// The latest revision of a cancellation that was dropped from `cancelled`.
+    cancelled_dropped: u64,
+    /// Rises whenever a job may have ceased to be open.
+    finished_count: u64,
+}
+
+impl IndexState {
+    pub(super) fn revision(&self) -> Option<u64> {
+        self.revision
+    }
+
+    pub(super) fn finished_count(&self) -> u64 {
+        self.finished_count
+    }
+
+    pub(super) fn final_state(&self, id: &str) -> Option<FinalState> {
+        self.finished.get(id).copied()
+    }
+
+    pub(super) fn is_open(&self, id: &str) -> bool {
+        self.open.contains(id)
+    }
+
+    pub(super) fn has_ended(&self, id: &str, mod_revision: u64) -> bool {
+        self.finished.contains_key(id)
+            || (!self.open.contains(id) && self.revision.is_some_and(|known| mod_revision <= known))
+    }
+
+    pub(super) fn find(&self, id: &str) -> JobStatus {
+        match self.finished.get(id) {
+            Some(state) => JobStatus::Finished(*state),
+            None if self.open.contains(id) => JobStatus::Open,
+            None => JobStatus::Unknown,
+        }
+    }
+
+    pub(super) fn cancelled_after(&self, revision: u64) -> Option<Vec<CancelledJob>> {
+        if revision < self.cancelled_dropped {
+            return None;
+        }
+        let later = self.cancelled.range(revision.saturating_add(1)..);
+        let jobs = later.map(|(revision, job)| CancelledJob {
+            job: job.clone(),
+            revision: *revision,
+        });
+        Some(jobs.collect())
+    }
+
+    pub(super) fn record_cancelled(&mut self, id: &str, revision: u64) {
+        // The number of tasks doesn't matter: users see none of a cancelled job as done.
+        let tasks = self.final_state(id).map_or(0, |state| state.tasks);
+        let state = FinalState {
+            stage: Stage::Cancelled,
+            tasks,
+        };
+        self.record_final(id, state, revision);
+    }
+
+    pub(super) fn record_final(&mut self, id: &str, state: FinalState, revision: u64) {
+        self.open.remove(id);
+        self.finished_count += 1;
+        if self.finished.insert(id.to_owned(), state).is_none() {
+            self.finished_order.push_back(id.to_owned());
+        }
+        if state.stage == Stage::Cancelled {
+            self.cancelled.insert(revision, id.to_owned());
+        }
+        self.drop_oldest();
+    }
+
+    /// Keeps the index within its bounds.
+    fn drop_oldest(&mut self) {
+        while self.cancelled.len() > MAX_CANCELLATIONS {
+            if let Some((revision, _)) = self.cancelled.pop_first() {
+                self.cancelled_dropped = self.cancelled_dropped.max(revision);
+            }
+        }
+        while self.finished_order.len() > MAX_FINAL_STATES {
+            if let Some(oldest) = self.finished_order.pop_front() {
+                self.finished.remove(&oldest);
+            }
+        }
+    }
+
+    /// Replaces the open jobs by all that the store had at a revision.
+    pub(super) fn load(&mut self, items: &[KeyValue], revision: u64) {
+        let ids = items
+            .iter()
+            .filter_map(|item| item.key.strip_prefix(keys::JOBS));
+        self.open = ids.map(str::to_owned).collect();
+        self.revision = Some(revision);
+        self.finished_count += 1;
+    }
+
+    /// Applies all changes of job records up to a revision.
+    pub(super) fn apply(&mut self, events: Vec<WatchEvent>, revision: u64) {
+        for event in events {
+            self.apply_event(event);
+        }
+        self.revision = self.revision.max(Some(revision));
+    }
+
+    fn apply_event(&mut self, event: WatchEvent) {
+        match event {
+            WatchEvent::Put {
+                key,
+                value,
+                mod_revision,
+            } => {
+                if let Some(id) = key.strip_prefix(keys::JOBS) {
+                    self.open.insert(id.to_owned());
+                } else if let Some(id) = key.strip_prefix(keys::FINAL_JOBS)
+                    && let Ok(record) = serde_json::from_value::<FinalRecord>(value)
+                {
+                    self.record_final(id, (&record).into(), mod_revision);
+                }
+            }
+            WatchEvent::Delete { key, .. } => {
+                if let Some(id) = key.strip_prefix(keys::JOBS) {
+                    self.open.remove(id);
+                    self.finished_count += 1;
+                }
+            }
+        }
+    }
+
+    #[cfg(test)]
+    pub(super) fn finished_len(&self) -> usize {
+        self.finished.len()
+    }
+}
--- a/src/storage/job_index/tests.rs
+++ b/src/storage/job_index/tests.rs
@@ -1,5 +1,6 @@
 use serde_json::json;
 
+use super::state::MAX_FINAL_STATES;
 use super::*;
 
 fn put(key: &str, value: serde_json::Value) -> WatchEvent {
@@ -10,15 +11,22 @@
     }
 }
 
+fn done(tasks: u32) -> FinalState {
+    FinalState {
+        stage: Stage::Done,
+        tasks,
+    }
+}
+
 #[test]
-fn a_job_goes_from_open_to_over_and_old_final_states_are_forgotten() {
+fn a_job_goes_from_open_to_finished_and_old_final_states_are_dropped() {
     let job_index = JobIndex::new(Duration::ZERO);
     assert_eq!(job_index.find("run-1"), JobStatus::Unknown);
     let open = keys::job("run-1");
-    job_index.index().take(vec![put(&open, json!({}))], 5);
+    job_index.apply(vec![put(&open, json!({}))], 5);
     assert_eq!(job_index.find("run-1"), JobStatus::Open);
     assert_eq!(job_index.final_state("run-1"), None);
-    job_index.index().take(
+    job_index.apply(
         vec![WatchEvent::Delete {
             key: open,
             mod_revision: 6,
@@ -30,24 +38,43 @@
         JobStatus::Unknown,
         "its record tells"
     );
-    job_index.index().remember("run-1", Stage::Done, 3, 6);
-    assert_eq!(job_index.find("run-1"), JobStatus::Finished(Stage::Done, 3));
-    for n in 0..MOST_FINAL {
+    job_index.state().record_final("run-1", done(3), 6);
+    assert_eq!(job_index.find("run-1"), JobStatus::Finished(done(3)));
+    for n in 0..MAX_FINAL_STATES {
         job_index
-            .index()
-            .remember(&format!("run-9{n}"), Stage::Done, 1, 7);
+            .state()
+            .record_final(&format!("run-9{n}"), done(1), 7);
     }
     assert_eq!(job_index.find("run-1"), JobStatus::Unknown);
-    assert_eq!(job_index.index().finished.len(), MOST_FINAL);
+    assert_eq!(job_index.state().finished_len(), MAX_FINAL_STATES);
 }
 
 #[test]
 fn a_reload_drops_what_is_not_open_any_more() {
     let job_index = JobIndex::new(Duration::ZERO);
-    job_index
-        .index()
-        .take(vec![put(&keys::job("run-1"), json!({}))], 5);
-    job_index.index().load(&[], 9);
+    job_index.apply(vec![put(&keys::job("run-1"), json!({}))], 5);
+    job_index.state().load(&[], 9);
     assert_eq!(job_index.find("run-1"), JobStatus::Unknown);
-    assert_eq!(job_index.index().revision, Some(9));
+    assert_eq!(job_index.revision(), Some(9));
+}
+
+#[test]
+fn cancellations_are_listed_by_revision_until_the_oldest_are_dropped() {
+    let job_index = JobIndex::new(Duration::ZERO);
+    let cancelled = |number: u64| CancelledJob {
+        job: format!("run-{number}"),
+        revision: number,
+    };
+    job_index.note_cancelled(vec![cancelled(8), cancelled(5)]);
+    assert_eq!(
+        job_index.cancelled_after(4),
+        Some(vec![cancelled(5), cancelled(8)])
+    );
+    assert_eq!(job_index.cancelled_after(5), Some(vec![cancelled(8)]));
+    job_index.note_cancelled((100..2_099).map(cancelled).collect());
+    assert_eq!(job_index.cancelled_after(4), None, "5 was dropped");
+    assert_eq!(
+        job_index.cancelled_after(5).map(|jobs| jobs.len()),
+        Some(2_000)
+    );
 }
--- a/src/storage/keys.rs
+++ b/src/storage/keys.rs
@@ -1,27 +1,40 @@
 //! The layout of the key-value store's keys.
+//!
+//! | key | value | written by |
+//! | --- | --- | --- |
+//! | `j/open/JOB` | [`JobRecord`](super::records::JobRecord) | any controller, at a submission |
+//! | `j/over/JOB` | [`FinalRecord`](super::records::FinalRecord) | the leader, or any controller at a cancellation |
+//! | `o/SHARD/owner` | [`LeaderRecord`](super::records::LeaderRecord) | the controller that is elected |
+//! | `o/SHARD/keep/NODE` | [`DelegateRecord`](super::records::DelegateRecord) | the leader |
+//! | `k/SHARD/NODE/PAGE` | [`InventoryRecord`](super::records::InventoryRecord) | the delegate |
+//! | `s/SHARD/seq` | [`SequenceRecord`](super::records::SequenceRecord) | the leader, with each of its writes |
+//! | `s/SHARD/snap/BUCKET/PART` | a chunk of the [snapshot](super::snapshot) | the leader |
+//! | `m/SHARD/PAGE` | a page of the [roster](super::roster) | the leader |
+//! | `b/SHARD/REQUEST` | [`RentalRecord`](super::records::RentalRecord) | the leader |
+//! | `h/SHARD/NODE` | [`ReachabilityRecord`](super::records::ReachabilityRecord) | a controller that can't reach the leader |
 
 use super::records::SHARD;
 
 /// Prefix of all jobs.
 pub const ALL_JOBS: &str = "j/";
 
-/// Prefix of the jobs that are neither done nor cancelled.
+/// Prefix of the open jobs.
 pub const JOBS: &str = "j/open/";
 
-/// Prefix of the finished and cancelled jobs.
+/// Prefix of the jobs in a final state.
 pub const FINAL_JOBS: &str = "j/over/";
 
-/// An unfinished job.
+/// An open job.
 pub fn job(id: &str) -> String {
     format!("{JOBS}{id}")
 }
 
-/// A finished or cancelled job.
+/// A job in its final state.
 pub fn final_job(id: &str) -> String {
     format!("{FINAL_JOBS}{id}")
 }
 
-/// Prefix of what says who runs a shard.
+/// Prefix of the shard's leadership record and of its delegations, which one watch covers.
 pub fn leader_prefix() -> String {
     format!("o/{SHARD}/")
 }
@@ -31,18 +44,18 @@
     format!("o/{SHARD}/owner")
 }
 
-/// That a controller may keep workers which the leader can't hear. It stands
-/// beside the leadership record, so that one read tells of both.
+/// The delegation to a controller that workers reach while they can't reach the leader. It
+/// shares a prefix with the leadership record, so that one read returns both.
 pub fn delegate(node_id: &str) -> String {
     format!("o/{SHARD}/keep/{node_id}")
 }
 
-/// Prefix of what delegates say that their workers hold.
+/// Prefix of all delegates' inventories.
 pub fn inventory_prefix() -> String {
     format!("k/{SHARD}/")
 }
 
-/// One page of what a delegate says that its workers hold.
+/// One page of a delegate's inventory.
 pub fn inventory(node_id: &str, page: u32) -> String {
     format!("k/{SHARD}/{node_id}/{page:04}")
 }
@@ -62,32 +75,32 @@
     format!("s/{SHARD}/snap/{bucket:02}/{part:03}")
 }
 
-/// Prefix of the machines that may hold tasks.
+/// Prefix of the roster: the machines that may have tasks.
 pub fn roster_prefix() -> String {
     format!("m/{SHARD}/")
 }
 
-/// One page of the machines that may hold tasks.
+/// One page of the roster.
 pub fn roster_page(page: u32) -> String {
     format!("m/{SHARD}/{page:04}")
 }
 
-/// Prefix of the rentals that are not yet answered.
+/// Prefix of the pending rentals: scale-out requests whose answer isn't known yet.
 pub fn rental_prefix() -> String {
     format!("b/{SHARD}/")
 }
 
-/// A rental that is not yet answered.
+/// A pending rental.
 pub fn pending_rental(request: &str) -> String {
     format!("b/{SHARD}/{request}")
 }
 
-/// Prefix of what controllers that can't reach the leader say of the workers.
+/// Prefix of the reachability records.
 pub fn reachability_prefix() -> String {
     format!("h/{SHARD}/")
 }
 
-/// What one controller says of the workers that it hears.
+/// How many workers reach one controller that can't reach the leader.
 pub fn reachability(node_id: &str) -> String {
     format!("h/{SHARD}/{node_id}")
 }
--- a/src/storage/roster/tests.rs
+++ b/src/storage/roster/tests.rs
@@ -41,7 +41,7 @@
         let mut roster = Roster::default();
         for (key, value) in stored {
             let page = key[keys::roster_prefix().len()..].parse().expect("a page");
-            for (id, record) in read_page(value).expect("a page") {
+            for (id, record) in decode_page(value).expect("a page") {
                 roster.load(page, id.as_str().into(), record);
             }
         }
@@ -82,7 +82,7 @@
     assert!(stored.values().all(|page| page.to_string().len() <= 8192));
     let read: usize = stored
         .values()
-        .map(|page| read_page(page).expect("a page").len())
+        .map(|page| decode_page(page).expect("a page").len())
         .sum();
     assert_eq!(read, 1000);
     // One machine's end costs one write; the room is used again.
--- a/src/storage/snapshot.rs
+++ b/src/storage/snapshot.rs
@@ -1,5 +1,8 @@
-//! The shard's snapshot: which tasks are done and where the others were,
-//! spread over chunks so that only what changed is written again.
+//! The shard's snapshot: which tasks of each open job are done, and on which machines the others
+//! were last placed.
+//!
+//! It is spread over chunks, each a value of the store, by a hash of the job's id, so that a
+//! change of one job writes one chunk again. A job too large for one entry has several.
 
 use std::collections::BTreeMap;
 
@@ -8,43 +11,78 @@
 
 use super::keys;
 use super::records::FORMAT_VERSION;
+use super::task_set::{TaskSet, format_range};
 use crate::protocol::users::MAX_TASKS;
 
-use super::task_set::{TaskSet, write_range};
-
-/// Chunks that jobs are spread over by their id.
+/// Buckets that jobs are spread over by a hash of their id.
 const BUCKETS: usize = 8;
-/// Room left in a chunk for its frame.
-const CHUNK_FRAME: usize = 64;
-/// Longest piece of one job, in bytes of text, and in parts of a value.
-const PIECE: usize = 1024;
-const PIECES: usize = 4;
+/// Bytes of a chunk that are kept free for what surrounds its entries.
+const CHUNK_OVERHEAD_BYTES: usize = 64;
+/// Bytes that an entry takes beside its texts.
+const ENTRY_OVERHEAD_BYTES: usize = 32;
+/// Most bytes of each of an entry's two lists.
+const MAX_LIST_BYTES: usize = 1024;
+/// The same as a fraction of a value: one over this.
+const LISTS_PER_VALUE: usize = 4;
+
+/// One open job to be encoded.
+#[derive(Debug, Clone)]
+pub struct SnapshotRow<'a> {
+    /// The job's id.
+    pub job: &'a str,
+    /// Its tasks that are done.
+    pub done: &'a TaskSet,
+    /// The placements of its other tasks, in the order of their indices.
+    pub placements: Vec<TaskPlacement>,
+}
+
+/// Where a task was last placed.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct TaskPlacement {
+    /// The task's index in its job.
+    pub index: u32,
+    /// The machine.
+    pub machine: String,
+}
 
-/// One job's part of a snapshot.
+/// One job's state as it was decoded from a snapshot.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct JobProgress {
-    /// The tasks that have completed.
+    /// The tasks that are done.
     pub done: TaskSet,
-    /// Where its other tasks were.
-    pub placed: BTreeMap<u32, String>,
+    /// The machines on which other tasks were last placed, by the tasks' indices.
+    pub placements: BTreeMap<u32, String>,
 }
 
+/// An entry of a chunk: a job, or a part of one.
 #[derive(Debug, Serialize, Deserialize)]
-struct Piece {
-    j: String,
-    #[serde(default, skip_serializing_if = "String::is_empty")]
-    d: String,
-    #[serde(default, skip_serializing_if = "String::is_empty")]
-    p: String,
+struct Entry {
+    #[serde(rename = "j")]
+    job: String,
+    /// Ranges of the tasks that are done, as `0-4,7`.
+    #[serde(rename = "d", default, skip_serializing_if = "String::is_empty")]
+    done: String,
+    /// Placements, as `3@vm-1,9@vm-2`.
+    #[serde(rename = "p", default, skip_serializing_if = "String::is_empty")]
+    placements: String,
 }
 
+impl Entry {
+    fn bytes(&self) -> usize {
+        self.job.len() + self.done.len() + self.placements.len() + ENTRY_OVERHEAD_BYTES
+    }
+}
+
+/// One value of the store.
 #[derive(Debug, Serialize, Deserialize)]
 struct Chunk {
     #[serde(rename = "v")]
     format_version: u32,
-    jobs: Vec<Piece>,
+    #[serde(rename = "jobs")]
+    entries: Vec<Entry>,
 }
 
+/// The bucket of a job: FNV-1a of its id. It decides under which key a job is stored.
 fn bucket(id: &str) -> usize {
     let hash = id.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
@@ -52,99 +90,121 @@
     (hash % BUCKETS as u64) as usize
 }
 
-fn join_pieces(items: impl Iterator<Item = String>, longest: usize) -> Vec<String> {
-    let mut pieces: Vec<String> = Vec::new();
-    for item in items {
-        match pieces.last_mut() {
-            Some(last) if last.len() + item.len() < longest => {
-                last.push(',');
-                last.push_str(&item);
-            }
-            _ => pieces.push(item),
-        }
-    }
-    pieces
-}
-
-/// Lays jobs out as chunks of at most `value_bytes` each.
+/// Encodes jobs as chunks of at most `value_bytes` each, by key.
 pub fn encode<'a>(
-    jobs: impl Iterator<Item = (&'a str, &'a TaskSet, Vec<(u32, String)>)>,
+    rows: impl IntoIterator<Item = SnapshotRow<'a>>,
     value_bytes: usize,
 ) -> BTreeMap<String, Value> {
-    let mut buckets: Vec<Vec<Piece>> = (0..BUCKETS).map(|_| Vec::new()).collect();
-    let longest = PIECE.min(value_bytes / PIECES);
-    for (id, done, placed) in jobs {
-        let target = &mut buckets[bucket(id)];
-        let done = join_pieces(done.ranges().into_iter().map(write_range), longest);
-        let placed = join_pieces(
-            placed.into_iter().map(|(n, at)| format!("{n}@{at}")),
-            longest,
-        );
-        let rows = done.len().max(placed.len());
-        let (mut done, mut placed) = (done.into_iter(), placed.into_iter());
-        for _ in 0..rows {
-            target.push(Piece {
-                j: id.to_owned(),
-                d: done.next().unwrap_or_default(),
-                p: placed.next().unwrap_or_default(),
-            });
-        }
+    let max_list_bytes = MAX_LIST_BYTES.min(value_bytes / LISTS_PER_VALUE);
+    let mut buckets: Vec<Vec<Entry>> = (0..BUCKETS).map(|_| Vec::new()).collect();
+    for row in rows {
+        buckets[bucket(row.job)].extend(entries(row, max_list_bytes));
     }
-    let room = value_bytes.saturating_sub(CHUNK_FRAME);
+    let capacity = value_bytes.saturating_sub(CHUNK_OVERHEAD_BYTES);
     let mut chunks = BTreeMap::new();
-    for (bucket, pieces) in buckets.into_iter().enumerate() {
-        let mut part = 0;
-        let mut jobs = Vec::new();
-        let mut size = 0;
-        for piece in pieces {
-            let cost = piece.j.len() + piece.d.len() + piece.p.len() + 32;
-            if size + cost > room && !jobs.is_empty() {
-                push(&mut chunks, bucket, part, std::mem::take(&mut jobs));
-                part += 1;
-                size = 0;
+    for (bucket, entries) in buckets.into_iter().enumerate() {
+        for (part, entries) in divide(entries, capacity).into_iter().enumerate() {
+            let chunk = Chunk {
+                format_version: FORMAT_VERSION,
+                entries,
+            };
+            if let Ok(value) = serde_json::to_value(chunk) {
+                chunks.insert(keys::chunk(bucket, part), value);
             }
-            size += cost;
-            jobs.push(piece);
-        }
-        if !jobs.is_empty() {
-            push(&mut chunks, bucket, part, jobs);
         }
     }
     chunks
 }
 
-fn push(chunks: &mut BTreeMap<String, Value>, bucket: usize, part: usize, jobs: Vec<Piece>) {
-    let chunk = Chunk {
-        format_version: FORMAT_VERSION,
-        jobs,
-    };
-    if let Ok(value) = serde_json::to_value(chunk) {
-        chunks.insert(keys::chunk(bucket, part), value);
+/// One job's entries: the pieces of its two lists, side by side.
+fn entries(row: SnapshotRow<'_>, max_list_bytes: usize) -> Vec<Entry> {
+    let ranges = row.done.ranges();
+    let done = join_up_to(max_list_bytes, ranges.iter().map(format_range));
+    let placements = row
+        .placements
+        .into_iter()
+        .map(|TaskPlacement { index, machine }| format!("{index}@{machine}"));
+    let placements = join_up_to(max_list_bytes, placements);
+
+    let count = done.len().max(placements.len());
+    let (mut done, mut placements) = (done.into_iter(), placements.into_iter());
+    let mut entries = Vec::with_capacity(count);
+    for _ in 0..count {
+        entries.push(Entry {
+            job: row.job.to_owned(),
+            done: done.next().unwrap_or_default(),
+            placements: placements.next().unwrap_or_default(),
+        });
     }
+    entries
 }
 
-/// Reads chunks back; pieces of one job are joined.
-pub fn decode<'a>(chunks: impl Iterator<Item = &'a Value>) -> BTreeMap<String, JobProgress> {
+/// Joins items by commas into texts shorter than `max_bytes`, if no item alone is longer.
+fn join_up_to(max_bytes: usize, items: impl Iterator<Item = String>) -> Vec<String> {
+    let mut texts: Vec<String> = Vec::new();
+    for item in items {
+        match texts.last_mut() {
+            Some(last) if last.len() + item.len() < max_bytes => {
+                last.push(',');
+                last.push_str(&item);
+            }
+            _ => texts.push(item),
+        }
+    }
+    texts
+}
+
+/// Divides a bucket's entries into as many chunks as they need.
+fn divide(entries: Vec<Entry>, capacity: usize) -> Vec<Vec<Entry>> {
+    let mut chunks: Vec<Vec<Entry>> = Vec::new();
+    let mut used = 0;
+    for entry in entries {
+        let bytes = entry.bytes();
+        match chunks.last_mut() {
+            Some(chunk) if used + bytes <= capacity => {
+                used += bytes;
+                chunk.push(entry);
+            }
+            _ => {
+                used = bytes;
+                chunks.push(vec![entry]);
+            }
+        }
+    }
+    chunks
+}
+
+/// Decodes chunks, joining the entries of one job. A chunk that can't be decoded is left out:
+/// its tasks count as not done, and run again.
+pub fn decode<'a>(chunks: impl IntoIterator<Item = &'a Value>) -> BTreeMap<String, JobProgress> {
     let mut jobs: BTreeMap<String, JobProgress> = BTreeMap::new();
     for value in chunks {
-        let Ok(chunk) = Chunk::deserialize(value) else {
-            tracing::error!("a snapshot chunk can't be read; its tasks count as not done");
-            continue;
-        };
-        for piece in chunk.jobs {
-            let job = jobs.entry(piece.j).or_default();
-            job.done.read_ranges(&piece.d, MAX_TASKS as u32);
-            for entry in piece.p.split(',') {
-                if let Some((n, at)) = entry.split_once('@')
-                    && let Ok(n) = n.parse()
-                {
-                    job.placed.insert(n, at.to_owned());
+        match Chunk::deserialize(value) {
+            Ok(chunk) => {
+                for entry in chunk.entries {
+                    decode_entry(entry, &mut jobs);
                 }
             }
+            Err(error) => tracing::error!(%error, "cannot decode a snapshot chunk"),
         }
     }
     jobs
 }
 
+fn decode_entry(entry: Entry, jobs: &mut BTreeMap<String, JobProgress>) {
+    let job = entry.job;
+    let progress = jobs.entry(job.clone()).or_default();
+    if let Err(error) = progress.done.insert_ranges(&entry.done, MAX_TASKS as u32) {
+        tracing::error!(job, %error, "cannot decode the done tasks of a snapshot entry");
+    }
+    for placement in entry.placements.split(',') {
+        if let Some((index, machine)) = placement.split_once('@')
+            && let Ok(index) = index.parse()
+        {
+            progress.placements.insert(index, machine.to_owned());
+        }
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/storage/task_set.rs
+++ b/src/storage/task_set.rs
@@ -1,84 +1,125 @@
-//! A set of task numbers, stored as ranges.
+//! A set of task indices, stored as ranges.
 
-/// A growing set of numbers below 100,000, one bit each.
+use std::iter::successors;
+use std::ops::RangeInclusive;
+
+use thiserror::Error;
+
+const WORD_BITS: u32 = u64::BITS;
+
+/// A growing set of task indices, one bit each.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TaskSet {
     words: Vec<u64>,
     len: u32,
 }
 
+/// Why a text is not a list of ranges of task indices.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum RangeError {
+    /// A part of it is neither an index nor two of them.
+    #[error("{range:?} is not a range of task indices")]
+    Malformed {
+        /// The part.
+        range: String,
+    },
+    /// A range ends above the largest index.
+    #[error("{range:?} exceeds the largest task index, {max}")]
+    TooLarge {
+        /// The range.
+        range: String,
+        /// The largest index.
+        max: u32,
+    },
+}
+
 impl TaskSet {
-    /// How many numbers it holds.
+    /// How many indices it contains.
     pub fn len(&self) -> u32 {
         self.len
     }
 
-    /// Whether it holds none.
+    /// Whether it contains none.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Whether it holds a number.
-    pub fn contains(&self, n: u32) -> bool {
+    /// Whether it contains an index.
+    pub fn contains(&self, index: u32) -> bool {
         self.words
-            .get(n as usize / 64)
-            .is_some_and(|word| word >> (n % 64) & 1 == 1)
+            .get((index / WORD_BITS) as usize)
+            .is_some_and(|word| word >> (index % WORD_BITS) & 1 == 1)
     }
 
-    /// Adds a number; false if it was there.
-    pub fn insert(&mut self, n: u32) -> bool {
-        let at = n as usize / 64;
-        if at >= self.words.len() {
-            self.words.resize(at + 1, 0);
+    /// Adds an index; false if the set contained it.
+    pub fn insert(&mut self, index: u32) -> bool {
+        let word = (index / WORD_BITS) as usize;
+        if word >= self.words.len() {
+            self.words.resize(word + 1, 0);
         }
-        let bit = 1 << (n % 64);
-        let new = self.words[at] & bit == 0;
-        self.words[at] |= bit;
+        let bit = 1 << (index % WORD_BITS);
+        let new = self.words[word] & bit == 0;
+        self.words[word] |= bit;
         self.len += u32::from(new);
         new
     }
 
-    /// The numbers as inclusive ranges.
-    pub fn ranges(&self) -> Vec<(u32, u32)> {
-        let mut ranges: Vec<(u32, u32)> = Vec::new();
-        for (at, &word) in self.words.iter().enumerate() {
-            let mut left = word;
-            while left != 0 {
-                let n = at as u32 * 64 + left.trailing_zeros();
-                left &= left - 1;
-                match ranges.last_mut() {
-                    Some((_, end)) if *end + 1 == n => *end = n,
-                    _ => ranges.push((n, n)),
-                }
+    /// The indices in rising order.
+    pub fn iter(&self) -> impl Iterator<Item = u32> {
+        let words = (0_u32..).zip(&self.words);
+        words.flat_map(|(at, &word)| set_bits(word).map(move |bit| at * WORD_BITS + bit))
+    }
+
+    /// The longest ranges of consecutive indices, in rising order.
+    pub fn ranges(&self) -> Vec<RangeInclusive<u32>> {
+        let mut ranges: Vec<RangeInclusive<u32>> = Vec::new();
+        for index in self.iter() {
+            match ranges.last_mut() {
+                Some(last) if *last.end() + 1 == index => *last = *last.start()..=index,
+                _ => ranges.push(index..=index),
             }
         }
         ranges
     }
 
-    /// Adds ranges written as `0-4,7`; false if the text is not that.
-    pub fn read_ranges(&mut self, text: &str, below: u32) -> bool {
+    /// Adds ranges written as `0-4,7`, all below `limit`. At an error, the ranges before the
+    /// wrong one have been added.
+    pub fn insert_ranges(&mut self, text: &str, limit: u32) -> Result<(), RangeError> {
         for range in text.split(',').filter(|range| !range.is_empty()) {
-            let (from, to) = range.split_once('-').unwrap_or((range, range));
-            let (Ok(from), Ok(to)) = (from.parse::<u32>(), to.parse::<u32>()) else {
-                return false;
+            let (first, last) = range.split_once('-').unwrap_or((range, range));
+            let (Ok(first), Ok(last)) = (first.parse::<u32>(), last.parse::<u32>()) else {
+                return Err(RangeError::Malformed {
+                    range: range.to_owned(),
+                });
             };
-            if to >= below {
-                return false;
+            if last >= limit {
+                return Err(RangeError::TooLarge {
+                    range: range.to_owned(),
+                    max: limit.saturating_sub(1),
+                });
             }
-            for n in from..=to {
-                self.insert(n);
+            for index in first..=last {
+                self.insert(index);
             }
         }
-        true
+        Ok(())
     }
 }
 
-/// Writes one range as [`TaskSet::read_ranges`] reads it.
-pub fn write_range((from, to): (u32, u32)) -> String {
-    if from == to {
-        from.to_string()
+/// The positions of a word's bits that are set, in rising order.
+fn set_bits(word: u64) -> impl Iterator<Item = u32> {
+    let without_lowest = |rest: &u64| Some(rest & (rest - 1)).filter(|rest| *rest != 0);
+    let rests = successors(Some(word).filter(|word| *word != 0), without_lowest);
+    rests.map(u64::trailing_zeros)
+}
+
+/// Writes a range as [`TaskSet::insert_ranges`] reads it.
+pub fn format_range(range: &RangeInclusive<u32>) -> String {
+    let (first, last) = (range.start(), range.end());
+    if first == last {
+        first.to_string()
     } else {
-        format!("{from}-{to}")
+        format!("{first}-{last}")
     }
 }
 
--- a/src/storage/tests.rs
+++ b/src/storage/tests.rs
@@ -5,6 +5,7 @@
 use serde::de::DeserializeOwned;
 
 use super::records::{InventoryRecord, RentalRecord};
+use super::snapshot::{SnapshotRow, TaskPlacement};
 use super::task_set::TaskSet;
 use super::{keys, snapshot};
 use crate::protocol::FencingToken;
@@ -73,6 +74,13 @@
     set
 }
 
+fn placement(index: u32, machine: &str) -> TaskPlacement {
+    TaskPlacement {
+        index,
+        machine: machine.to_owned(),
+    }
+}
+
 fn stored(chunks: impl IntoIterator<Item = (String, serde_json::Value)>) -> Vec<(String, String)> {
     let text = |(key, value): (String, serde_json::Value)| (key, value.to_string());
     chunks.into_iter().map(text).collect()
@@ -86,26 +94,34 @@
 fn snapshot_chunks_keep_their_keys_and_bytes() {
     let done = task_set(&[0, 1, 2, 7]);
     let none = TaskSet::default();
+    let row = |job, done, placements: &[(u32, &str)]| SnapshotRow {
+        job,
+        done,
+        placements: placements
+            .iter()
+            .map(|(index, machine)| placement(*index, machine))
+            .collect(),
+    };
     let rows = [
-        (
-            "run-000006",
-            &done,
-            vec![(3, "vm-1".into()), (9, "vm-2".into())],
-        ),
-        ("run-000007", &none, vec![(0, "vm-3".into())]),
-        ("run-000008", &done, vec![]),
+        row("run-000006", &done, &[(3, "vm-1"), (9, "vm-2")]),
+        row("run-000007", &none, &[(0, "vm-3")]),
+        row("run-000008", &done, &[]),
     ];
-    let chunks = snapshot::encode(rows.into_iter(), 8192);
+    let chunks = snapshot::encode(rows, 8192);
     assert_eq!(stored(chunks.clone()), literal(SNAPSHOT));
     let read = snapshot::decode(chunks.values());
     assert_eq!(read["run-000006"].done, done);
-    assert_eq!(read["run-000006"].placed[&9], "vm-2");
-    assert_eq!(read["run-000007"].placed[&0], "vm-3");
+    assert_eq!(read["run-000006"].placements[&9], "vm-2");
+    assert_eq!(read["run-000007"].placements[&0], "vm-3");
 
-    let placed: Vec<(u32, String)> = (0..60)
-        .map(|index| (index, format!("vm-{index:06}")))
-        .collect();
-    let split = snapshot::encode([("run-000009", &done, placed)].into_iter(), 512);
+    let row = SnapshotRow {
+        job: "run-000009",
+        done: &done,
+        placements: (0..60)
+            .map(|index| placement(index, &format!("vm-{index:06}")))
+            .collect(),
+    };
+    let split = snapshot::encode([row], 512);
     assert_eq!(stored(split), literal(SPLIT_SNAPSHOT));
 }
 
--- a/tests/upgrade/frames.rs
+++ b/tests/upgrade/frames.rs
@@ -12,7 +12,7 @@
 use valegap::protocol::workers::{AttemptOutcome, TaskState};
 use valegap::storage::keys;
 use valegap::storage::records::{InventoryRecord, RosterRecord};
-use valegap::storage::roster::{Roster, read_page};
+use valegap::storage::roster::{Roster, decode_page};
 
 const ASKED: &str = "6712000000000000";
 const TOLD: &str = "72756e2d31363734313972756e2d303030303033000000008a000000e8ffffff7012000000000000\
@@ -107,7 +107,7 @@
         (key.as_str(), &*value.to_string()),
         ("m/0/0000", ROSTER_PAGE)
     );
-    let page = read_page(&serde_json::from_str(ROSTER_PAGE).expect("JSON")).expect("a page");
+    let page = decode_page(&serde_json::from_str(ROSTER_PAGE).expect("JSON")).expect("a page");
     assert_eq!(page["vm-000231"], record);
 }
 
