--- a/src/coordination/shard/scheduler/candidates.rs
+++ b/src/coordination/shard/scheduler/candidates.rs
@@ -87,11 +87,11 @@
     Cached,
 }
 
-/// The working state of one scheduling pass.
+/// The working state of one scheduling pass: what is left of the candidates and quotas
+/// after what the pass has placed and reserved.
 pub(super) struct SchedulingPass {
-    /// In the order of the machines' ids; an index into it stays valid for the pass.
-    pub(super) candidates: Vec<Candidate>,
-    pub(super) usage: Usage,
+    candidates: Vec<Candidate>,
+    usage: Usage,
     /// By image, its state on each candidate.
     image_states: HashMap<String, Vec<ImageState>>,
 }
@@ -105,6 +105,16 @@
         }
     }
 
+    /// The candidates in the order of their ids; an index stays valid for the pass.
+    pub(super) fn candidates(&self) -> &[Candidate] {
+        &self.candidates
+    }
+
+    /// What the teams use, with the tasks placed in this pass.
+    pub(super) fn usage(&self) -> &Usage {
+        &self.usage
+    }
+
     /// Notes the state of an image on each candidate, once a pass. Needed before the
     /// image's jobs are placed.
     pub(super) fn load_image_states(&mut self, image: &str, view: SchedulerView) {
@@ -141,6 +151,16 @@
             states[index] = states[index].max(ImageState::Pulling);
         }
     }
+
+    /// Sets resources on a candidate aside for a task that is not placed yet.
+    pub(super) fn set_aside(&mut self, index: usize, spec: &JobSpec) {
+        self.candidates[index].free.take(spec);
+    }
+
+    /// Closes a candidate to batch work for the rest of the pass.
+    pub(super) fn reserve_machine(&mut self, index: usize) {
+        self.candidates[index].reserved = true;
+    }
 }
 
 impl Shard {
--- a/src/coordination/shard/scheduler/gang/placement.rs
+++ b/src/coordination/shard/scheduler/gang/placement.rs
@@ -82,7 +82,7 @@
                 break;
             };
             pass.place_task(&spec, *index);
-            let machine = pass.candidates[*index].id.clone();
+            let machine = pass.candidates()[*index].id.clone();
             self.launch(id, task, &machine, attempt_number, now);
         }
         if let Some(job) = self.jobs.get_mut(id) {
@@ -120,7 +120,9 @@
             && self.placeable_tasks(job) >= missing
             && !job.gang.started
             && !hosts.any(stops)
-            && pass.usage.all_within_limit(self.policy, &job.spec, missing)
+            && pass
+                .usage()
+                .all_within_limit(self.policy, &job.spec, missing)
     }
 
     /// Candidates for so many tasks of a gang, one index each; `None` if too few fit.
@@ -143,7 +145,7 @@
             let zones = constraint.zones_in_use().cloned();
             return zones.map(ZoneChoice::Only).collect();
         }
-        let mut zones = zones_with_room(spec, &pass.candidates);
+        let mut zones = zones_with_room(spec, pass.candidates());
         zones.sort_by(|(_, a), (_, b)| {
             let tasks = |room: &ZoneRoom| room.fitting_tasks.min(spec.tasks);
             tasks(b)
@@ -165,7 +167,7 @@
         let mut constraint = self.zone_constraint(job);
         let mut indices = Vec::new();
         for candidate in self.ranked_gang_candidates(job, tasks, zone, pass) {
-            let zone = &pass.candidates[candidate.index].zone;
+            let zone = &pass.candidates()[candidate.index].zone;
             let left = tasks - indices.len() as u32;
             let Reverse(fitting) = candidate.fitting_tasks;
             let placed = fitting.min(left).min(constraint.remaining(zone));
@@ -183,9 +185,9 @@
         pass: &SchedulingPass,
     ) -> Vec<GangCandidate> {
         let spec = &job.spec;
-        let avoid_failed = job.failures.machines() < pass.candidates.len();
+        let avoid_failed = job.failures.machines() < pass.candidates().len();
         let mut ranked = Vec::new();
-        for (index, candidate) in pass.candidates.iter().enumerate() {
+        for (index, candidate) in pass.candidates().iter().enumerate() {
             let fitting_tasks = candidate.fitting_tasks(spec);
             let eligible = fitting_tasks > 0
                 && candidate.allows(spec)
@@ -222,7 +224,7 @@
         let spec = &job.spec;
         let missing = job.waiting();
         if self.placeable_tasks(job) < missing
-            || !pass.usage.all_within_limit(self.policy, spec, missing)
+            || !pass.usage().all_within_limit(self.policy, spec, missing)
         {
             return;
         }
@@ -232,10 +234,10 @@
         let indices = self.gang_machines_in(job, missing, &zone, pass);
         let short = missing as usize - indices.len();
         for index in indices {
-            pass.candidates[index].free.take(spec);
+            pass.set_aside(index, spec);
         }
         for index in emptiest_for_gang(job, &zone, pass).into_iter().take(short) {
-            pass.candidates[index].reserved = true;
+            pass.reserve_machine(index);
         }
     }
 }
@@ -257,10 +259,10 @@
 /// The candidates in a zone that a gang may use and that are not reserved, by falling free
 /// cores.
 fn emptiest_for_gang(job: &Job, zone: &ZoneChoice, pass: &SchedulingPass) -> Vec<usize> {
-    let free_cores = |index: &usize| pass.candidates[*index].free.cores;
-    let mut indices: Vec<usize> = (0..pass.candidates.len())
+    let free_cores = |index: &usize| pass.candidates()[*index].free.cores;
+    let mut indices: Vec<usize> = (0..pass.candidates().len())
         .filter(|index| {
-            let candidate = &pass.candidates[*index];
+            let candidate = &pass.candidates()[*index];
             !candidate.reserved
                 && candidate.allows(&job.spec)
                 && candidate.cost_acceptable(job)
--- a/src/coordination/shard/scheduler/mod.rs
+++ b/src/coordination/shard/scheduler/mod.rs
@@ -96,7 +96,7 @@
         progress: &mut PassProgress,
         now: Instant,
     ) {
-        while let Some((team, id)) = queues.next(&pass.usage, self.scheduler_view()) {
+        while let Some((team, id)) = queues.next(pass.usage(), self.scheduler_view()) {
             let placed = self.place_turn(&id, pass, progress, now);
             progress.placed_tasks += placed;
             if progress.is_full() {
@@ -150,7 +150,7 @@
                 break;
             };
             let spec = job.spec.clone();
-            if view.placeable_tasks(job) == 0 || !pass.usage.within_limit(view.policy, &spec) {
+            if view.placeable_tasks(job) == 0 || !pass.usage().within_limit(view.policy, &spec) {
                 break;
             }
             let all_reconciled = view.placements_reconciled(job);
@@ -163,7 +163,7 @@
                 break;
             };
             pass.place_task(&spec, index);
-            let machine = pass.candidates[index].id.clone();
+            let machine = pass.candidates()[index].id.clone();
             let attempt_number = self.new_attempt_number();
             self.launch(id, task, &machine, attempt_number, now);
             placed += 1;
@@ -229,3 +229,6 @@
         self.scheduler_view().tasks_by_zone(job)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/coordination/shard/scheduler/placement.rs
+++ b/src/coordination/shard/scheduler/placement.rs
@@ -34,7 +34,7 @@
         {
             return None;
         }
-        pass.candidates
+        pass.candidates()
             .iter()
             .enumerate()
             .filter(|(index, candidate)| {
@@ -50,11 +50,11 @@
         let spec = &job.spec;
         let zones = self.zone_constraint(job);
         let pinned_zone = if zones.must_choose_zone() {
-            Some(zone_with_most_room(spec, &pass.candidates)?)
+            Some(zone_with_most_room(spec, pass.candidates())?)
         } else {
             zones.zones_in_use().next().filter(|_| spec.one_zone)
         };
-        let avoid_failed = job.failures.machines() < pass.candidates.len();
+        let avoid_failed = job.failures.machines() < pass.candidates().len();
         let keep_with_services = self.must_stay_with_services(job, &zones, pass);
         let eligible = |candidate: &Candidate| {
             candidate.fits(spec)
@@ -81,7 +81,7 @@
         let spec = &job.spec;
         spec.kind == JobKind::Service
             && !self.policy.holds_capacity()
-            && pass.candidates.iter().any(|candidate| {
+            && pass.candidates().iter().any(|candidate| {
                 !candidate.releasable
                     && candidate.allows(spec)
                     && zones.admits(&candidate.zone)
@@ -101,7 +101,7 @@
             && unconstrained
             && self.misses_start_objective(spec, pass, index)
             && pass
-                .candidates
+                .candidates()
                 .iter()
                 .enumerate()
                 .any(|(other, candidate)| {
--- a/src/coordination/shard/scheduler/preemption/mod.rs
+++ b/src/coordination/shard/scheduler/preemption/mod.rs
@@ -53,7 +53,7 @@
 impl PreemptionPlan {
     fn new(view: SchedulerView, pass: &SchedulingPass) -> Self {
         Self {
-            usage: pass.usage.clone(),
+            usage: pass.usage().clone(),
             available: view.available_after_stops(pass),
             victims: Vec::new(),
             freeing: HashSet::new(),
@@ -133,8 +133,8 @@
 impl SchedulerView<'_> {
     /// By candidate, what is free or will be once every task that was asked to stop has.
     fn available_after_stops(&self, pass: &SchedulingPass) -> Vec<Amounts> {
-        let mut available: Vec<Amounts> = pass.candidates.iter().map(|c| c.free).collect();
-        for (candidate, available) in pass.candidates.iter().zip(&mut available) {
+        let mut available: Vec<Amounts> = pass.candidates().iter().map(|c| c.free).collect();
+        for (candidate, available) in pass.candidates().iter().zip(&mut available) {
             let machine = self.machines.get(&candidate.id);
             let Some(machine) = machine.filter(|machine| machine.load.stopping) else {
                 continue;
--- a/src/coordination/shard/scheduler/preemption/planner.rs
+++ b/src/coordination/shard/scheduler/preemption/planner.rs
@@ -69,7 +69,7 @@
         if !constraint.must_choose_zone() {
             return vec![constraint];
         }
-        let candidates = self.pass.candidates.iter();
+        let candidates = self.pass.candidates().iter();
         let zones: BTreeSet<Arc<str>> = candidates.map(|c| c.zone.clone()).collect();
         zones
             .into_iter()
@@ -112,7 +112,7 @@
                 }
                 None => return false,
             };
-            zones.add(&self.pass.candidates[index].zone, 1);
+            zones.add(&self.pass.candidates()[index].zone, 1);
         }
         true
     }
@@ -141,9 +141,9 @@
         let keep_with_services = view.must_stay_with_services(job, zones, pass);
         let late_service =
             |index| spec.kind == JobKind::Service && view.misses_start_objective(spec, pass, index);
-        (0..pass.candidates.len())
+        (0..pass.candidates().len())
             .filter(|index| {
-                let candidate = &pass.candidates[*index];
+                let candidate = &pass.candidates()[*index];
                 candidate.allows(spec)
                     && candidate.cost_acceptable(job)
                     && !(keep_with_services && candidate.releasable)
@@ -153,7 +153,7 @@
     }
 
     fn any_candidate_stopping(&self) -> bool {
-        self.pass.candidates.iter().any(|candidate| {
+        self.pass.candidates().iter().any(|candidate| {
             let machine = self.view.machines.get(&candidate.id);
             machine.is_some_and(|machine| machine.load.stopping)
         })
@@ -168,7 +168,7 @@
         victim_sets: &mut Option<VictimSets>,
         plan: &mut PreemptionPlan,
     ) -> Option<Room> {
-        let admitted = |index: usize| zones.admits(&self.pass.candidates[index].zone);
+        let admitted = |index: usize| zones.admits(&self.pass.candidates()[index].zone);
         let mut eligible = preemptor.eligible.iter().copied();
         let available =
             eligible.find(|index| plan.available[*index].holds(preemptor.spec) && admitted(*index));
@@ -201,7 +201,7 @@
         preemptor: &Preemptor,
         plan: &mut PreemptionPlan,
     ) {
-        let machine_id = &self.pass.candidates[index].id;
+        let machine_id = &self.pass.candidates()[index].id;
         let machine = self.view.machines.get(machine_id);
         let running = machine.and_then(|machine| machine.attempts.get(&attempt));
         let victim = Victim {
--- a/src/coordination/shard/scheduler/preemption/victims.rs
+++ b/src/coordination/shard/scheduler/preemption/victims.rs
@@ -43,7 +43,7 @@
         plan: &PreemptionPlan,
     ) -> Option<(PreemptionCost, Vec<AttemptId>)> {
         let spec = preemptor.spec;
-        let machine = self.view.machines.get(&self.pass.candidates[index].id)?;
+        let machine = self.view.machines.get(&self.pass.candidates()[index].id)?;
         if !(preemptor.claims_guarantee || machine.load.has_lower_priority(spec.priority)) {
             return None;
         }
--- a/src/coordination/shard/scheduler/scoring.rs
+++ b/src/coordination/shard/scheduler/scoring.rs
@@ -110,7 +110,7 @@
     ) -> Option<usize> {
         let scorer = Scorer::new(*self, spec);
         let images = pass.image_states(spec);
-        pass.candidates
+        pass.candidates()
             .iter()
             .enumerate()
             .filter(|(_, candidate)| eligible(candidate))
@@ -129,7 +129,7 @@
     ) -> bool {
         pass.image_state(spec, index) < ImageState::Cached
             && start_objective(self.policy, spec).is_some_and(|objective| {
-                self.pull_exceeds(spec, &pass.candidates[index], objective)
+                self.pull_exceeds(spec, &pass.candidates()[index], objective)
             })
     }
 
--- a/src/coordination/shard/scheduler/starvation.rs
+++ b/src/coordination/shard/scheduler/starvation.rs
@@ -66,17 +66,19 @@
     fn reserve_for_starving(&self, job: &Job, pass: &mut SchedulingPass) {
         let spec = &job.spec;
         let emptiest = pass
-            .candidates
-            .iter_mut()
-            .filter(|candidate| {
+            .candidates()
+            .iter()
+            .enumerate()
+            .filter(|(_, candidate)| {
                 !candidate.reserved
                     && candidate.allows(spec)
                     && candidate.cost_acceptable(job)
                     && self.type_could_run(candidate, spec)
             })
-            .max_by(|a, b| a.free.cores.total_cmp(&b.free.cores).then(b.id.cmp(&a.id)));
-        if let Some(candidate) = emptiest {
-            candidate.reserved = true;
+            .max_by(|(_, a), (_, b)| a.free.cores.total_cmp(&b.free.cores).then(b.id.cmp(&a.id)))
+            .map(|(index, _)| index);
+        if let Some(index) = emptiest {
+            pass.reserve_machine(index);
         }
     }
 
--- a/src/coordination/shard/tests/fixtures.rs
+++ b/src/coordination/shard/tests/fixtures.rs
@@ -19,7 +19,7 @@
 pub(super) const GANG_WAIT: Duration = Duration::from_secs(30);
 
 /// A batch job of the class `sums` whose tasks run on any machine.
-pub(super) fn spec(team: &str, cores: f64, tasks: u32) -> JobSpec {
+pub(in crate::coordination::shard) fn spec(team: &str, cores: f64, tasks: u32) -> JobSpec {
     JobSpec {
         class: "sums".into(),
         team: team.into(),
@@ -44,7 +44,7 @@
 }
 
 /// The stored record of a job submitted at time zero.
-pub(super) fn record(spec: JobSpec) -> JobRecord {
+pub(in crate::coordination::shard) fn record(spec: JobSpec) -> JobRecord {
     JobRecord {
         format_version: FORMAT_VERSION,
         accepted_at_ms: 0,
@@ -69,7 +69,7 @@
 }
 
 /// Two teams: `red` with a quota and a limit, `blue` with neither.
-pub(super) fn policy() -> Policy {
+pub(in crate::coordination::shard) fn policy() -> Policy {
     let team = |cores, cores_max| TeamPolicy {
         cores,
         cores_max,
--- a/src/coordination/shard/tests/mod.rs
+++ b/src/coordination/shard/tests/mod.rs
@@ -8,7 +8,7 @@
 mod delegations;
 mod failing_jobs;
 mod failover;
-mod fixtures;
+pub(super) mod fixtures;
 mod gangs;
 mod health;
 mod heartbeats;
