--- a/src/coordination/shard/autoscaler/capacity.rs
+++ b/src/coordination/shard/autoscaler/capacity.rs
@@ -1,4 +1,4 @@
-//! Room for tasks that the plan counts on: on machines that are up, coming or asked for.
+//! The capacity that a plan counts on: machines that have booted, are booting or are requested.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,23 +11,22 @@
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::{JobKind, JobSpec, Priority};
 
-/// How soon the room of a machine can be used. The order is that in which the plan
-/// fills machines.
+/// How soon a machine can be used. Plans fill machines in this order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Readiness {
-    /// It is up and runs tasks.
+    /// It has booted and runs tasks.
     Busy,
-    /// It is up and runs none.
+    /// It has booted and runs none.
     Idle,
-    /// It is rented or asked for, and not up yet.
-    Coming,
-    /// It is being emptied.
+    /// It is rented or requested, and has not booted.
+    Booting,
+    /// It is being drained.
     Draining,
 }
 
-/// Room that is there or will be.
+/// The capacity of one machine, less what a plan has reserved.
 pub(super) struct Capacity {
-    /// None if it has no name yet.
+    /// None for a machine without a name: one that is requested or planned.
     pub machine: Option<MachineId>,
     pub machine_type: Arc<str>,
     pub zone: Arc<str>,
@@ -35,26 +34,26 @@
     pub free: Amounts,
     /// Batch tasks on it, lowest priority first.
     preemptible: Vec<Preemptible>,
-    /// Kept for batch work alone, at the full price.
-    pub costly: bool,
+    /// It is an on-demand machine that is kept for batch work alone.
+    pub costs_extra: bool,
     /// The plan needs it.
     pub used: bool,
     pub readiness: Readiness,
-    /// Seconds until its machine is up, if it takes as long as it often does.
+    /// Seconds until it has booted, by the usual and the recent boot times.
     pub ready_in_s: f64,
-    /// Machines of its kind come much later than usual.
-    pub late: bool,
+    /// Machines like it boot much later than usual.
+    pub boots_late: bool,
 }
 
-/// Tasks of one job that run on a machine and give way to higher priorities.
+/// Tasks of one job on a machine, which a higher priority may preempt.
 struct Preemptible {
     spec: Arc<JobSpec>,
     count: u32,
 }
 
 impl Capacity {
-    /// A machine that is asked for, or will be.
-    pub(super) fn to_come(kind: &MachineType, zone: &str, spot: bool, ready_in_s: f64) -> Self {
+    /// The capacity of a machine that is requested, or will be.
+    pub(super) fn of_new(kind: &MachineType, zone: &str, spot: bool, ready_in_s: f64) -> Self {
         Self {
             machine: None,
             machine_type: kind.name.as_str().into(),
@@ -62,27 +61,32 @@
             spot,
             free: Amounts::of_type(kind),
             preemptible: Vec::new(),
-            costly: !spot,
+            costs_extra: !spot,
             used: false,
-            readiness: Readiness::Coming,
+            readiness: Readiness::Booting,
             ready_in_s,
-            late: false,
+            boots_late: false,
         }
     }
 
-    /// Whether its machine is up and not being emptied.
+    /// Whether its machine has booted and is not being drained.
     pub(super) fn is_up(&self) -> bool {
-        self.readiness < Readiness::Coming
+        self.readiness < Readiness::Booting
     }
 
-    /// Whether a task fits as it is or if something gives way.
-    pub(super) fn could_hold(&self, spec: &JobSpec) -> bool {
-        let gives_way = |tasks: &Preemptible| tasks.spec.priority < spec.priority;
-        self.free.holds(spec) || self.preemptible.first().is_some_and(gives_way)
+    /// Whether a job's placement constraints allow its machine.
+    pub(super) fn is_allowed_for(&self, spec: &JobSpec) -> bool {
+        allowed(spec, &self.machine_type, &self.zone, self.spot)
     }
 
-    /// Counts what gives way as free, as far as some tasks of a job need it.
-    pub(super) fn make_room(&mut self, spec: &JobSpec, tasks: u32) {
+    /// Whether a task may fit, as it is or if something is preempted.
+    pub(super) fn may_hold(&self, spec: &JobSpec) -> bool {
+        let is_preemptible = |tasks: &Preemptible| tasks.spec.priority < spec.priority;
+        self.free.holds(spec) || self.preemptible.first().is_some_and(is_preemptible)
+    }
+
+    /// Counts lower-priority tasks as preempted, as far as so many tasks of a job need it.
+    pub(super) fn preempt_for(&mut self, spec: &JobSpec, tasks: u32) {
         while self.free.fits(spec) < tasks {
             match self.preemptible.first_mut() {
                 Some(lowest) if lowest.spec.priority < spec.priority => {
@@ -97,16 +101,16 @@
         }
     }
 
-    /// Takes the room of so many tasks.
-    pub(super) fn take(&mut self, spec: &JobSpec, tasks: u32) {
+    /// Reserves what so many tasks need.
+    pub(super) fn reserve(&mut self, spec: &JobSpec, tasks: u32) {
         for _ in 0..tasks {
             self.free.take(spec);
         }
     }
 
-    /// Cores that a job's tasks can have here, now or when what runs here without a
-    /// higher priority has ended.
-    fn cores_for(&self, spec: &JobSpec) -> f64 {
+    /// Cores that a job's tasks can have here, now or once the tasks here that have no higher
+    /// priority have ended.
+    fn reachable_cores(&self, spec: &JobSpec) -> f64 {
         let running: f64 = self
             .preemptible
             .iter()
@@ -118,19 +122,32 @@
 }
 
 impl Shard {
-    /// The room on all machines that can be counted on, the fullest first.
+    /// The capacities of all machines that can be counted on: the soonest ready first, of
+    /// these the fullest.
     pub(super) fn capacities(&self, now: Instant) -> Vec<Capacity> {
         let machines = self.machines.values();
         let mut capacities: Vec<Capacity> = machines
             .filter_map(|machine| self.capacity_of(machine, now))
             .collect();
+        self.add_requested(&mut capacities, now);
+        capacities.sort_by(|a, b| {
+            a.readiness
+                .cmp(&b.readiness)
+                .then(a.free.cores.total_cmp(&b.free.cores))
+                .then(a.machine.cmp(&b.machine))
+        });
+        capacities
+    }
+
+    /// Adds the capacities of the machines in pending rentals.
+    fn add_requested(&self, capacities: &mut Vec<Capacity>, now: Instant) {
         for rental in self.autoscaler.rentals.iter() {
             let Some(kind) = self.types.get(&rental.machine_type) else {
                 continue;
             };
             let ready_in_s = self.expected_boot_s(kind, &rental.zone, now);
             for _ in 0..rental.count {
-                capacities.push(Capacity::to_come(
+                capacities.push(Capacity::of_new(
                     kind,
                     &rental.zone,
                     rental.spot,
@@ -138,43 +155,14 @@
                 ));
             }
         }
-        capacities.sort_by(|a, b| {
-            a.readiness
-                .cmp(&b.readiness)
-                .then(a.free.cores.total_cmp(&b.free.cores))
-                .then(a.machine.cmp(&b.machine))
-        });
-        capacities
     }
 
-    /// The room on a machine; None if it can't be counted on.
+    /// The capacity of a machine; None if it cannot be counted on.
     fn capacity_of(&self, machine: &Machine, now: Instant) -> Option<Capacity> {
         let kind = self.types.get(&*machine.machine_type)?;
-        if self.is_leaving(machine) {
-            return None;
-        }
-        let coming = machine.is_booting();
-        if coming {
-            if !self.may_still_boot(machine, kind, now) {
-                return None;
-            }
-        } else if machine.last_contact.is_some()
-            && machine.since_last_contact(now) > self.policy.suspect_after
-        {
+        if !self.can_be_counted_on(machine, kind, now) {
             return None;
         }
-        let ready_in_s = if coming {
-            let age = now.saturating_duration_since(machine.rented);
-            (self.expected_boot_s(kind, &machine.zone, now) - age.as_secs_f64()).max(0.0)
-        } else {
-            0.0
-        };
-        let readiness = match (coming, machine.load.idle()) {
-            _ if machine.draining => Readiness::Draining,
-            (true, _) => Readiness::Coming,
-            (false, true) => Readiness::Idle,
-            (false, false) => Readiness::Busy,
-        };
         Some(Capacity {
             machine: Some(machine.id.clone()),
             machine_type: machine.machine_type.clone(),
@@ -182,15 +170,36 @@
             spot: machine.spot,
             free: machine.free(kind),
             preemptible: preemptible(machine),
-            costly: self.costly(machine, now),
+            costs_extra: self.costs_extra(machine, now),
             used: false,
-            readiness,
-            ready_in_s,
-            late: coming && self.boots_late(machine, now),
+            readiness: readiness(machine),
+            ready_in_s: self.ready_in_s(machine, kind, now),
+            boots_late: machine.is_booting() && self.boots_late(machine, now),
         })
     }
 
-    /// Whether a machine is on its way out, or can't be reached.
+    /// Whether tasks can run on a machine now or once it has booted.
+    fn can_be_counted_on(&self, machine: &Machine, kind: &MachineType, now: Instant) -> bool {
+        if self.is_leaving(machine) {
+            return false;
+        }
+        if machine.is_booting() {
+            return self.may_still_boot(machine, kind, now);
+        }
+        machine.last_contact.is_none()
+            || machine.since_last_contact(now) <= self.policy.suspect_after
+    }
+
+    /// Seconds until a machine has booted; 0 if it has.
+    fn ready_in_s(&self, machine: &Machine, kind: &MachineType, now: Instant) -> f64 {
+        if !machine.is_booting() {
+            return 0.0;
+        }
+        let age = now.saturating_duration_since(machine.rented);
+        (self.expected_boot_s(kind, &machine.zone, now) - age.as_secs_f64()).max(0.0)
+    }
+
+    /// Whether a machine is about to be removed, or is booting in a zone that is partitioned.
     pub(super) fn is_leaving(&self, machine: &Machine) -> bool {
         machine.deleting
             || machine.cordoned
@@ -199,8 +208,9 @@
             || (machine.last_contact.is_none() && self.delegations.is_partitioned(&machine.zone))
     }
 
-    /// Takes the room of the moment into the averages.
-    pub(super) fn note_cores(&mut self, capacities: &[Capacity]) {
+    /// Updates the average cores within reach of each priority that has spot-tolerant batch
+    /// work.
+    pub(super) fn record_reachable_cores(&mut self, capacities: &[Capacity]) {
         let specs: BTreeMap<Priority, Arc<JobSpec>> = self
             .jobs
             .values()
@@ -208,26 +218,41 @@
             .map(|job| (job.spec.priority, job.spec.clone()))
             .collect();
         for (priority, spec) in specs {
-            let cheap = capacities.iter().filter(|capacity| !capacity.costly);
-            let cores = cores_for(&spec, cheap);
+            let low_cost = capacities.iter().filter(|capacity| !capacity.costs_extra);
+            let cores = reachable_cores(&spec, low_cost);
             self.autoscaler.record_reachable_cores(priority, cores);
         }
     }
 }
 
-/// Cores that a job's tasks can have here, now or when what runs there without a
-/// higher priority has ended.
-pub(super) fn cores_for<'a>(spec: &JobSpec, capacities: impl Iterator<Item = &'a Capacity>) -> f64 {
+/// Cores that a job's tasks can have on some machines, now or once the tasks there that have
+/// no higher priority have ended.
+pub(super) fn reachable_cores<'a>(
+    spec: &JobSpec,
+    capacities: impl Iterator<Item = &'a Capacity>,
+) -> f64 {
     capacities
-        .filter(|at| allowed(spec, &at.machine_type, &at.zone, at.spot))
-        .map(|at| at.cores_for(spec))
+        .filter(|capacity| capacity.is_allowed_for(spec))
+        .map(|capacity| capacity.reachable_cores(spec))
         .sum()
 }
 
+fn readiness(machine: &Machine) -> Readiness {
+    if machine.draining {
+        Readiness::Draining
+    } else if machine.is_booting() {
+        Readiness::Booting
+    } else if machine.load.idle() {
+        Readiness::Idle
+    } else {
+        Readiness::Busy
+    }
+}
+
 /// The batch tasks on a machine, lowest priority first.
 fn preemptible(machine: &Machine) -> Vec<Preemptible> {
-    let batch = |(spec, _): &&(Arc<JobSpec>, u32)| spec.kind == JobKind::Batch;
-    let tasks = machine.load.tasks.iter().filter(batch);
+    let is_batch = |(spec, _): &&(Arc<JobSpec>, u32)| spec.kind == JobKind::Batch;
+    let tasks = machine.load.tasks.iter().filter(is_batch);
     let mut tasks: Vec<Preemptible> = tasks
         .map(|(spec, count)| Preemptible {
             spec: spec.clone(),
--- a/src/coordination/shard/autoscaler/machine_kind.rs
+++ b/src/coordination/shard/autoscaler/machine_kind.rs
@@ -14,7 +14,7 @@
 /// Upper bound of the boot time that is taken over from a machine type, in seconds.
 const MAX_STARTUP_S: f64 = 1e6;
 
-/// A machine type in a zone, spot or ordinary: the unit in which machines are rented.
+/// A machine type in a zone, spot or on-demand: the unit in which machines are rented.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct MachineKind {
     pub machine_type: String,
--- a/src/coordination/shard/autoscaler/machine_loss.rs
+++ b/src/coordination/shard/autoscaler/machine_loss.rs
@@ -18,7 +18,7 @@
 /// Up to one unreconciled machine in so many counts as few; two always do.
 const FEW_UNRECONCILED_ONE_IN: usize = 20;
 
-/// Share of a zone's machines that are unreachable if the zone is likely cut off, and how many
+/// Share of a zone's machines that are unreachable if the zone is likely partitioned, and how many
 /// machines the zone has to have for that.
 const ZONE_UNREACHABLE_SHARE: f64 = 0.9;
 const MIN_ZONE_MACHINES: usize = 3;
@@ -35,7 +35,7 @@
 struct ReachabilityOverview {
     /// More than a third of the machines are unreachable.
     many_unreachable: bool,
-    /// Zones that are likely cut off; their machines are expected to return.
+    /// Zones that are likely partitioned; their machines are expected to return.
     unreachable_zones: HashSet<Arc<str>>,
     /// New machines take much longer than usual to boot: unreachable ones may return sooner.
     slow_boots: bool,
@@ -51,13 +51,13 @@
     unreachable: impl Iterator<Item = &'a Machine>,
 ) -> HashSet<Arc<str>> {
     let expected = count_by_zone(expected);
-    let is_cut_off = |(zone, unreachable): &(Arc<str>, usize)| {
+    let is_partitioned = |(zone, unreachable): &(Arc<str>, usize)| {
         let all = expected.get(zone).copied().unwrap_or(0);
         all >= MIN_ZONE_MACHINES && (*unreachable as f64) >= all as f64 * ZONE_UNREACHABLE_SHARE
     };
     count_by_zone(unreachable)
         .into_iter()
-        .filter(is_cut_off)
+        .filter(is_partitioned)
         .map(|(zone, _)| zone)
         .collect()
 }
@@ -100,7 +100,7 @@
             && machine.since_own_heartbeat(now) >= self.policy.heartbeat_overdue()
     }
 
-    /// The zones almost all of whose machines are unreachable: likely cut off.
+    /// The zones almost all of whose machines are unreachable: likely partitioned.
     pub(in crate::coordination::shard) fn unreachable_zones(
         &self,
         now: Instant,
--- a/src/coordination/shard/autoscaler/mod.rs
+++ b/src/coordination/shard/autoscaler/mod.rs
@@ -16,13 +16,18 @@
 mod capacity;
 mod demand;
 mod drain;
+mod foreseen;
 mod machine_kind;
 mod machine_loss;
 mod offer;
 mod plan;
 mod rentals;
+mod reserved_quota;
 mod scale_in;
 mod scale_out;
+mod service_moves;
+mod slack;
+mod urgency;
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -30,11 +35,11 @@
 use self::arrivals::ClassHistory;
 use self::backoff::CapacityBackoff;
 use self::boot_times::BootTimes;
-pub(super) use self::drain::hosts_services;
 use self::machine_kind::{MINIMUM_BILLED, usual_boot};
 use self::rentals::PendingRentals;
 pub(super) use self::scale_in::DeletionReason;
 pub use self::scale_out::RentalOutcome;
+pub(super) use self::service_moves::hosts_services;
 use super::{Machine, Shard};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::{JobSpec, Priority};
@@ -147,16 +152,16 @@
         self.plan(now);
     }
 
-    /// Whether an ordinary machine is there for batch work alone: tasks that can wait for
-    /// spot machines leave it, so that it can be deleted. One whose minimum charge is not
-    /// used up is paid for in any case and does not count.
-    pub(super) fn costly(&self, machine: &Machine, now: Instant) -> bool {
+    /// Whether scale-in could release a machine whose minimum charge is used up: tasks that
+    /// can wait for spot machines leave it, so that it can be deleted.
+    pub(super) fn costs_extra(&self, machine: &Machine, now: Instant) -> bool {
         let paid = now.saturating_duration_since(machine.rented) < MINIMUM_BILLED / 2;
-        !paid && self.barren(machine)
+        !paid && self.releasable(machine)
     }
 
-    /// Whether a machine costs the ordinary price and hosts no service that keeps it.
-    pub(super) fn barren(&self, machine: &Machine) -> bool {
+    /// Whether scale-in can release an on-demand machine once its batch work ends: no service
+    /// and no quota keeps it.
+    pub(super) fn releasable(&self, machine: &Machine) -> bool {
         !machine.spot && !self.policy.holds_capacity() && !hosts_services(machine)
     }
 }
--- a/src/coordination/shard/autoscaler/offer.rs
+++ b/src/coordination/shard/autoscaler/offer.rs
@@ -1,4 +1,4 @@
-//! What can be rented, and which offer is worth most for a demand.
+//! Offers: what can be rented, and which offer is the best for a demand.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,55 +13,57 @@
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::JobSpec;
 
-/// One that comes too late for a gang is worth so much less: all its tasks wait.
-const LATE_GANG: f64 = 3.0;
+/// Factor on the cost of an offer that is too late for a gang: all of its tasks wait.
+const LATE_GANG_FACTOR: f64 = 3.0;
 
-/// A machine that comes this much too late is worth half as much.
-const LATE_DOUBLES_S: f64 = 30.0;
+/// Lateness that doubles the cost of an offer, in seconds.
+const LATENESS_DOUBLING_S: f64 = 30.0;
 
-/// A run time to reckon with where none is given.
-const LONG_RUN_S: f64 = 600.0;
+/// Run time that is assumed where a job names none, in seconds.
+const DEFAULT_RUN_S: f64 = 600.0;
 
-/// Machines are reckoned to be used for so many times the estimated run time.
-const RUNS: f64 = 2.0;
+/// A machine is expected to be used for this multiple of the job's run time.
+const EXPECTED_RUNS: f64 = 2.0;
 
-/// By how much an offer that is taken only for want of others is dearer.
-const LAST_RESORT: f64 = 1e3;
+/// Factor on the cost of an offer that is taken only if there is no other.
+const LAST_RESORT_FACTOR: f64 = 1e3;
 
-/// By how much each machine of a type in a zone makes one more there dearer: equal
-/// offers are spread over the zones.
-const CROWDING: f64 = 1e-4;
+/// Share of the cost that each machine of the same type and zone adds: equal offers are spread
+/// over the zones.
+const SPREAD_SHARE: f64 = 1e-4;
 
-/// How many machines of a type are in a zone.
+/// The number of machines of each type in each zone.
 #[derive(Debug, Default)]
-pub(super) struct MachineCounts(HashMap<Arc<str>, HashMap<Arc<str>, f64>>);
+pub(super) struct MachineCounts {
+    by_type: HashMap<Arc<str>, HashMap<Arc<str>, f64>>,
+}
 
 impl MachineCounts {
     /// Counts a machine.
     pub(super) fn add(&mut self, machine_type: &Arc<str>, zone: &Arc<str>) {
-        let zones = self.0.entry(machine_type.clone()).or_default();
+        let zones = self.by_type.entry(machine_type.clone()).or_default();
         *zones.entry(zone.clone()).or_default() += 1.0;
     }
 
     fn of(&self, machine_type: &str, zone: &str) -> f64 {
-        let zones = self.0.get(machine_type);
+        let zones = self.by_type.get(machine_type);
         let count = zones.and_then(|zones| zones.get(zone));
         count.copied().unwrap_or(0.0)
     }
 }
 
-/// Something that can be rented.
+/// A machine that can be rented.
 #[derive(Clone)]
 pub(super) struct Offer {
     pub kind: Arc<MachineType>,
     pub zone: String,
     pub spot: bool,
-    /// Seconds until it is up, if it takes as long as it often does.
+    /// Seconds until it has booted, by the usual and the recent boot times.
     pub ready_in_s: f64,
 }
 
 impl Offer {
-    /// Its price now; None if it isn't to be had.
+    /// Its current price; None if it is not available.
     fn price(&self) -> Option<f64> {
         let price = if self.spot {
             self.kind.spot_price
@@ -72,45 +74,65 @@
     }
 }
 
+impl From<&Offer> for MachineKind {
+    fn from(offer: &Offer) -> Self {
+        Self {
+            machine_type: offer.kind.name.clone(),
+            zone: offer.zone.clone(),
+            spot: offer.spot,
+        }
+    }
+}
+
+/// An offer with what it costs for one task of a demand.
+struct PricedOffer {
+    cost: f64,
+    offer: Offer,
+}
+
 impl Shard {
-    /// The offer that is worth most for a demand of which so many tasks, with those
-    /// that follow, have no room; in one zone alone, if one is named.
+    /// The cheapest offer for a demand, in one zone if one is named. `left` are the tasks that
+    /// could use the machine: those of the demand without capacity and those that follow.
     pub(super) fn best_offer(
         &self,
         demand: &Demand,
         left: u32,
-        only: Option<&str>,
+        only_zone: Option<&str>,
         machine_counts: &MachineCounts,
         now: Instant,
     ) -> Option<Offer> {
-        let mut best: Option<(f64, Offer)> = None;
-        for kind in self.types.values() {
-            let zones = kind.zones.iter();
-            let open = zones.filter(|zone| !self.delegations.is_partitioned(zone));
-            for zone in open.filter(|zone| only.is_none_or(|only| only == **zone)) {
-                let ready_in_s = self.expected_boot_s(kind, zone, now);
-                for spot in [false, true] {
-                    let offer = Offer {
-                        kind: kind.clone(),
-                        zone: zone.clone(),
-                        spot,
-                        ready_in_s,
-                    };
-                    let Some(cost) = self.cost_of(&offer, demand, left, machine_counts, now) else {
-                        continue;
-                    };
-                    if best.as_ref().is_none_or(|(least, _)| cost < *least) {
-                        best = Some((cost, offer));
-                    }
-                }
+        let mut best: Option<PricedOffer> = None;
+        for offer in self.offers(only_zone, now) {
+            let Some(cost) = self.cost_per_task(&offer, demand, left, machine_counts, now) else {
+                continue;
+            };
+            if best.as_ref().is_none_or(|best| cost < best.cost) {
+                best = Some(PricedOffer { cost, offer });
             }
         }
-        best.map(|(_, offer)| offer)
+        best.map(|best| best.offer)
     }
 
-    /// What an offer costs for a task of a demand, with what speaks against it; None if
-    /// it is out of the question.
-    fn cost_of(
+    /// Every type in every zone that is reachable, on-demand before spot.
+    fn offers(&self, only_zone: Option<&str>, now: Instant) -> impl Iterator<Item = Offer> {
+        self.types
+            .values()
+            .flat_map(move |kind| zones_of(kind, only_zone))
+            .filter(|(_, zone)| !self.delegations.is_partitioned(zone))
+            .flat_map(move |(kind, zone)| {
+                let ready_in_s = self.expected_boot_s(kind, zone, now);
+                [false, true].map(|spot| Offer {
+                    kind: kind.clone(),
+                    zone: zone.clone(),
+                    spot,
+                    ready_in_s,
+                })
+            })
+    }
+
+    /// What an offer costs for one task of a demand, increased by what speaks against it; None
+    /// if it cannot be used.
+    fn cost_per_task(
         &self,
         offer: &Offer,
         demand: &Demand,
@@ -121,47 +143,56 @@
         let spec = &demand.spec;
         let price = offer.price()?;
         let fits = Amounts::of_type(&offer.kind).fits(spec);
-        let kind = MachineKind {
-            machine_type: offer.kind.name.clone(),
-            zone: offer.zone.clone(),
-            spot: offer.spot,
-        };
         if fits == 0
             || !allowed(spec, &offer.kind.name, &offer.zone, offer.spot)
-            || self.autoscaler.backoff.is_active(&kind, now)
+            || self
+                .autoscaler
+                .backoff
+                .is_active(&MachineKind::from(offer), now)
         {
             return None;
         }
-        let run = run_s(spec);
-        // A machine is paid for while it boots and fetches.
+        let run = expected_use_s(spec);
+        // A machine is paid for while it boots and fetches the image.
         let start = offer.ready_in_s / BOOT_MARGIN + fetch_s(&offer.kind, spec);
         let mut cost = price * (start + run) / run / f64::from(fits.min(left));
         match demand.filter {
             OfferFilter::SpotOnly if !offer.spot => return None,
-            OfferFilter::OrdinaryFirst if offer.spot => cost *= LAST_RESORT,
+            OfferFilter::OnDemandFirst if offer.spot => cost *= LAST_RESORT_FACTOR,
             _ => {}
         }
         if let Some(slack) = demand.slack_s {
-            let late = (start * BOOT_MARGIN - slack).max(0.0);
-            cost *= 1.0 + late / LATE_DOUBLES_S;
-            if late > 0.0 && spec.is_gang() {
-                cost *= LATE_GANG;
+            let lateness = (start * BOOT_MARGIN - slack).max(0.0);
+            cost *= 1.0 + lateness / LATENESS_DOUBLING_S;
+            if lateness > 0.0 && spec.is_gang() {
+                cost *= LATE_GANG_FACTOR;
             }
         }
-        Some(cost * (1.0 + machine_counts.of(&offer.kind.name, &offer.zone) * CROWDING))
+        Some(cost * (1.0 + machine_counts.of(&offer.kind.name, &offer.zone) * SPREAD_SHARE))
     }
 }
 
-/// Seconds for which a machine is reckoned to be of use to a job.
-fn run_s(spec: &JobSpec) -> f64 {
+/// A machine type with each of its zones, or with the one that is named.
+fn zones_of<'a>(
+    kind: &'a Arc<MachineType>,
+    only_zone: Option<&str>,
+) -> impl Iterator<Item = (&'a Arc<MachineType>, &'a String)> {
+    kind.zones
+        .iter()
+        .filter(move |zone| only_zone.is_none_or(|only| only == **zone))
+        .map(move |zone| (kind, zone))
+}
+
+/// Seconds for which a new machine is expected to be used by a job.
+fn expected_use_s(spec: &JobSpec) -> f64 {
     if spec.duration_s > 0.0 {
-        spec.duration_s.max(MINIMUM_BILLED.as_secs_f64()) * RUNS
+        spec.duration_s.max(MINIMUM_BILLED.as_secs_f64()) * EXPECTED_RUNS
     } else {
-        LONG_RUN_S
+        DEFAULT_RUN_S
     }
 }
 
-/// Seconds for which a new machine usually fetches a job's image.
+/// Seconds that a new machine usually takes to fetch a job's image.
 fn fetch_s(kind: &MachineType, spec: &JobSpec) -> f64 {
     if kind.fetch_gb_per_s > 0.0 {
         spec.image_gb / kind.fetch_gb_per_s
--- a/src/coordination/shard/autoscaler/plan.rs
+++ b/src/coordination/shard/autoscaler/plan.rs
@@ -1,4 +1,5 @@
-//! How much room is wanted, and which machines are worth renting for it.
+//! The plan: reserves capacity for each demand, and decides which machines to rent for what
+//! finds none.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -9,49 +10,37 @@
 use super::machine_kind::MachineKind;
 use super::offer::{MachineCounts, Offer};
 use crate::coordination::shard::Shard;
-use crate::coordination::shard::scheduler::allowed;
 use crate::protocol::JobId;
 
-/// One plan as it is worked out.
+/// A plan in the making.
 struct Plan {
-    /// Room that is there or will be, less what is planned for.
+    /// Capacity that exists or is on its way, less what is reserved.
     capacities: Vec<Capacity>,
     machine_counts: MachineCounts,
-    /// Machines to be rented.
-    wanted: BTreeMap<MachineKind, u32>,
-    /// Where the room of jobs bound to one zone is planned.
+    /// How many machines of each kind to rent.
+    rentals: BTreeMap<MachineKind, u32>,
+    /// The zones chosen for jobs that are bound to one zone.
     zones: BTreeMap<JobId, Arc<str>>,
 }
 
 impl Plan {
-    /// Takes room for a demand where there is some, on machines that are up within
-    /// `latest_s`; returns how many tasks have none.
-    fn take_room(&mut self, demand: &Demand, zone: Option<&str>, latest_s: f64) -> u32 {
+    /// Reserves capacity for a demand, in one zone if one is named, on machines that have
+    /// booted within `latest_s` seconds. Returns how many of its tasks found none.
+    fn reserve(&mut self, demand: &Demand, zone: Option<&str>, latest_s: f64) -> u32 {
         let spec = &demand.spec;
-        let most_in_zone = spec.tasks.div_ceil(2);
-        let mut in_zone: HashMap<Arc<str>, u32> = HashMap::new();
+        let mut spread = ZoneSpread::new(demand);
         let mut left = demand.count;
         for capacity in &mut self.capacities {
             if left == 0 {
                 break;
             }
-            let too_costly = capacity.costly && demand.filter == OfferFilter::SpotOnly;
-            if too_costly
-                || !allowed(spec, &capacity.machine_type, &capacity.zone, capacity.spot)
-                || !capacity.could_hold(spec)
-                || ((capacity.late || spec.is_gang()) && capacity.ready_in_s > latest_s)
-                || zone.is_some_and(|zone| zone != &*capacity.zone)
-            {
+            if !is_usable(capacity, demand, zone, latest_s) {
                 continue;
             }
-            capacity.make_room(spec, left);
-            let mut tasks = capacity.free.fits(spec).min(left);
-            if spec.scatter && demand.job.is_some() {
-                let there = in_zone.entry(capacity.zone.clone()).or_default();
-                tasks = tasks.min(most_in_zone.saturating_sub(*there));
-                *there += tasks;
-            }
-            capacity.take(spec, tasks);
+            capacity.preempt_for(spec, left);
+            let fits = capacity.free.fits(spec).min(left);
+            let tasks = spread.limit(&capacity.zone, fits);
+            capacity.reserve(spec, tasks);
             // Work that can wait is no reason to keep a machine.
             capacity.used |= tasks > 0 && demand.filter != OfferFilter::SpotOnly;
             left -= tasks;
@@ -59,68 +48,102 @@
         left
     }
 
-    /// Plans to rent a machine; returns how many tasks have room on it.
+    /// Plans to rent a machine; returns how many of the `left` tasks fit on it.
     fn rent(&mut self, offer: &Offer, demand: &Demand, left: u32) -> u32 {
-        let mut capacity =
-            Capacity::to_come(&offer.kind, &offer.zone, offer.spot, offer.ready_in_s);
+        let mut capacity = Capacity::of_new(&offer.kind, &offer.zone, offer.spot, offer.ready_in_s);
         let tasks = capacity.free.fits(&demand.spec).min(left);
         if tasks == 0 {
             return 0;
         }
-        capacity.take(&demand.spec, tasks);
+        capacity.reserve(&demand.spec, tasks);
         capacity.used = true;
         self.capacities.push(capacity);
-        let kind = MachineKind {
-            machine_type: offer.kind.name.clone(),
-            zone: offer.zone.clone(),
-            spot: offer.spot,
-        };
-        *self.wanted.entry(kind).or_default() += 1;
+        *self.rentals.entry(MachineKind::from(offer)).or_default() += 1;
         tasks
     }
+
+    /// Whether some on-demand machine is to be rented.
+    fn rents_on_demand(&self) -> bool {
+        self.rentals.keys().any(|kind| !kind.spot)
+    }
+}
+
+/// Whether a demand can be met by a machine.
+fn is_usable(capacity: &Capacity, demand: &Demand, zone: Option<&str>, latest_s: f64) -> bool {
+    let spec = &demand.spec;
+    let too_costly = capacity.costs_extra && demand.filter == OfferFilter::SpotOnly;
+    let boot_matters = capacity.boots_late || spec.is_gang();
+    !too_costly
+        && capacity.is_allowed_for(spec)
+        && capacity.may_hold(spec)
+        && !(boot_matters && capacity.ready_in_s > latest_s)
+        && zone.is_none_or(|zone| zone == &*capacity.zone)
+}
+
+/// Limits how many tasks of a job that is scattered over zones get into one zone: half of them.
+struct ZoneSpread {
+    /// Most tasks in one zone; None if the demand need not be scattered.
+    max_per_zone: Option<u32>,
+    in_zone: HashMap<Arc<str>, u32>,
+}
+
+impl ZoneSpread {
+    fn new(demand: &Demand) -> Self {
+        let scatter = demand.spec.scatter && demand.job.is_some();
+        Self {
+            max_per_zone: scatter.then(|| demand.spec.tasks.div_ceil(2)),
+            in_zone: HashMap::new(),
+        }
+    }
+
+    /// How many of some tasks may go into a zone; they count from now on.
+    fn limit(&mut self, zone: &Arc<str>, tasks: u32) -> u32 {
+        let Some(max_per_zone) = self.max_per_zone else {
+            return tasks;
+        };
+        let in_zone = self.in_zone.entry(zone.clone()).or_default();
+        let allowed = tasks.min(max_per_zone.saturating_sub(*in_zone));
+        *in_zone += allowed;
+        allowed
+    }
 }
 
 impl Shard {
-    /// Compares the room that is wanted with the room there is.
+    /// Compares the demand with the capacity, and scales the machines out and in.
     pub(super) fn plan(&mut self, now: Instant) {
         self.update_overdue_boots(now);
         let capacities = self.capacities(now);
-        self.note_cores(&capacities);
+        self.record_reachable_cores(&capacities);
         let demands = self.demands(&capacities, now);
         let mut plan = Plan {
             capacities,
             machine_counts: self.machine_counts(),
-            wanted: BTreeMap::new(),
+            rentals: BTreeMap::new(),
             zones: BTreeMap::new(),
         };
-        // A new machine is shared with the jobs of the class that follow.
-        let mut class_left: HashMap<String, u32> = HashMap::new();
+        // A new machine is shared with the later demands of the same class.
+        let mut left_of_class: HashMap<String, u32> = HashMap::new();
         for demand in &demands {
-            *class_left.entry(demand.spec.class.clone()).or_default() += demand.count;
+            *left_of_class.entry(demand.spec.class.clone()).or_default() += demand.count;
         }
         for demand in demands {
-            let following_tasks = class_left.entry(demand.spec.class.clone()).or_default();
-            *following_tasks -= demand.count;
-            self.plan_for(&demand, *following_tasks, &mut plan, now);
+            let following = left_of_class.entry(demand.spec.class.clone()).or_default();
+            *following -= demand.count;
+            self.plan_for(&demand, *following, &mut plan, now);
         }
-        self.act_on(plan, now);
+        self.carry_out(plan, now);
     }
 
-    /// Finds room for a demand, on new machines if need be; so many more tasks of its
-    /// class follow.
-    fn plan_for(&self, demand: &Demand, following_tasks: u32, plan: &mut Plan, now: Instant) {
+    /// Reserves capacity for a demand, on new machines if need be; `following` more tasks of
+    /// its class come after it.
+    fn plan_for(&self, demand: &Demand, following: u32, plan: &mut Plan, now: Instant) {
         let zone = self.planned_zone(demand, plan, now);
         let zone = zone.as_deref();
-        let latest_s = self.latest_s(demand, zone, plan, now);
-        let mut left = plan.take_room(demand, zone, latest_s);
+        let latest_s = self.latest_boot_s(demand, zone, plan, now);
+        let mut left = plan.reserve(demand, zone, latest_s);
         while left > 0 {
-            let offer = self.best_offer(
-                demand,
-                left + following_tasks,
-                zone,
-                &plan.machine_counts,
-                now,
-            );
+            let tasks = left + following;
+            let offer = self.best_offer(demand, tasks, zone, &plan.machine_counts, now);
             let Some(offer) = offer else {
                 return;
             };
@@ -136,18 +159,17 @@
                 machine_type = offer.kind.name,
                 zone = offer.zone,
                 spot = offer.spot,
-                "a machine is wanted"
+                "scale-out planned"
             );
         }
     }
 
-    /// Within how many seconds a machine has to be up for a demand to count on it. A gang
-    /// starts with the last of its machines: one that comes too late is better left to
-    /// others if one that is rented now would come sooner. So it is for all work where
-    /// machines come much later than usual.
-    fn latest_s(&self, demand: &Demand, zone: Option<&str>, plan: &Plan, now: Instant) -> f64 {
-        let boots = &self.autoscaler.boot_times;
-        let matters = demand.spec.is_gang() || boots.any_slow(now);
+    /// Within how many seconds a machine has to boot for a demand to count on it. A gang
+    /// starts with the last of its machines: one that boots too late is better left to others
+    /// if a machine rented now would boot sooner. The same holds for all work while machines
+    /// boot much later than usual.
+    fn latest_boot_s(&self, demand: &Demand, zone: Option<&str>, plan: &Plan, now: Instant) -> f64 {
+        let matters = demand.spec.is_gang() || self.autoscaler.boot_times.any_slow(now);
         let Some(slack) = demand.slack_s.filter(|_| matters) else {
             return f64::INFINITY;
         };
@@ -156,17 +178,16 @@
         slack.max(soonest)
     }
 
-    /// Rents what is wanted and gives back what isn't.
-    fn act_on(&mut self, plan: Plan, now: Instant) {
-        let growing = plan.wanted.keys().any(|kind| !kind.spot)
-            || self.autoscaler.rentals.iter().any(|rental| !rental.spot);
-        self.reopen(&plan.capacities);
-        // Work that nobody has reconciled yet is in no plan.
-        let accounted = self.unreconciled.is_empty();
-        if accounted {
+    /// Rents and deletes machines, and moves services, as the plan says.
+    fn carry_out(&mut self, plan: Plan, now: Instant) {
+        let growing =
+            plan.rents_on_demand() || self.autoscaler.rentals.iter().any(|rental| !rental.spot);
+        self.undrain_used(&plan.capacities);
+        // The tasks on unreconciled machines are in no plan.
+        if self.unreconciled.is_empty() {
             self.consolidate(&plan.capacities, !growing, now);
         }
-        for (kind, count) in plan.wanted {
+        for (kind, count) in plan.rentals {
             self.request_machines(kind, count);
         }
         self.delete_unneeded_machines(&plan.capacities, now);
@@ -180,8 +201,8 @@
         machine_counts
     }
 
-    /// Where a job's room is wanted, if it has to be in one zone; all of its demands go
-    /// to the same.
+    /// The zone in which a demand gets capacity if its job is bound to one zone; all demands
+    /// of the job get the same.
     fn planned_zone(&self, demand: &Demand, plan: &mut Plan, now: Instant) -> Option<Arc<str>> {
         let id = demand.job.as_ref().filter(|_| demand.spec.one_zone)?;
         if let Some(zone) = plan.zones.get(id) {
@@ -189,8 +210,8 @@
         }
         let zone = self
             .begun_zone(id)
-            .or_else(|| roomiest_zone(demand, &plan.capacities))
-            .or_else(|| self.offered_zone(demand, plan, now))?;
+            .or_else(|| zone_with_capacity(demand, &plan.capacities))
+            .or_else(|| self.cheapest_zone(demand, plan, now))?;
         plan.zones.insert(id.clone(), zone.clone());
         Some(zone)
     }
@@ -201,22 +222,23 @@
         self.live_zones(job).into_keys().next()
     }
 
-    fn offered_zone(&self, demand: &Demand, plan: &Plan, now: Instant) -> Option<Arc<str>> {
+    /// The zone of the best offer for a demand.
+    fn cheapest_zone(&self, demand: &Demand, plan: &Plan, now: Instant) -> Option<Arc<str>> {
         let offer = self.best_offer(demand, demand.count, None, &plan.machine_counts, now)?;
         Some(offer.zone.as_str().into())
     }
 }
 
-/// The zone with most room for a demand. With little of it there, where machines come
-/// soonest counts more: none then.
-fn roomiest_zone(demand: &Demand, capacities: &[Capacity]) -> Option<Arc<str>> {
+/// The zone with the most free capacity for a demand; None if not even half of it fits there:
+/// then it matters more where machines boot soonest.
+fn zone_with_capacity(demand: &Demand, capacities: &[Capacity]) -> Option<Arc<str>> {
     let spec = &demand.spec;
-    let mut room: BTreeMap<&Arc<str>, u32> = BTreeMap::new();
-    for at in capacities {
-        if allowed(spec, &at.machine_type, &at.zone, at.spot) {
-            *room.entry(&at.zone).or_default() += at.free.fits(spec);
+    let mut tasks_by_zone: BTreeMap<&Arc<str>, u32> = BTreeMap::new();
+    for capacity in capacities {
+        if capacity.is_allowed_for(spec) {
+            *tasks_by_zone.entry(&capacity.zone).or_default() += capacity.free.fits(spec);
         }
     }
-    let (zone, tasks) = room.into_iter().max_by_key(|(_, tasks)| *tasks)?;
+    let (zone, tasks) = tasks_by_zone.into_iter().max_by_key(|(_, tasks)| *tasks)?;
     (tasks * 2 >= demand.count).then(|| zone.clone())
 }
--- /dev/null
+++ b/src/coordination/shard/autoscaler/reserved_quota.rs
@@ -0,0 +1,72 @@
+//! Reserved quota: capacity for what teams have a guaranteed quota of and do not use.
+
+use std::cmp::Reverse;
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use std::time::Instant;
+
+use super::arrivals::ClassHistory;
+use super::demand::{Demand, OfferFilter};
+use crate::coordination::shard::Shard;
+use crate::coordination::shard::scheduler::Usage;
+use crate::protocol::users::{JobKind, JobSpec};
+
+/// Most tasks for which one team's quota is reserved.
+const MAX_RESERVED_TASKS: f64 = 1e5;
+
+impl Shard {
+    /// Records which teams have unfinished jobs.
+    pub(super) fn record_work(&mut self, now: Instant) {
+        // A crash-looping job has no use for more capacity than one attempt takes.
+        let unfinished = self
+            .jobs
+            .values()
+            .filter(|job| job.final_stage.is_none() && !job.is_crash_looping());
+        let teams: BTreeSet<&str> = unfinished.map(|job| &*job.spec.team).collect();
+        for team in teams {
+            self.autoscaler.record_work(team, now);
+        }
+    }
+
+    /// Whether a team has work, or had some recently. A new leader does not know of jobs that
+    /// ended before its term, so the start of the term counts as work.
+    fn had_work_recently(&self, team: &str, now: Instant) -> bool {
+        let last = self.autoscaler.last_work(team).unwrap_or(self.acquired);
+        now.saturating_duration_since(last) <= self.policy.guarantee_hold
+    }
+
+    /// The demands for the unused quota of the teams that had work recently: they need not
+    /// wait for machines to boot either.
+    pub(super) fn quota_demands(&self, usage: &Usage, now: Instant) -> Vec<Demand> {
+        let mut demands = Vec::new();
+        let teams = self.policy.teams.iter();
+        for (name, team) in teams.filter(|(name, _)| self.had_work_recently(name, now)) {
+            let unused = team.cores - usage.of(name).cores;
+            if unused <= 0.0 {
+                continue;
+            }
+            let Some(spec) = self.typical_spec(name) else {
+                continue;
+            };
+            let count = (unused / spec.cores).floor();
+            let count = count.clamp(0.0, MAX_RESERVED_TASKS) as u32;
+            demands.push(Demand::in_advance(spec, count, OfferFilter::OnDemandFirst));
+        }
+        demands
+    }
+
+    /// The job to reserve a team's quota for: one of its own rather than another team's, and a
+    /// job array rather than a service.
+    fn typical_spec(&self, team: &str) -> Option<Arc<JobSpec>> {
+        let classes = self.autoscaler.classes.values();
+        let specs = classes.map(ClassHistory::spec);
+        let rank = |spec: &&Arc<JobSpec>| {
+            let batch = spec.kind == JobKind::Batch;
+            (spec.team != *team, Reverse(batch))
+        };
+        specs
+            .filter(|spec| spec.cores > 0.0)
+            .min_by_key(rank)
+            .cloned()
+    }
+}
--- a/src/coordination/shard/tests/autoscaling.rs
+++ b/src/coordination/shard/tests/autoscaling.rs
@@ -27,7 +27,11 @@
 fn drain_leaves_capacity_for_expected_services() {
     let mut script = ScriptedShard::without_quotas();
     script.submit("run-0", spec("red", 1.0, 50));
-    assert_eq!(script.shard.services_to_come(script.now), 0.0, "batch work");
+    assert_eq!(
+        script.shard.foreseen_service_cores(script.now),
+        0.0,
+        "batch work"
+    );
     for n in 1..=12 {
         let service = JobSpec {
             class: "web".into(),
@@ -38,9 +42,9 @@
         script.advance(Duration::from_secs(10));
     }
     // A task each 5 s, for the 20 s that a slow boot takes, and the root of that.
-    let to_come = script.shard.services_to_come(script.now);
+    let to_come = script.shard.foreseen_service_cores(script.now);
     assert!((4.0..8.0).contains(&to_come), "{to_come}");
     let held = ScriptedShard::empty();
     assert!(held.shard.policy.holds_capacity());
-    assert_eq!(held.shard.services_to_come(held.now), 0.0);
+    assert_eq!(held.shard.foreseen_service_cores(held.now), 0.0);
 }
