--- a/src/coordination/shard/autoscaler/machine_loss.rs
+++ b/src/coordination/shard/autoscaler/machine_loss.rs
@@ -153,7 +153,7 @@
         overview: &ReachabilityOverview,
         now: Instant,
     ) -> Option<DeletionReason> {
-        let unanswered = machine.unanswered >= MIN_UNANSWERED_PROBES;
+        let unanswered = machine.commands.unanswered() >= MIN_UNANSWERED_PROBES;
         if !unanswered || self.left_to_delegates(machine, now) {
             return None;
         }
@@ -175,7 +175,7 @@
         overview: &ReachabilityOverview,
         now: Instant,
     ) -> Option<DeletionReason> {
-        if now <= machine.lease_expires_at || self.others_may_renew_leases() {
+        if now <= machine.lease.expires_at() || self.others_may_renew_leases() {
             return None;
         }
         let in_unreachable_zone = overview.unreachable_zones.contains(&machine.zone);
--- a/src/coordination/shard/autoscaler/service_moves.rs
+++ b/src/coordination/shard/autoscaler/service_moves.rs
@@ -88,7 +88,7 @@
         self.machines
             .values()
             .filter(|machine| machine.load.stopping)
-            .filter(|machine| live_services(machine).any(|s| s.attempt.stop.is_some()))
+            .filter(|machine| live_services(machine).any(|s| s.attempt.stop().is_some()))
             .count()
     }
 
@@ -113,7 +113,7 @@
             return;
         };
         let starts_or_stops =
-            |s: LiveService| s.attempt.stop.is_some() || s.attempt.phase != Phase::Running;
+            |s: LiveService| s.attempt.stop().is_some() || s.attempt.phase != Phase::Running;
         if self
             .machines
             .values()
--- a/src/coordination/shard/delegations/grants.rs
+++ b/src/coordination/shard/delegations/grants.rs
@@ -72,9 +72,12 @@
             return;
         }
         let lease_expires_at = now + self.policy.worker_lease_bound();
-        for id in self.machines.ids(|m| m.lease_expires_at < lease_expires_at) {
+        for id in self
+            .machines
+            .ids(|m| m.lease.expires_at() < lease_expires_at)
+        {
             if let Some(machine) = self.machines.get_mut(&id) {
-                machine.lease_expires_at = lease_expires_at;
+                machine.lease.extend_to(lease_expires_at);
             }
         }
     }
--- a/src/coordination/shard/dispatch/answers.rs
+++ b/src/coordination/shard/dispatch/answers.rs
@@ -1,15 +1,20 @@
-//! What a batch of commands came to.
+//! Outcomes of batches of commands.
 
 use std::time::{Duration, Instant};
 
-use super::COMMAND_RETRY;
 use crate::coordination::shard::autoscaler::DeletionReason;
-use crate::coordination::shard::{CommandOutcome, Phase, Shard};
+use crate::coordination::shard::machines::HeartbeatNumber;
+use crate::coordination::shard::{Attempt, CommandOutcome, Phase, Shard};
 use crate::protocol::workers::Command;
 use crate::protocol::{AttemptId, MachineId};
 
+/// Pause before commands are sent again after a batch failed. Until then the answers to
+/// the worker's own heartbeats repeat them.
+const COMMAND_RETRY_PAUSE: Duration = Duration::from_secs(1);
+
 impl Shard {
-    /// A batch of commands was answered, or was given up.
+    /// A batch of commands was answered or failed. Called by the action executor once for
+    /// each [`super::super::Action::Command`].
     pub fn command_answered(
         &mut self,
         id: &MachineId,
@@ -21,73 +26,69 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let last = machine.command == Some(number);
-        if last {
-            machine.command = None;
-        }
-        let executed = matches!(outcome, CommandOutcome::Executed(_));
-        let lost = matches!(outcome, CommandOutcome::NoAnswer);
+        let batch = machine.commands.complete(number);
         for command in sent {
-            let Some(attempt) = machine.attempts.get_mut(&command.attempt_id()) else {
-                continue;
-            };
-            attempt.in_flight = false;
-            match command {
-                Command::Launch { .. } if lost => attempt.unanswered = true,
-                Command::Stop { grace_s, .. } if executed => {
-                    let grace = Duration::from_secs_f64(grace_s.max(0.0));
-                    attempt.stop_sent = attempt.stop.is_some_and(|wanted| wanted >= grace);
-                }
-                _ => {}
+            if let Some(attempt) = machine.attempts.get_mut(&command.attempt_id()) {
+                note_outcome(attempt, command, &outcome);
             }
         }
-        let asked_at = machine.asked_at;
+        let is_executed = matches!(outcome, CommandOutcome::Executed(_));
         match outcome {
             CommandOutcome::Executed(heartbeat) | CommandOutcome::Refused(heartbeat) => {
-                machine.outbound_unreachable = false;
-                if (heartbeat.agent_epoch, heartbeat.sequence) <= asked_at && last {
-                    // An answer is no copy, and numbers only rise: the machine
-                    // came back with a worker that began anew. What it held is
-                    // gone, and what is under way to it may land yet; only its
-                    // deletion tells the two apart.
+                machine.commands.note_answer();
+                let answer = HeartbeatNumber::from(&heartbeat);
+                if batch.is_some_and(|batch| answer <= batch.newest_when_sent) {
+                    // An answer is never a copy, and the numbers of one worker process
+                    // only rise: the worker process has started over. Its tasks are lost,
+                    // and commands sent to the process before it may still arrive. Only
+                    // deleting the machine tells these apart.
                     self.begin_deletion(id, now, DeletionReason::WorkerRestarted);
                     return;
                 }
                 self.apply_heartbeat(&heartbeat, now);
-                if executed {
-                    self.reconcile_launches(id, sent, now);
+                if is_executed {
+                    self.remove_unlisted_launches(id, sent, now);
                 }
             }
             CommandOutcome::NotSent | CommandOutcome::NoAnswer => {
-                machine.command_retry = Some(now + COMMAND_RETRY);
-                machine.unanswered += 1;
-                machine.outbound_unreachable = true;
+                machine.commands.note_failure(now + COMMAND_RETRY_PAUSE);
             }
         }
         self.needs_pass = true;
     }
 
-    /// After an executed batch, a launch that its heartbeat does not show (and
-    /// that no later heartbeat showed) has come and gone.
-    fn reconcile_launches(&mut self, id: &MachineId, sent: &[Command], now: Instant) {
+    /// Removes launches that the worker executed and does not list: the attempts ended and
+    /// were forgotten before its answer.
+    fn remove_unlisted_launches(&mut self, id: &MachineId, sent: &[Command], now: Instant) {
         let Some(machine) = self.machines.get(id) else {
             return;
         };
-        let missing: Vec<AttemptId> = sent
+        let is_unlisted = |id: &AttemptId| {
+            machine
+                .attempts
+                .get(id)
+                .is_some_and(|a| a.phase == Phase::Launching && !a.unanswered)
+        };
+        let unlisted: Vec<AttemptId> = sent
             .iter()
-            .filter_map(|command| match command {
-                Command::Launch { .. } => Some(command.attempt_id()),
-                _ => None,
-            })
-            .filter(|key| {
-                machine
-                    .attempts
-                    .get(key)
-                    .is_some_and(|a| a.phase == Phase::Launching && !a.unanswered)
-            })
+            .filter(|command| matches!(command, Command::Launch { .. }))
+            .map(Command::attempt_id)
+            .filter(is_unlisted)
             .collect();
-        for key in missing {
+        for key in unlisted {
             self.remove_attempt(id, &key, now);
         }
     }
 }
+
+/// Notes on an attempt what became of a command for it.
+fn note_outcome(attempt: &mut Attempt, command: &Command, outcome: &CommandOutcome) {
+    attempt.in_flight = false;
+    match (command, outcome) {
+        (Command::Launch { .. }, CommandOutcome::NoAnswer) => attempt.unanswered = true,
+        (Command::Stop { grace_s, .. }, CommandOutcome::Executed(_)) => {
+            attempt.note_stop_executed(Duration::from_secs_f64(grace_s.max(0.0)));
+        }
+        _ => {}
+    }
+}
--- a/src/coordination/shard/dispatch/lease_expiry.rs
+++ b/src/coordination/shard/dispatch/lease_expiry.rs
@@ -6,38 +6,41 @@
 use crate::protocol::MachineId;
 
 impl Shard {
-    /// Ends the agent epochs whose leases are surely over.
+    /// Ends the agent epochs whose leases have surely expired: such a worker has killed and
+    /// forgotten its tasks, which may start elsewhere.
     pub(in crate::coordination::shard) fn expire_leases(&mut self, now: Instant) {
-        if self.others_may_renew_leases() {
-            return;
-        }
-        // What was surely over when others' answers were last reckoned with is
-        // so for ever: a later answer revives nothing.
-        let Some(answers) = self.advance_renewals(now) else {
+        let Some(known_at) = self.renewals_known_at(now) else {
             return;
         };
-        let known_at = answers.known_at;
-        let lease = self.policy.worker_lease_bound();
-        if answers.last.is_some_and(|last| known_at <= last + lease) {
-            return;
-        }
-        let over: Vec<MachineId> = self
-            .machines
-            .values()
-            .filter(|m| {
-                known_at > m.lease_expires_at
-                    && (!m.load.idle() || self.unreconciled.contains(&m.id))
-            })
-            .map(|m| m.id.clone())
-            .collect();
-        for id in over {
+        for id in self.machines_with_expired_lease(known_at) {
             if let Some(machine) = self.machines.get_mut(&id) {
-                if let Some(agent_epoch) = machine.agent_epoch {
-                    machine.ended_epochs = machine.ended_epochs.max(agent_epoch);
-                }
-                tracing::info!(machine = %id, "worker lease over");
+                machine.epochs.end_current();
+                tracing::info!(machine = %id, "worker lease expired");
             }
             self.empty_machine(&id, known_at);
         }
     }
+
+    /// The moment up to which no controller can have renewed a lease unknown to this leader;
+    /// None while a renewal by another controller may keep any lease valid. A lease that had
+    /// expired by that moment stays expired: no later answer revives it.
+    fn renewals_known_at(&self, now: Instant) -> Option<Instant> {
+        if self.others_may_renew_leases() {
+            return None;
+        }
+        let renewals = self.advance_renewals(now)?;
+        let lease = self.policy.worker_lease_bound();
+        let may_be_renewed = renewals
+            .last
+            .is_some_and(|last| renewals.known_at <= last + lease);
+        (!may_be_renewed).then_some(renewals.known_at)
+    }
+
+    /// Machines with an expired lease that hold attempts or may hold unknown ones.
+    fn machines_with_expired_lease(&self, known_at: Instant) -> Vec<MachineId> {
+        self.machines.ids(|machine| {
+            known_at > machine.lease.expires_at()
+                && (!machine.load.idle() || self.unreconciled.contains(&machine.id))
+        })
+    }
 }
--- /dev/null
+++ b/src/coordination/shard/dispatch/probes.rs
@@ -0,0 +1,55 @@
+//! Probes: empty batches, which make a worker answer with a heartbeat.
+
+use std::time::{Duration, Instant};
+
+use crate::coordination::shard::{Machine, Shard};
+use crate::protocol::MachineId;
+
+/// A heartbeat is late after this multiple of the heartbeat interval, which covers the
+/// spread of the workers' timers, plus [`LATE_HEARTBEAT_MARGIN`].
+const LATE_HEARTBEAT_FACTOR: f64 = 1.25;
+/// Time for a heartbeat's delivery; see [`LATE_HEARTBEAT_FACTOR`].
+const LATE_HEARTBEAT_MARGIN: Duration = Duration::from_millis(750);
+
+/// The agent epoch named to a worker that has sent no heartbeat: workers begin with it.
+const FIRST_AGENT_EPOCH: u64 = 1;
+
+impl Shard {
+    /// Sends an empty batch: it raises the worker's fencing token to this leader's, and
+    /// its answer is a heartbeat.
+    pub(in crate::coordination::shard) fn probe(&mut self, id: &MachineId, agent_epoch: u64) {
+        let Some(machine) = self.machines.get(id) else {
+            return;
+        };
+        if machine.commands.is_outstanding() || machine.addr.is_empty() {
+            return;
+        }
+        self.send_batch(id, agent_epoch, Vec::new());
+    }
+
+    /// Probes machines whose workers have not acknowledged this leader's fencing token,
+    /// whose heartbeats are late, or that commands failed to reach.
+    pub(in crate::coordination::shard) fn probe_due_machines(&mut self, now: Instant) {
+        let due: Vec<(MachineId, u64)> = self
+            .machines
+            .values()
+            .filter(|machine| self.needs_probe(machine, now))
+            .map(|machine| {
+                let agent_epoch = machine.agent_epoch().unwrap_or(FIRST_AGENT_EPOCH);
+                (machine.id.clone(), agent_epoch)
+            })
+            .collect();
+        for (id, agent_epoch) in due {
+            self.probe(&id, agent_epoch);
+        }
+    }
+
+    fn needs_probe(&self, machine: &Machine, now: Instant) -> bool {
+        let interval = self.policy.heartbeat_interval;
+        let late_after = interval.mul_f64(LATE_HEARTBEAT_FACTOR) + LATE_HEARTBEAT_MARGIN;
+        let is_late = machine.since_last_contact(now) > late_after;
+        (!machine.token_acknowledged || is_late || machine.commands.is_unreachable())
+            && machine.expects_heartbeats()
+            && machine.commands.is_free(now)
+    }
+}
--- a/src/coordination/shard/health/slowness.rs
+++ b/src/coordination/shard/health/slowness.rs
@@ -141,5 +141,5 @@
     let late = attempt
         .running_since
         .is_some_and(|since| now.saturating_duration_since(since) > overdue_after);
-    late && attempt.phase == Phase::Running && attempt.stop.is_none() && !attempt.overdue
+    late && attempt.phase == Phase::Running && attempt.stop().is_none() && !attempt.overdue
 }
--- a/src/coordination/shard/jobs/mod.rs
+++ b/src/coordination/shard/jobs/mod.rs
@@ -124,6 +124,11 @@
         &self.live
     }
 
+    /// Whether a task needs an attempt: it is not completed, and none may exist.
+    pub fn needs_attempt(&self, index: u32) -> bool {
+        self.final_stage.is_none() && !self.done.contains(index) && !self.live.contains_key(&index)
+    }
+
     /// A task has completed.
     pub fn complete(&mut self, index: u32) {
         self.unplaced.remove(&index);
--- a/src/coordination/shard/machines/attempt.rs
+++ b/src/coordination/shard/machines/attempt.rs
@@ -4,57 +4,88 @@
 use std::time::{Duration, Instant};
 
 use crate::protocol::users::JobSpec;
-use crate::protocol::workers::AttemptOutcome;
+use crate::protocol::workers::{AttemptOutcome, TaskState, TaskStatus};
 
-/// How far an attempt is.
+/// How far an attempt has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Decided; no heartbeat has shown it yet.
+    /// Its launch was decided; no heartbeat has listed it yet.
     Launching,
-    /// Waiting for its image.
+    /// The worker fetches its image.
     Fetching,
-    /// A gang's task that waits for the others.
+    /// A gang's task that waits for the other tasks.
     Waiting,
-    /// Running.
+    /// It is running.
     Running,
-    /// Saving its progress before it stops.
+    /// It saves its progress before it stops.
     Saving,
-    /// Over, for this reason.
+    /// It has ended, with this outcome.
     Ended(AttemptOutcome),
 }
 
-/// One try to run a task on a machine.
+impl Phase {
+    /// Whether a machine on which an attempt is in this phase has the task's image.
+    pub fn has_image(self) -> bool {
+        matches!(
+            self,
+            Self::Waiting | Self::Running | Self::Saving | Self::Ended(AttemptOutcome::Done)
+        )
+    }
+}
+
+impl From<&TaskStatus> for Phase {
+    fn from(status: &TaskStatus) -> Self {
+        match status.state {
+            TaskState::Fetching => Self::Fetching,
+            TaskState::Waiting => Self::Waiting,
+            TaskState::Running => Self::Running,
+            TaskState::Saving => Self::Saving,
+            TaskState::Ended => Self::Ended(status.outcome.unwrap_or(AttemptOutcome::Other)),
+        }
+    }
+}
+
+/// A stop that was decided for an attempt.
+#[derive(Debug, Clone, Copy)]
+struct StopRequest {
+    /// The time that the task gets to save its progress.
+    grace: Duration,
+    /// Whether the worker has executed a stop with no more than this grace period.
+    is_executed: bool,
+}
+
+/// One attempt to run a task on a machine.
 #[derive(Debug)]
 pub struct Attempt {
-    /// What it uses; unknown for an orphan whose job is being looked up.
+    /// The job's description, which says what the attempt uses; None for an attempt of an
+    /// earlier leader while its finished job's record is being read.
     pub spec: Option<Arc<JobSpec>>,
-    /// How far it is.
+    /// How far it has come.
     pub phase: Phase,
-    /// When it was decided, or first seen.
+    /// When it was decided, or first listed by a heartbeat.
     pub began: Instant,
-    /// Since when it is in this phase.
+    /// Since when it is in its phase.
     pub since: Instant,
-    /// When it was first seen running.
+    /// When a heartbeat first listed it as running.
     pub running_since: Option<Instant>,
-    /// Started by an earlier leader: it has run for longer than was seen.
+    /// Whether an earlier leader launched it: it has run for longer than this one has seen.
     pub adopted: bool,
-    /// A launch was sent to which no answer came: it may land at any time
-    /// until the agent epoch ends, so the attempt must never be cleared.
+    /// Whether a launch was sent that got no answer. It may arrive at any time until the
+    /// agent epoch ends, so the worker must not be told to forget the attempt.
     pub unanswered: bool,
-    /// In a batch of commands that is under way.
+    /// Whether an outstanding batch holds a command for it.
     pub in_flight: bool,
-    /// Wanted to stop, with this time to save.
-    pub stop: Option<Duration>,
-    /// The stop with that time has been executed.
-    pub stop_sent: bool,
-    /// Its end is on record: the worker may forget it.
+    /// The stop that was decided for it.
+    stop: Option<StopRequest>,
+    /// Whether its outcome is recorded, so that the worker may forget it.
     pub clearable: bool,
-    /// It has run far longer than others of its job, and its machine was noted for it.
+    /// Whether it has run far longer than other attempts of its job and was counted
+    /// against its machine.
     pub overdue: bool,
 }
 
 impl Attempt {
-    /// An attempt that begins in this phase.
+    /// An attempt that begins in a phase.
     pub fn new(spec: Option<Arc<JobSpec>>, phase: Phase, now: Instant) -> Self {
         Self {
             spec,
@@ -66,24 +97,54 @@
             unanswered: false,
             in_flight: false,
             stop: None,
-            stop_sent: false,
             clearable: false,
             overdue: false,
         }
     }
 
+    /// An attempt that an earlier leader launched.
+    pub fn adopted(now: Instant) -> Self {
+        Self {
+            adopted: true,
+            ..Self::new(None, Phase::Launching, now)
+        }
+    }
+
     /// Whether it has ended.
     pub fn ended(&self) -> bool {
         matches!(self.phase, Phase::Ended(_))
     }
 
-    /// Asks it to stop; a shorter grace replaces a longer one.
+    /// A heartbeat lists it in another phase than before.
+    pub fn enter(&mut self, phase: Phase, now: Instant) {
+        self.phase = phase;
+        self.since = now;
+        if phase == Phase::Running {
+            self.running_since.get_or_insert(now);
+        }
+    }
+
+    /// The grace period with which it is to stop, if it is.
+    pub fn stop(&self) -> Option<Duration> {
+        self.stop.map(|stop| stop.grace)
+    }
+
+    /// Asks it to stop; a shorter grace period replaces a longer one.
     pub fn want_stop(&mut self, grace: Duration) {
-        if self.ended() || self.stop.is_some_and(|wanted| wanted <= grace) {
+        if self.ended() || self.stop.is_some_and(|stop| stop.grace <= grace) {
             return;
         }
-        self.stop = Some(grace);
-        self.stop_sent = false;
+        self.stop = Some(StopRequest {
+            grace,
+            is_executed: false,
+        });
+    }
+
+    /// The worker executed a stop with this grace period.
+    pub fn note_stop_executed(&mut self, grace: Duration) {
+        if let Some(stop) = &mut self.stop {
+            stop.is_executed = stop.grace >= grace;
+        }
     }
 
     /// Work that stopping it now would lose.
@@ -98,29 +159,28 @@
         }
     }
 
-    /// Whether it is a launch that was never sent and is not wanted any more.
+    /// Whether its launch was never sent and is no longer wanted.
     pub fn is_withdrawable(&self) -> bool {
         self.phase == Phase::Launching && self.stop.is_some() && !self.in_flight && !self.unanswered
     }
 
-    /// Whether a batch of commands for it should be sent now.
+    /// Whether its launch has to be sent.
+    pub fn needs_launch(&self) -> bool {
+        self.phase == Phase::Launching && !self.unanswered && self.stop.is_none()
+    }
+
+    /// Whether a command for it has to be sent, and none is outstanding.
     pub fn needs_command(&self) -> bool {
-        if self.in_flight {
-            return false;
-        }
-        match self.phase {
-            Phase::Launching => !self.unanswered && self.stop.is_none(),
-            Phase::Ended(_) => false,
-            _ => self.stop_to_send().is_some(),
-        }
+        !self.in_flight && (self.needs_launch() || self.stop_to_send().is_some())
     }
 
-    /// The time to save of the stop that has not been executed yet.
+    /// The grace period of a stop that the worker has not executed yet.
     pub fn stop_to_send(&self) -> Option<Duration> {
-        if self.ended() || self.phase == Phase::Launching || self.stop_sent {
+        if self.ended() || self.phase == Phase::Launching {
             return None;
         }
-        self.stop
+        let stop = self.stop.filter(|stop| !stop.is_executed)?;
+        Some(stop.grace)
     }
 
     /// Whether the worker may forget it now.
--- a/src/coordination/shard/machines/mod.rs
+++ b/src/coordination/shard/machines/mod.rs
@@ -1,12 +1,21 @@
 //! Machines and the attempts that may exist on them.
 
+mod admission;
+mod agent_epochs;
 mod amounts;
 mod attempt;
+mod command_channel;
 mod set;
+mod worker_lease;
 
+pub use agent_epochs::{AgentEpochs, EpochChange, HeartbeatNumber};
 pub use amounts::Amounts;
 pub use attempt::{Attempt, Phase};
+pub use command_channel::CommandChannel;
 pub use set::{MachineLoad, Machines};
+pub use worker_lease::WorkerLease;
+
+use admission::Admission;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -29,29 +38,16 @@
     pub zone: Arc<str>,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// The agent epoch in which its worker was last heard.
-    pub agent_epoch: Option<u64>,
-    /// The newest number of that agent epoch.
-    pub sequence: u64,
-    /// The newest that it reported by itself, as (agent epoch, number): what is not
-    /// newer is a copy that nobody waits for.
-    pub last_heartbeat: (u64, u64),
-    /// Agent epochs up to this one are over, whatever late messages say.
-    pub ended_epochs: u64,
+    /// The agent epochs and newest heartbeats of its worker.
+    pub epochs: AgentEpochs,
     /// A heartbeat has carried our fencing token: no older command can land any more.
     pub token_acknowledged: bool,
-    /// Its roster record is written: it may get tasks.
-    pub admitted: bool,
-    /// The write of its roster record has been asked for.
-    pub admission_asked: bool,
+    /// How far its entry in the stored roster is.
+    admission: Admission,
     /// Last message of its worker that reached us.
     pub last_contact: Option<Instant>,
-    /// Since when it is on our books.
-    pub known: Instant,
-    /// When a heartbeat that came by itself last renewed its worker's lease.
-    pub renewed: Option<Instant>,
-    /// Its worker's lease has surely ended after this.
-    pub lease_expires_at: Instant,
+    /// The bound on its worker's lease.
+    pub lease: WorkerLease,
     /// When the cloud takes it away, as far as was said.
     pub preemption_notice: Option<Instant>,
     /// All attempts that may exist on it, by task and attempt number.
@@ -80,18 +76,8 @@
     pub listed: bool,
     /// It should be on the cloud's list, and isn't.
     pub vanished: bool,
-    /// The batch of commands that is under way.
-    pub command: Option<u64>,
-    /// The newest numbers known when that batch was sent: what answers it is
-    /// newer, unless the worker has started over.
-    pub asked_at: (u64, u64),
-    /// Commands don't reach it, as far as is known: it gets no new work until
-    /// it answers some.
-    pub outbound_unreachable: bool,
-    /// When commands may be sent again after a failure.
-    pub command_retry: Option<Instant>,
-    /// Batches of commands without an answer since it was last heard.
-    pub unanswered: u32,
+    /// The path of commands to its worker.
+    pub commands: CommandChannel,
 }
 
 impl Machine {
@@ -103,17 +89,11 @@
             machine_type: "".into(),
             zone: "".into(),
             spot: false,
-            agent_epoch: None,
-            sequence: 0,
-            last_heartbeat: (0, 0),
-            ended_epochs: 0,
+            epochs: AgentEpochs::default(),
             token_acknowledged: false,
-            admitted: false,
-            admission_asked: false,
+            admission: Admission::default(),
             last_contact: None,
-            known: now,
-            renewed: None,
-            lease_expires_at,
+            lease: WorkerLease::new(now, lease_expires_at),
             preemption_notice: None,
             attempts: BTreeMap::new(),
             load: MachineLoad::default(),
@@ -128,11 +108,7 @@
             deletion_retry: None,
             listed: false,
             vanished: false,
-            command: None,
-            asked_at: (0, 0),
-            outbound_unreachable: false,
-            command_retry: None,
-            unanswered: 0,
+            commands: CommandChannel::default(),
         }
     }
 
@@ -150,15 +126,34 @@
         self.spot = spot;
     }
 
-    /// The newest numbers that came from its worker.
-    pub fn numbers(&self) -> (u64, u64) {
-        (self.agent_epoch.unwrap_or(0), self.sequence)
+    /// The agent epoch in which its worker last sent a heartbeat.
+    pub fn agent_epoch(&self) -> Option<u64> {
+        self.epochs.current()
+    }
+
+    /// Whether its entry in the stored roster is written: it may get tasks.
+    pub fn is_admitted(&self) -> bool {
+        self.admission == Admission::Admitted
+    }
+
+    /// Whether the write of its roster entry has to be queued now; from then on it is.
+    pub fn request_admission(&mut self) -> bool {
+        let is_due = self.admission == Admission::Unrecorded && !self.deleting;
+        if is_due {
+            self.admission = Admission::Requested;
+        }
+        is_due
+    }
+
+    /// Its entry in the stored roster is written.
+    pub fn set_admitted(&mut self) {
+        self.admission = Admission::Admitted;
     }
 
     /// Whether it is rented and has not booted, as far as is known: its worker has never been
     /// heard from.
     pub fn is_booting(&self) -> bool {
-        self.last_contact.is_none() && !self.admitted
+        self.last_contact.is_none() && !self.is_admitted()
     }
 
     /// Whether its worker is expected to send heartbeats to us.
@@ -177,17 +172,15 @@
     /// For how long its worker has not reported by itself. It may still answer
     /// what it is asked, but only its heartbeats renew its lease.
     pub fn since_own_heartbeat(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.renewed.unwrap_or(self.known))
+        self.lease.since_renewal(now)
     }
 
     /// Whether new tasks may be started on it.
     pub fn open(&self, now: Instant, policy: &Policy) -> bool {
         self.token_acknowledged
-            && self.admitted
-            && self
-                .agent_epoch
-                .is_some_and(|agent_epoch| agent_epoch > self.ended_epochs)
-            && !self.outbound_unreachable
+            && self.is_admitted()
+            && self.epochs.is_live()
+            && !self.commands.is_unreachable()
             && !self.deleting
             && !self.cordoned
             && !self.failures.is_quarantined(now)
--- a/src/coordination/shard/machines/set.rs
+++ b/src/coordination/shard/machines/set.rs
@@ -38,7 +38,7 @@
             if attempt.ended() {
                 continue;
             }
-            load.stopping |= attempt.stop.is_some();
+            load.stopping |= attempt.stop().is_some();
             let Some(spec) = &attempt.spec else {
                 load.unknown += 1;
                 continue;
--- a/src/coordination/shard/persistence/flush.rs
+++ b/src/coordination/shard/persistence/flush.rs
@@ -37,7 +37,7 @@
             match purpose {
                 WritePurpose::Admit(id) => {
                     if let Some(machine) = self.machines.get_mut(id) {
-                        machine.admitted = true;
+                        machine.set_admitted();
                     }
                 }
                 WritePurpose::Delete(id) => deletable.push(id.clone()),
--- a/src/coordination/shard/persistence/records.rs
+++ b/src/coordination/shard/persistence/records.rs
@@ -14,10 +14,9 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        if machine.admitted || machine.admission_asked || machine.deleting {
+        if !machine.request_admission() {
             return;
         }
-        machine.admission_asked = true;
         let record = roster_record(machine, false);
         self.put_roster_entry(id, record, WritePurpose::Admit(id.clone()));
     }
--- a/src/coordination/shard/reconciler/mod.rs
+++ b/src/coordination/shard/reconciler/mod.rs
@@ -1,4 +1,11 @@
-//! What workers send in their heartbeats, and what they are answered.
+//! Reconciliation of the shard's state with what the workers report.
+//!
+//! The key-value store holds no placements: which task is on which machine is known from
+//! the workers' heartbeats alone. This module owns the way from a heartbeat to the shard's
+//! attempts, their outcomes, and the set of machines on which an earlier leader may have
+//! started tasks that this one has not seen. The handler of worker heartbeats calls
+//! [`Shard::heartbeat`]; answers to commands arrive through [`super::dispatch`]. It never
+//! decides what should run: it only records what does.
 
 mod outcomes;
 mod preemption_notice;
@@ -11,54 +18,43 @@
 use std::time::{Duration, Instant};
 
 use super::dispatch::commands_to_repeat;
+use super::machines::{EpochChange, HeartbeatNumber};
 use super::{Action, Machine, Shard};
 use crate::protocol::MachineId;
 use crate::protocol::workers::{Command, WorkerHeartbeat};
 
-/// Pause before a machine that sends old numbers is asked again.
-const ASK_AGAIN: Duration = Duration::from_secs(2);
+/// Least pause between two probes that outdated heartbeats of one machine cause.
+const OUTDATED_HEARTBEAT_PROBE_PAUSE: Duration = Duration::from_secs(2);
 
 /// What to answer to a heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatOutcome {
     /// 200 with these commands; the worker's lease is renewed.
     Answer(Vec<Command>),
-    /// The machine is known to be gone, or a higher fencing token is about.
+    /// No renewal: the machine is deleted, or another controller has a higher fencing
+    /// token and may lead the shard.
     Refuse,
 }
 
 impl Shard {
-    /// A worker's own heartbeat; the caller answers it at once.
+    /// Applies a heartbeat that a worker sent by itself. The caller must send the returned
+    /// answer at once, since the bound on the worker's lease counts from `now`.
     pub fn heartbeat(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) -> HeartbeatOutcome {
-        if self
-            .deleted_machines
-            .contains_key(heartbeat.machine.as_str())
-        {
-            return HeartbeatOutcome::Refuse;
-        }
-        if heartbeat.fencing_token > self.fencing_token {
-            self.out.push(Action::Fenced {
-                seen: heartbeat.fencing_token,
-            });
+        if self.is_deleted(heartbeat) || self.is_fenced_by(heartbeat) {
             return HeartbeatOutcome::Refuse;
         }
         self.apply_heartbeat(heartbeat, now);
+        let lease_expires_at = now + self.policy.worker_lease_bound();
         let Some(machine) = self.machines.get_mut(heartbeat.machine.as_str()) else {
             return HeartbeatOutcome::Refuse;
         };
-        // Whatever the worker makes of this answer, its lease can't end later
-        // than it would if it took it. Nobody takes the answer to a copy.
-        let numbers = (heartbeat.agent_epoch, heartbeat.sequence);
-        if numbers > machine.last_heartbeat {
-            machine.last_heartbeat = numbers;
-            machine.renewed = Some(now);
-            machine.lease_expires_at = machine
-                .lease_expires_at
-                .max(now + self.policy.worker_lease_bound());
+        let number = HeartbeatNumber::from(heartbeat);
+        // Whether or not the worker accepts this answer, its lease can't expire later than
+        // if it does. The answer to a copy renews nothing: no worker waits for it.
+        if machine.epochs.note_own(number) {
+            machine.lease.renew(now, lease_expires_at);
         }
-        let current = machine.agent_epoch == Some(heartbeat.agent_epoch)
-            && machine.sequence == heartbeat.sequence;
-        let commands = if machine.token_acknowledged && current {
+        let commands = if machine.token_acknowledged && machine.epochs.is_newest(number) {
             commands_to_repeat(machine)
         } else {
             Vec::new()
@@ -66,80 +62,53 @@
         HeartbeatOutcome::Answer(commands)
     }
 
-    /// Takes in a heartbeat that came by itself or with a command's answer.
+    /// Applies a heartbeat that a worker sent by itself or as the answer to commands.
     pub(super) fn apply_heartbeat(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) {
-        if heartbeat.fencing_token > self.fencing_token {
-            self.out.push(Action::Fenced {
-                seen: heartbeat.fencing_token,
-            });
-            return;
-        }
-        if self
-            .deleted_machines
-            .contains_key(heartbeat.machine.as_str())
-        {
+        if self.is_fenced_by(heartbeat) || self.is_deleted(heartbeat) {
             return;
         }
-        let lease_expires_at = now + self.policy.worker_lease_bound();
-        let Some(machine) = self.adopt(heartbeat, now) else {
+        let Some(id) = self.register_machine(heartbeat, now) else {
             return;
         };
-        let id = machine.id.clone();
-        let numbers = (heartbeat.agent_epoch, heartbeat.sequence);
-        if heartbeat.agent_epoch <= machine.ended_epochs || numbers <= machine.numbers() {
-            // A copy or a late message; or the machine came back with a worker
-            // that began anew. The machine itself tells.
-            if numbers < machine.numbers() && machine.command_retry.is_none_or(|at| at <= now) {
-                machine.command_retry = Some(now + ASK_AGAIN);
-                self.probe(&id, heartbeat.agent_epoch);
-            }
+        if !self.accept_heartbeat(&id, heartbeat, now) {
             return;
         }
-        machine.last_contact = Some(now);
-        machine.vanished = false;
-        machine.unanswered = 0;
-        let new_epoch = machine.agent_epoch != Some(heartbeat.agent_epoch);
-        let had_epoch = machine.agent_epoch.is_some();
-        if new_epoch {
-            // Its lease runs from when it began, which was before now; what we
-            // reckoned with so far was an earlier epoch's.
-            machine.lease_expires_at = machine.lease_expires_at.max(lease_expires_at);
-        }
-        machine.agent_epoch = Some(heartbeat.agent_epoch);
-        machine.sequence = heartbeat.sequence;
-        if new_epoch && had_epoch {
-            // The worker killed and forgot all that its last agent epoch held.
-            machine.ended_epochs = machine.ended_epochs.max(heartbeat.agent_epoch - 1);
-            // We heard it, and still its lease ended: it may not hear us.
-            machine.outbound_unreachable = true;
-            tracing::info!(machine = %id, agent_epoch = heartbeat.agent_epoch, "worker began a new agent epoch");
-            // What an earlier leader started in this agent epoch is not reconciled.
-            self.remove_attempts(&id, now);
-        }
         self.apply_preemption_notice(&id, heartbeat.preemption_notice_s, now);
         if heartbeat.fencing_token < self.fencing_token {
-            // Its list may change yet by commands of an earlier leader.
+            // Commands of an earlier leader may still change what the worker holds.
             self.probe(&id, heartbeat.agent_epoch);
             return;
         }
-        let Some(machine) = self.machines.get_mut(&id) else {
-            return;
-        };
-        if !machine.token_acknowledged {
-            machine.token_acknowledged = true;
-            tracing::debug!(machine = %id, "machine synced");
-        }
-        self.take_tasks(&id, &heartbeat.tasks, now);
+        self.note_token_acknowledged(&id);
+        self.reconcile_attempts(&id, &heartbeat.tasks, now);
         self.reconcile_machine(&id);
         self.admit(&id);
         self.needs_pass = true;
     }
 
-    fn adopt(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) -> Option<&mut Machine> {
+    fn is_deleted(&self, heartbeat: &WorkerHeartbeat) -> bool {
+        self.deleted_machines
+            .contains_key(heartbeat.machine.as_str())
+    }
+
+    /// Whether the worker has seen a higher fencing token than this leader's. If so, the
+    /// action executor learns that another controller may lead the shard.
+    fn is_fenced_by(&mut self, heartbeat: &WorkerHeartbeat) -> bool {
+        let is_fenced = heartbeat.fencing_token > self.fencing_token;
+        if is_fenced {
+            self.out.push(Action::Fenced {
+                seen: heartbeat.fencing_token,
+            });
+        }
+        is_fenced
+    }
+
+    /// Adds the heartbeat's machine if it is new, and takes over how it describes itself.
+    fn register_machine(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) -> Option<MachineId> {
         let id: MachineId = heartbeat.machine.as_str().into();
         let lease_expires_at = now + self.policy.worker_lease_bound();
         if self.machines.contains(&id) {
-            self.note_boot(&id, now);
+            self.note_boot_time(&id, now);
         } else {
             self.machines
                 .insert(Machine::new(id.clone(), now, lease_expires_at));
@@ -154,12 +123,12 @@
             &heartbeat.zone,
             heartbeat.spot,
         );
-        Some(machine)
+        Some(machine.id.clone())
     }
 
-    /// Takes in how long a machine took that is heard for the first time. One that was
-    /// rented before this leader began may have come up unheard.
-    fn note_boot(&mut self, id: &MachineId, now: Instant) {
+    /// Notes how long a machine took to boot when its first heartbeat arrives. A machine
+    /// rented before this leader was elected may have come up unnoticed and is left out.
+    fn note_boot_time(&mut self, id: &MachineId, now: Instant) {
         let Some(machine) = self.machines.get(id) else {
             return;
         };
@@ -171,4 +140,57 @@
         };
         self.autoscaler.record_boot(machine, kind, now);
     }
+
+    /// Records a heartbeat as its machine's newest; false if it is outdated.
+    fn accept_heartbeat(
+        &mut self,
+        id: &MachineId,
+        heartbeat: &WorkerHeartbeat,
+        now: Instant,
+    ) -> bool {
+        let lease_expires_at = now + self.policy.worker_lease_bound();
+        let Some(machine) = self.machines.get_mut(id) else {
+            return false;
+        };
+        let number = HeartbeatNumber::from(heartbeat);
+        if machine.epochs.is_outdated(number) {
+            // A copy or a late message, or the machine came back with a worker process
+            // that started over: only an answer of the machine itself shows which.
+            if number < machine.epochs.newest() && machine.commands.retry_is_due(now) {
+                let retry_at = now + OUTDATED_HEARTBEAT_PROBE_PAUSE;
+                machine.commands.retry_at(retry_at);
+                self.probe(id, heartbeat.agent_epoch);
+            }
+            return false;
+        }
+        machine.last_contact = Some(now);
+        machine.vanished = false;
+        machine.commands.note_heartbeat();
+        let change = machine.epochs.advance(number);
+        if change != EpochChange::Unchanged {
+            // The new epoch's lease began with the epoch, before now; the bound so far
+            // is that of an earlier epoch.
+            machine.lease.extend_to(lease_expires_at);
+        }
+        if change == EpochChange::Restarted {
+            // Its heartbeats arrived, and still its lease expired: perhaps what this
+            // leader sends doesn't reach it.
+            machine.commands.note_lease_lost();
+            tracing::info!(machine = %id, agent_epoch = heartbeat.agent_epoch, "worker began a new agent epoch");
+            // This doesn't reconcile the machine: an earlier leader may have started
+            // tasks in the new epoch.
+            self.remove_attempts(id, now);
+        }
+        true
+    }
+
+    /// The worker has seen this leader's fencing token: it refuses all older commands.
+    fn note_token_acknowledged(&mut self, id: &MachineId) {
+        if let Some(machine) = self.machines.get_mut(id)
+            && !machine.token_acknowledged
+        {
+            machine.token_acknowledged = true;
+            tracing::debug!(machine = %id, "worker acknowledged the fencing token");
+        }
+    }
 }
--- a/src/coordination/shard/reconciler/outcomes.rs
+++ b/src/coordination/shard/reconciler/outcomes.rs
@@ -105,7 +105,7 @@
     fn of(attempt: &Attempt, now: Instant) -> Self {
         let since = attempt.running_since;
         Self {
-            asked: attempt.stop.is_some(),
+            asked: attempt.stop().is_some(),
             typical: !attempt.overdue && !attempt.adopted,
             began: attempt.began,
             ran: since.map(|since| now.saturating_duration_since(since)),
--- a/src/coordination/shard/reconciler/recovery.rs
+++ b/src/coordination/shard/reconciler/recovery.rs
@@ -115,7 +115,7 @@
                 &record.zone,
                 record.spot,
             );
-            machine.admitted = true;
+            machine.set_admitted();
             shard.unreconciled.insert(id.clone());
             shard.machines.insert(machine);
             if record.deleting {
--- a/src/coordination/shard/reconciler/task_list.rs
+++ b/src/coordination/shard/reconciler/task_list.rs
@@ -1,57 +1,61 @@
-//! Comparison of a heartbeat's task list with the attempts that the shard knows.
+//! Reconciliation of a heartbeat's task list with the attempts that the shard knows.
 
 use std::time::{Duration, Instant};
 
 use crate::coordination::shard::{Action, Attempt, Phase, Shard};
-use crate::protocol::workers::{AttemptOutcome, TaskState, TaskStatus};
+use crate::protocol::workers::{TaskState, TaskStatus};
 use crate::protocol::{AttemptId, MachineId};
 
-/// Images that a machine is taken to cache; the worker decides what it keeps.
-const IMAGES_REMEMBERED: usize = 12;
+/// Images that a machine is assumed to cache; the worker decides what it really keeps.
+const CACHED_IMAGES: usize = 12;
 
 impl Shard {
-    /// Compares a synced heartbeat's list with the books.
-    pub(super) fn take_tasks(&mut self, id: &MachineId, tasks: &[TaskStatus], now: Instant) {
+    /// Brings a machine's attempts in line with the list of a worker that has acknowledged
+    /// this leader's fencing token, and to which therefore no older command applies.
+    pub(super) fn reconcile_attempts(
+        &mut self,
+        id: &MachineId,
+        tasks: &[TaskStatus],
+        now: Instant,
+    ) {
         let mut listed = Vec::with_capacity(tasks.len());
-        for line in tasks {
-            listed.push(line.attempt_id());
-            self.take_task(id, line, now);
+        for status in tasks {
+            listed.push(status.attempt_id());
+            self.apply_status(id, status, now);
         }
+        listed.sort();
+        for key in self.vanished_attempts(id, &listed) {
+            self.remove_attempt(id, &key, now);
+        }
+    }
+
+    /// Attempts that an earlier heartbeat listed and this one does not: they have ceased to
+    /// exist. A launch that was never listed may still arrive at the worker.
+    fn vanished_attempts(&self, id: &MachineId, listed: &[AttemptId]) -> Vec<AttemptId> {
         let Some(machine) = self.machines.get(id) else {
-            return;
+            return Vec::new();
         };
-        // What was shown before and is not any more is gone for good. What was
-        // never shown may still land.
-        listed.sort();
-        let gone: Vec<AttemptId> = machine
+        machine
             .attempts
             .iter()
             .filter(|(key, attempt)| {
                 attempt.phase != Phase::Launching && listed.binary_search(key).is_err()
             })
             .map(|(key, _)| key.clone())
-            .collect();
-        for key in gone {
-            self.remove_attempt(id, &key, now);
-        }
+            .collect()
     }
 
-    fn take_task(&mut self, id: &MachineId, line: &TaskStatus, now: Instant) {
-        let key = line.attempt_id();
-        let known = self
+    /// Applies one line of the list to the attempt that it is about.
+    fn apply_status(&mut self, id: &MachineId, status: &TaskStatus, now: Instant) {
+        let key = status.attempt_id();
+        let is_known = self
             .machines
             .get(id)
-            .is_some_and(|m| m.attempts.contains_key(&key));
-        if !known {
-            self.adopt_attempt(id, &key, line.state != TaskState::Ended, now);
+            .is_some_and(|machine| machine.attempts.contains_key(&key));
+        if !is_known {
+            self.adopt_attempt(id, &key, status.state != TaskState::Ended, now);
         }
-        let phase = match line.state {
-            TaskState::Fetching => Phase::Fetching,
-            TaskState::Waiting => Phase::Waiting,
-            TaskState::Running => Phase::Running,
-            TaskState::Saving => Phase::Saving,
-            TaskState::Ended => Phase::Ended(line.outcome.unwrap_or(AttemptOutcome::Other)),
-        };
+        let phase = Phase::from(status);
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -62,17 +66,12 @@
             return;
         }
         let had_ended = attempt.ended();
-        attempt.phase = phase;
-        attempt.since = now;
+        attempt.enter(phase, now);
         if phase == Phase::Running {
-            tracing::debug!(machine = %id, task = %line.task, "running");
-            attempt.running_since.get_or_insert(now);
+            tracing::debug!(machine = %id, task = %status.task, "task is running");
         }
-        let started = matches!(phase, Phase::Waiting | Phase::Running | Phase::Saving)
-            || phase == Phase::Ended(AttemptOutcome::Done);
-        let image = attempt.spec.as_ref().map(|spec| spec.image.clone());
-        if let (true, Some(image)) = (started, image) {
-            machine.use_image(&image, IMAGES_REMEMBERED);
+        if let Some(spec) = attempt.spec.clone().filter(|_| phase.has_image()) {
+            machine.use_image(&spec.image, CACHED_IMAGES);
         }
         if let Phase::Ended(outcome) = phase
             && !had_ended
@@ -81,26 +80,24 @@
         }
     }
 
-    /// A task on a machine that an earlier leader started.
-    fn adopt_attempt(&mut self, id: &MachineId, key: &AttemptId, live: bool, now: Instant) {
+    /// Adds an attempt that an earlier leader launched. It is stopped if its job is finished,
+    /// or if its task is completed or has another attempt.
+    fn adopt_attempt(&mut self, id: &MachineId, key: &AttemptId, is_live: bool, now: Instant) {
         let task = &key.task;
-        let mut attempt = Attempt::new(None, Phase::Launching, now);
-        attempt.adopted = true;
+        let mut attempt = Attempt::adopted(now);
         match self.jobs.get_mut(&task.job) {
             Some(job) if task.index < job.spec.tasks => {
                 attempt.spec = Some(job.spec.clone());
-                let unwanted = job.final_stage.is_some()
-                    || job.done().contains(task.index)
-                    || job.live().contains_key(&task.index);
-                if unwanted {
+                if !job.needs_attempt(task.index) {
                     attempt.want_stop(Duration::ZERO);
                 }
-                if live {
+                if is_live {
                     job.put(task.index, id);
                 }
             }
-            _ if live => {
-                // Its job was over before we came.
+            _ if is_live => {
+                // The job finished before this leader was elected: its final record tells
+                // what the attempt uses.
                 attempt.want_stop(Duration::ZERO);
                 self.out.push(Action::ReadFinal {
                     job: task.job.clone(),
@@ -109,7 +106,7 @@
             _ => {}
         }
         if let Some(machine) = self.machines.get_mut(id) {
-            if live {
+            if is_live {
                 machine.idle_since = None;
             }
             machine.attempts.insert(key.clone(), attempt);
--- a/src/coordination/shard/scheduler/gang/mod.rs
+++ b/src/coordination/shard/scheduler/gang/mod.rs
@@ -54,7 +54,7 @@
         };
         job.live().values().all(|id| {
             self.machines.get(id).is_some_and(|machine| {
-                !machine.outbound_unreachable
+                !machine.commands.is_unreachable()
                     && machine.since_last_contact(now) < self.policy.suspect_after
             })
         })
--- a/src/coordination/shard/scheduler/gang/placement.rs
+++ b/src/coordination/shard/scheduler/gang/placement.rs
@@ -114,7 +114,11 @@
     /// Whether all missing tasks of a gang may be started now.
     fn gang_placeable(&self, job: &Job, pass: &SchedulingPass) -> bool {
         let missing = job.waiting();
-        let stops = |machine: &Machine| machine.attempts_of(&job.id).any(|(_, a)| a.stop.is_some());
+        let stops = |machine: &Machine| {
+            machine
+                .attempts_of(&job.id)
+                .any(|(_, a)| a.stop().is_some())
+        };
         let mut hosts = job.live().values().filter_map(|id| self.machines.get(id));
         missing > 0
             && self.placeable_tasks(job) >= missing
--- a/src/coordination/shard/scheduler/gang/reconciliation.rs
+++ b/src/coordination/shard/scheduler/gang/reconciliation.rs
@@ -92,7 +92,7 @@
                 attempt: id.clone(),
                 phase: attempt.phase,
                 since: attempt.since,
-                stop: attempt.stop,
+                stop: attempt.stop(),
             }));
         }
         members
--- a/src/coordination/shard/scheduler/preemption/mod.rs
+++ b/src/coordination/shard/scheduler/preemption/mod.rs
@@ -140,7 +140,7 @@
                 continue;
             };
             let attempts = machine.attempts.values();
-            let stopping = attempts.filter(|attempt| !attempt.ended() && attempt.stop.is_some());
+            let stopping = attempts.filter(|attempt| !attempt.ended() && attempt.stop().is_some());
             for spec in stopping.filter_map(|attempt| attempt.spec.as_ref()) {
                 available.give(spec);
             }
--- a/src/coordination/shard/scheduler/preemption/victims.rs
+++ b/src/coordination/shard/scheduler/preemption/victims.rs
@@ -74,7 +74,8 @@
     ) -> Vec<(VictimRank<'m>, &'m Arc<JobSpec>)> {
         let mut ranked = Vec::new();
         for (id, attempt) in &machine.attempts {
-            let running = !attempt.ended() && attempt.stop.is_none() && !plan.freeing.contains(id);
+            let running =
+                !attempt.ended() && attempt.stop().is_none() && !plan.freeing.contains(id);
             let Some(spec) = attempt.spec.as_ref().filter(|_| running) else {
                 continue;
             };
@@ -110,7 +111,7 @@
             .filter(|machine| machine.load.has_lower_priority(spec.priority))
             .flat_map(|machine| lower_priority_of_team(machine, spec))
             .collect();
-        if of_team.iter().any(|of| of.attempt.stop.is_some()) {
+        if of_team.iter().any(|of| of.attempt.stop().is_some()) {
             return None;
         }
         of_team
--- a/src/coordination/shard/tests/agent_epochs.rs
+++ b/src/coordination/shard/tests/agent_epochs.rs
@@ -27,7 +27,7 @@
     heartbeat.agent_epoch = 2;
     script.answer(&probe, CommandOutcome::Executed(heartbeat));
     script.heartbeat("vm-3", Vec::new());
-    let lease_expires_at = script.machine("vm-2").lease_expires_at;
+    let lease_expires_at = script.machine("vm-2").lease.expires_at();
     script.advance(Duration::from_secs(3));
     assert!(
         script.now > lease_expires_at,
--- a/src/coordination/shard/tests/combined_faults.rs
+++ b/src/coordination/shard/tests/combined_faults.rs
@@ -35,7 +35,7 @@
     let launched = script.launches().len();
     assert_eq!(launched, 1, "vm-1 may still use the other half");
     let lease = script.shard.policy.worker_lease_bound();
-    let lease_expires_at = script.machine("vm-1").lease_expires_at;
+    let lease_expires_at = script.machine("vm-1").lease.expires_at();
     let end = script.now + lease + second(3);
     let mut second_start = None;
     while script.now < end && second_start.is_none() {
@@ -133,7 +133,7 @@
 fn an_answer_to_a_command_renews_no_lease() {
     let mut script = ScriptedShard::empty();
     script.heartbeat("vm-1", Vec::new());
-    let lease_expires_at = script.machine("vm-1").lease_expires_at;
+    let lease_expires_at = script.machine("vm-1").lease.expires_at();
     for _ in 0..10 {
         script.advance(second(2));
         for batch in script.probes() {
@@ -141,7 +141,7 @@
             script.answer(&batch, CommandOutcome::Executed(heartbeat));
         }
     }
-    assert_eq!(script.machine("vm-1").lease_expires_at, lease_expires_at);
+    assert_eq!(script.machine("vm-1").lease.expires_at(), lease_expires_at);
     assert!(
         script
             .machine("vm-1")
--- a/src/coordination/shard/tests/delegations.rs
+++ b/src/coordination/shard/tests/delegations.rs
@@ -48,7 +48,7 @@
         assert!(script.launches().is_empty() || at_once);
     }
     assert_eq!(
-        script.machine("vm-1").ended_epochs,
+        script.machine("vm-1").epochs.ended(),
         0,
         "its lease may not have expired"
     );
@@ -56,7 +56,7 @@
         script.advance(Duration::from_secs(1));
         script.heartbeat("vm-2", Vec::new());
     }
-    assert!(script.machine("vm-1").ended_epochs > 0);
+    assert!(script.machine("vm-1").epochs.ended() > 0);
     assert_eq!(script.launches().len(), 1, "it starts again elsewhere");
 }
 
--- a/src/coordination/shard/tests/gangs/failover.rs
+++ b/src/coordination/shard/tests/gangs/failover.rs
@@ -29,13 +29,13 @@
         script.advance(second(1));
         assert!(script.launches().is_empty(), "run-1/1 may be on vm-2");
         let attempt = script.machine("vm-1").attempts.values().next();
-        assert_eq!(attempt.and_then(|a| a.stop), None);
+        assert_eq!(attempt.and_then(|a| a.stop()), None);
         // It is not on vm-2 either.
         script.heartbeat("vm-2", Vec::new());
         script.batches();
         script.advance(second(1));
         let attempt = script.machine("vm-1").attempts.values().next();
-        let stop = attempt.and_then(|a| a.stop);
+        let stop = attempt.and_then(|a| a.stop());
         let again = script.shard.jobs()["run-1"].live().len();
         if started {
             assert_eq!(
@@ -68,7 +68,7 @@
         ..RecoveredState::default()
     });
     script.add_machines(&["vm-2", "vm-3"]);
-    let lease_expires_at = script.machine("vm-1").lease_expires_at;
+    let lease_expires_at = script.machine("vm-1").lease.expires_at();
     while script.now < lease_expires_at {
         for batch in script.batches() {
             let outcome = match &*batch.machine {
@@ -149,7 +149,7 @@
             );
             script.heartbeat("vm-2", vec![ended]);
         } else {
-            let expiry = script.machine("vm-2").lease_expires_at;
+            let expiry = script.machine("vm-2").lease.expires_at();
             while script.now <= expiry {
                 for id in ["vm-1", "vm-3", "vm-4"] {
                     script.heartbeat(id, Vec::new());
--- a/src/coordination/shard/tests/gangs/faults.rs
+++ b/src/coordination/shard/tests/gangs/faults.rs
@@ -169,7 +169,10 @@
     let heartbeat = script.heartbeat_with_all(&hangs, TaskState::Running, None);
     script.receive(&heartbeat);
     let stop = script.machine(&hangs).attempts.values().next();
-    assert_eq!(stop.and_then(|attempt| attempt.stop), Some(Duration::ZERO));
+    assert_eq!(
+        stop.and_then(|attempt| attempt.stop()),
+        Some(Duration::ZERO)
+    );
     assert_eq!(script.shard.jobs()["run-1"].live().len(), 1);
     script.all_ended(&hangs, AttemptOutcome::GangPeerLost);
     script.advance(second(2));
--- a/src/coordination/shard/tests/heartbeats.rs
+++ b/src/coordination/shard/tests/heartbeats.rs
@@ -73,12 +73,12 @@
     let first = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.shard.heartbeat(&first, script.now);
     script.heartbeat("vm-1", Vec::new());
-    let lease_expires_at = script.machine("vm-1").lease_expires_at;
+    let lease_expires_at = script.machine("vm-1").lease.expires_at();
     for _ in 0..40 {
         script.now += Duration::from_secs(1);
         script.receive(&first);
     }
-    assert_eq!(script.machine("vm-1").lease_expires_at, lease_expires_at);
+    assert_eq!(script.machine("vm-1").lease.expires_at(), lease_expires_at);
     let since_last_contact = script.machine("vm-1").since_last_contact(script.now);
     assert!(
         since_last_contact >= Duration::from_secs(40),
@@ -99,7 +99,7 @@
     script.answer(&batch, CommandOutcome::Executed(answer));
     script.now += Duration::from_secs(10);
     script.shard.heartbeat(&heartbeat, script.now);
-    assert!(script.machine("vm-1").lease_expires_at > script.now + Duration::from_secs(26));
+    assert!(script.machine("vm-1").lease.expires_at() > script.now + Duration::from_secs(26));
 }
 
 /// Neither a duplicate of a heartbeat nor a stale listing brings a deleted machine back.
--- a/src/coordination/shard/tests/scale/fleet.rs
+++ b/src/coordination/shard/tests/scale/fleet.rs
@@ -13,7 +13,7 @@
         .shard
         .machines()
         .values()
-        .filter(|m| m.admitted)
+        .filter(|m| m.is_admitted())
         .count();
     assert_eq!(admitted, MACHINES);
     // Pages of some seventy entries, each written a few times at the most.
@@ -66,7 +66,7 @@
     }
     let open = cluster.script.shard.machines().values();
     let open = open
-        .filter(|m| m.agent_epoch == Some(2) && m.token_acknowledged && !m.deleting)
+        .filter(|m| m.agent_epoch() == Some(2) && m.token_acknowledged && !m.deleting)
         .count();
     assert_eq!(open, MACHINES / 4);
 }
--- a/src/coordination/shard/tests/scripted_workers.rs
+++ b/src/coordination/shard/tests/scripted_workers.rs
@@ -100,7 +100,7 @@
         };
         let machine = self.machine(id);
         let tasks = machine.attempts.iter().map(status).collect();
-        let (zone, agent_epoch) = (machine.zone.to_string(), machine.agent_epoch);
+        let (zone, agent_epoch) = (machine.zone.to_string(), machine.agent_epoch());
         let mut heartbeat = self.heartbeat_of(id, TOKEN, tasks);
         heartbeat.zone = zone;
         heartbeat.agent_epoch = agent_epoch.unwrap_or(1);
--- a/src/coordination/shard/tests/simulation/leader.rs
+++ b/src/coordination/shard/tests/simulation/leader.rs
@@ -174,7 +174,7 @@
         let number = batch.number;
         self.on_incarnation(batch.leader, |shard| {
             let known = shard.machines().get(&machine);
-            if known.is_some_and(|known| known.command == Some(number)) {
+            if known.is_some_and(|known| known.commands.awaits(number)) {
                 shard.command_answered(&machine, number, &batch.commands, outcome, now);
             }
         });
