--- a/src/api/peer.rs
+++ b/src/api/peer.rs
@@ -9,7 +9,7 @@
 use axum::response::{IntoResponse, Response};
 
 use crate::coordination::node::Node;
-use crate::coordination::peering::{cancellations, extension, heartbeat};
+use crate::coordination::peering::{cancellations, heartbeat, lease_votes};
 use crate::coordination::requests::{self, RequestOrigin, UserRequest};
 use crate::protocol::peer_messages::{CancellationsRequest, ReviveLease};
 use crate::protocol::peers::{PeerAnswer, PeerRequest, decode_request, encode_answer};
@@ -30,7 +30,7 @@
             PeerAnswer::Heartbeat(heartbeat::answer_heartbeat(node, heartbeat))
         }
         PeerRequest::ExtendLease { millis } => PeerAnswer::LeaseExtension {
-            granted: extension::grant_extension(node, Duration::from_millis(millis)),
+            granted: lease_votes::grant_extension(node, Duration::from_millis(millis)),
         },
         PeerRequest::Forward { method, path, body } => {
             answer_forwarded(node, UserRequest::from_forward(&method, &path, body)).await
@@ -62,7 +62,7 @@
 /// Votes on the revival of a lease past its deadline.
 pub(super) async fn vote_on_revival(State(node): State<Arc<Node>>, body: Bytes) -> Response {
     match ReviveLease::decode(&body) {
-        Some(request) => extension::vote_on_revival(&node, &request)
+        Some(request) => lease_votes::vote_on_revival(&node, &request)
             .encode()
             .into_response(),
         None => StatusCode::BAD_REQUEST.into_response(),
--- a/src/coordination/leadership/renewal.rs
+++ b/src/coordination/leadership/renewal.rs
@@ -10,7 +10,7 @@
 use super::lease::{self, ShardLease};
 use crate::coordination::clock_drift;
 use crate::coordination::node::Node;
-use crate::coordination::peering::extension;
+use crate::coordination::peering::lease_votes;
 use crate::settings::Operator;
 use crate::storage::kv_client::KvError;
 
@@ -136,12 +136,12 @@
 /// campaign for the shard. Past its deadline it may resume if no other controller can
 /// have acquired the shard since its last successful renewal was sent.
 async fn extend_by_votes(node: &Arc<Node>, lease: &ShardLease) {
-    let time = extension::LONGEST_EXTENSION;
+    let time = lease_votes::LONGEST_EXTENSION;
     let sent = node.now();
     let granted = if lease.live(sent) {
-        extension::all_grant_extension(node, time).await
+        lease_votes::all_grant_extension(node, time).await
     } else {
-        extension::all_vote_for_revival(node, lease, time).await
+        lease_votes::all_vote_for_revival(node, lease, time).await
     };
     if granted {
         lease.extend(extended_deadline(&node.settings.operator, sent, time));
--- a/src/coordination/node/reachability.rs
+++ b/src/coordination/node/reachability.rs
@@ -7,7 +7,7 @@
 
 use super::Node;
 use super::state::PeerView;
-use crate::coordination::peering::extension;
+use crate::coordination::peering::lease_votes;
 
 /// How long after its last heartbeat another controller counts as reachable.
 const PEER_REACHABLE_WITHIN: Duration = Duration::from_millis(2500);
@@ -67,7 +67,7 @@
         let now = self.now();
         let state = self.lock();
         let earlier_vote = (!state.candidacy.previous_run_ended)
-            .then_some(self.started + extension::LONGEST_EXTENSION);
+            .then_some(self.started + lease_votes::LONGEST_EXTENSION);
         state
             .candidacy
             .extension_granted_until
--- a/src/coordination/node/state.rs
+++ b/src/coordination/node/state.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use crate::coordination::leadership::lease::ShardLease;
-use crate::coordination::peering::reach::UnreachableWorkers;
+use crate::coordination::peering::eligibility::UnreachableWorkers;
 use crate::coordination::shard::{Shard, TaskCounts};
 use crate::coordination::worker_leases::advance_delegation::{AdvanceDelegation, AdvanceGrants};
 use crate::coordination::worker_leases::cancellation_freshness::CancellationFreshness;
--- a/src/coordination/peering/cancellations.rs
+++ b/src/coordination/peering/cancellations.rs
@@ -1,107 +1,117 @@
-//! What controllers tell one another of the cancellations that they confirmed, while
-//! the key-value store doesn't tell the leader.
+//! Cancellations that controllers have confirmed to users, queried from one another.
+//!
+//! A worker's lease may be renewed only by a controller that knows the recent cancellations
+//! ([`crate::coordination::worker_leases`]). While the key-value store doesn't serve the leader, it
+//! queries its peers: the store may serve one of them, and let it cancel jobs.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use hyper::StatusCode;
 
-use super::{ROUND_DEADLINE, post};
+use super::ROUND_DEADLINE;
+use super::client::post_frame;
 use crate::coordination::clock_drift;
 use crate::coordination::node::Node;
 use crate::protocol::peer_messages::{CANCELLATIONS, CancellationsRequest, ConfirmedCancellations};
 use crate::settings::platform::Peer;
 
-/// Age of the last look at the jobs past which others are asked what they told.
+/// Age of the last catch-up read of the jobs from which the peers are queried.
 const CATCH_UP_LATE: Duration = Duration::from_secs(2);
-/// Pause before a controller of an older version is asked again.
-const ASK_OLDER_AGAIN: Duration = Duration::from_secs(10);
+/// Pause before a peer of an older version, which can't answer, is queried again: it may have
+/// been upgraded.
+const OLDER_VERSION_RETRY: Duration = Duration::from_secs(10);
 
-/// What this node has told users of cancellations since a revision.
+/// The cancellations that this controller has confirmed to users since a revision.
 pub fn confirmed_cancellations(
     node: &Node,
-    asked: &CancellationsRequest,
+    request: &CancellationsRequest,
 ) -> ConfirmedCancellations {
-    let jobs = node.job_index.cancelled_after(asked.after);
+    let jobs = node.job_index.cancelled_after(request.after);
     ConfirmedCancellations {
         up_ms: node.up_time().as_millis() as u64,
         jobs,
     }
 }
 
-/// Takes in what a controller that was asked at `sent` has told users.
-pub fn note_peer_cancellations(
+/// Records the cancellations that a peer, queried at `sent`, has confirmed to users.
+pub fn record_peer_cancellations(
     node: &Arc<Node>,
     node_id: &str,
     sent: Instant,
-    told: ConfirmedCancellations,
+    confirmed: ConfirmedCancellations,
 ) {
-    let Some(jobs) = told.jobs else {
+    let Some(jobs) = confirmed.jobs else {
         return;
     };
     node.job_index.note_cancelled(jobs);
     node.notify_finished_jobs();
-    let began = clock_drift::latest_start(Duration::from_millis(told.up_ms), node.now());
-    let counts = node
+    let started = clock_drift::latest_start(Duration::from_millis(confirmed.up_ms), node.now());
+    let advances_freshness = node
         .lock()
         .cancellations
-        .peer_answered(node_id, sent, began);
-    if !counts {
+        .peer_answered(node_id, sent, started);
+    if !advances_freshness {
         tracing::debug!(
-            peer = node_id,
-            "its word on cancellations doesn't count: it began too late"
+            node_id,
+            "peer started too recently to vouch for its earlier cancellations"
         );
     }
 }
 
-/// While the key-value store doesn't tell the leader which jobs are over, the other
-/// controllers do: one of them may have been served, and have cancelled some.
-pub(super) fn ask_all(node: &Arc<Node>) {
+/// Queries all peers, if this controller leads the shard or recovers it, and its last catch-up
+/// read of the jobs is old.
+pub(super) fn query_all(node: &Arc<Node>) {
     let now = node.now();
     let Some(after) = node.job_index.revision() else {
         return;
     };
-    let asked: Vec<Peer> = {
-        let inner = node.lock();
-        let looked = inner.cancellations.last_catch_up();
-        if (inner.leadership.is_none() && inner.recovering.is_none())
-            || looked.is_some_and(|at| now.saturating_duration_since(at) < CATCH_UP_LATE)
-        {
-            return;
-        }
-        let older = |peer: &&Peer| {
-            let shown = inner.peers.older.get(&peer.node_id);
-            shown.is_none_or(|at| now.saturating_duration_since(*at) > ASK_OLDER_AGAIN)
-        };
-        let others = node.settings.platform.others.iter();
-        others.filter(older).cloned().collect()
-    };
-    for peer in asked {
-        tokio::spawn(ask_for_cancellations(node.clone(), peer, after));
+    for peer in peers_to_query(node, now) {
+        tokio::spawn(query_cancellations(node.clone(), peer, after));
+    }
+}
+
+fn peers_to_query(node: &Node, now: Instant) -> Vec<Peer> {
+    let inner = node.lock();
+    let renews_leases = inner.leadership.is_some() || inner.recovering.is_some();
+    let caught_up = inner
+        .cancellations
+        .last_catch_up()
+        .is_some_and(|at| now.saturating_duration_since(at) < CATCH_UP_LATE);
+    if !renews_leases || caught_up {
+        return Vec::new();
     }
+    let may_answer = |peer: &&Peer| {
+        let refused = inner.peers.older.get(&peer.node_id);
+        refused.is_none_or(|at| now.saturating_duration_since(*at) > OLDER_VERSION_RETRY)
+    };
+    let peers = node.settings.platform.others.iter();
+    peers.filter(may_answer).cloned().collect()
 }
 
-/// Asks one controller what it told users since a revision.
-pub async fn ask_for_cancellations(node: Arc<Node>, peer: Peer, after: u64) {
+/// Queries one peer for the cancellations that it has confirmed since a revision.
+pub async fn query_cancellations(node: Arc<Node>, peer: Peer, after: u64) {
     let sent = node.now();
     let frame = CancellationsRequest { after }.encode();
-    let Ok(answer) = post(&node, &peer, CANCELLATIONS, frame, ROUND_DEADLINE).await else {
+    let Ok(answer) = post_frame(&node, &peer, CANCELLATIONS, frame, ROUND_DEADLINE).await else {
         return;
     };
-    let told = ConfirmedCancellations::decode(&answer.body);
-    if let Some(told) = told.filter(|_| answer.status == StatusCode::OK) {
-        node.lock().peers.older.remove(&peer.node_id);
-        note_peer_cancellations(&node, &peer.node_id, sent, told);
-    } else if node
-        .lock()
-        .peers
-        .older
-        .insert(peer.node_id.clone(), sent)
-        .is_none()
-    {
+    let confirmed = ConfirmedCancellations::decode(&answer.body);
+    match confirmed.filter(|_| answer.status == StatusCode::OK) {
+        Some(confirmed) => {
+            node.lock().peers.older.remove(&peer.node_id);
+            record_peer_cancellations(&node, &peer.node_id, sent, confirmed);
+        }
+        None => record_older_version(&node, &peer, sent),
+    }
+}
+
+fn record_older_version(node: &Node, peer: &Peer, sent: Instant) {
+    let known = node.lock().peers.older.insert(peer.node_id.clone(), sent);
+    if known.is_none() {
         tracing::info!(
-            peer = peer.node_id,
-            "an older version: it doesn't say which cancellations it told"
+            node_id = peer.node_id,
+            "peer runs an older version without the cancellations query"
         );
     }
 }
--- /dev/null
+++ b/src/coordination/peering/delegation/delegate.rs
@@ -0,0 +1,94 @@
+//! The delegate's part: it finds its delegation in the key-value store, for as long as the leader
+//! leaves it there.
+
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use super::inventories::write_inventory;
+use super::reachability_records::workers_without_leader;
+use crate::coordination::clock_drift;
+use crate::coordination::node::Node;
+use crate::coordination::node::state::Delegation;
+use crate::coordination::worker_leases::DELEGATION_TIME;
+use crate::protocol::FencingToken;
+use crate::protocol::kv::KeyValue;
+use crate::storage::keys;
+use crate::storage::kv_client::KvError;
+use crate::storage::records::DelegateRecord;
+
+/// Pause between two reads of this controller's delegation.
+const DELEGATION_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Time before its delegation's end at which a delegate stops, for delays of its own process.
+const DELEGATION_MARGIN: Duration = Duration::from_millis(100);
+
+/// Keeps this controller's delegation up to date for as long as the process lasts, and writes
+/// the inventory that the leader asks for. Heartbeats are answered by the delegation elsewhere
+/// ([`crate::coordination::worker_heartbeats`]).
+pub async fn serve_delegated_workers(node: Arc<Node>) {
+    let mut next_page = 0;
+    loop {
+        tokio::time::sleep(DELEGATION_CHECK_INTERVAL).await;
+        if workers_without_leader(&node) == 0 {
+            set_delegation(&node, None);
+            continue;
+        }
+        let Ok(delegation) = read_delegation(&node).await else {
+            continue;
+        };
+        let began = set_delegation(&node, delegation);
+        let Some(delegation) = delegation else {
+            continue;
+        };
+        if delegation.inventory {
+            next_page = write_inventory(&node, delegation.fencing_token, next_page).await;
+        }
+        if began {
+            tracing::info!(
+                fencing_token = %delegation.fencing_token,
+                "renewing leases of workers for the leader, which can't reach them"
+            );
+        }
+    }
+}
+
+/// Reads this controller's delegation; `None` if it has none. It runs from when the read was sent.
+async fn read_delegation(node: &Arc<Node>) -> Result<Option<Delegation>, KvError> {
+    let sent = node.now();
+    let prefix = keys::leader_prefix();
+    // A delegate has to know the finished jobs: it stops their tasks on the workers that it
+    // answers.
+    let (listed, caught_up) = tokio::join!(
+        node.clients.kv.list(&prefix, DELEGATION_TIME),
+        node.catch_up()
+    );
+    let (items, _) = listed?;
+    caught_up?;
+    Ok(find_delegation(node, &items, sent))
+}
+
+/// A delegation ends when the leader that gave it is replaced.
+fn find_delegation(node: &Node, items: &[KeyValue], sent: Instant) -> Option<Delegation> {
+    let find = |key: String| items.iter().find(|item| item.key == key);
+    let delegate = find(keys::delegate(node.node_id()))?;
+    let record: DelegateRecord = serde_json::from_value(delegate.value.clone()).ok()?;
+    let leader_token = FencingToken::new(find(keys::leader())?.mod_revision);
+    (record.fencing_token == leader_token).then_some(Delegation {
+        fencing_token: leader_token,
+        until: sent + clock_drift::min_elapsed(DELEGATION_TIME) - DELEGATION_MARGIN,
+        inventory: record.inventory,
+    })
+}
+
+/// Replaces this controller's delegation; true if a delegation by another leader begins. What an
+/// earlier leader's inventory still lacks is dropped.
+fn set_delegation(node: &Node, delegation: Option<Delegation>) -> bool {
+    let fencing_token =
+        |delegation: Option<Delegation>| delegation.map(|delegation| delegation.fencing_token);
+    let mut inner = node.lock();
+    let changed = fencing_token(inner.delegate.delegation) != fencing_token(delegation);
+    if changed {
+        inner.delegate.unwritten_heartbeats.clear();
+    }
+    inner.delegate.delegation = delegation;
+    changed && delegation.is_some()
+}
--- a/src/coordination/peering/handover.rs
+++ b/src/coordination/peering/handover.rs
@@ -1,164 +1,190 @@
-//! When a leader gives the shard to a controller that is better placed.
+//! When a leader hands the shard over to a controller that is better placed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 use super::delegation::workers_reachable_elsewhere;
-use super::reach;
-use super::{HEARTBEAT_FRESH, LEADER_GRACE};
+use super::{HEARTBEAT_FRESH, LEADER_GRACE, eligibility};
 use crate::coordination::leadership::step_down;
 use crate::coordination::node::Node;
+use crate::coordination::node::state::NodeState;
 use crate::coordination::shard::ReachableMachines;
 
-/// Rounds for which a leader must hear too little before it gives up.
-const LOW_REACHABILITY_ROUNDS: u32 = 2;
-/// How long a leader stays at the least before it hands over to a nearer one.
-const LEAST_LEADERSHIP: Duration = Duration::from_secs(6);
-/// How long it stays while work waits: a change of leaders makes it wait longer.
-const LONGEST_BUSY: Duration = Duration::from_secs(15);
-/// A nearer controller's heartbeat must not be older than this, for it to take over.
-const NEARER_HEARD: Duration = Duration::from_secs(2);
+/// Consecutive rounds with too few reachable workers after which a leader steps down.
+const MAX_LOW_REACHABILITY_ROUNDS: u32 = 2;
+/// Least duration of a leadership before it is handed over to a controller in the main zone.
+const MIN_LEADERSHIP: Duration = Duration::from_secs(6);
+/// The same while work is pending: every change of leaders delays it.
+const MIN_LEADERSHIP_WHEN_BUSY: Duration = Duration::from_secs(15);
+/// Age below which a peer's last heartbeat shows that the peer can acquire the shard now.
+const SUCCESSOR_HEARTBEAT_FRESH: Duration = Duration::from_secs(2);
+/// Least time since its start after which a controller may be handed the shard, in seconds.
+const MIN_SUCCESSOR_UPTIME_S: u64 = MIN_LEADERSHIP.as_secs() / 2;
 
-/// The leader's own zone, unless another one with a controller holds by far
-/// more machines: handing over for a few machines more would never end.
-fn preferred_zone(node: &Node, zones: &BTreeMap<&str, usize>) -> Option<String> {
-    let platform = &node.settings.platform;
-    let here = zones.get(platform.area.as_str()).copied().unwrap_or(0);
-    let (zone, most) = zones
-        .iter()
-        .filter(|(zone, _)| platform.others.iter().any(|peer| peer.area == **zone))
-        .max_by_key(|(_, count)| **count)?;
-    Some(if *most > here * 2 + 1 {
-        (*zone).to_owned()
-    } else {
-        platform.area.clone()
-    })
-}
-
-/// The leader works out which zone holds most of the machines.
-pub(super) fn note_main_zone(node: &Node) {
+/// Updates the main zone, if this controller leads the shard: the zone that holds most machines
+/// and has a controller.
+pub(super) fn update_main_zone(node: &Node) {
     let mut inner = node.lock();
     let Some(own) = &inner.leadership else {
         return;
     };
-    let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
-    for machine in own
-        .shard
-        .machines()
-        .values()
-        .filter(|m| m.expects_heartbeats())
-    {
-        *zones.entry(&machine.zone).or_default() += 1;
+    let mut machines_by_zone: BTreeMap<&str, usize> = BTreeMap::new();
+    let machines = own.shard.machines().values();
+    for machine in machines.filter(|m| m.expects_heartbeats()) {
+        *machines_by_zone.entry(&machine.zone).or_default() += 1;
     }
-    let main = preferred_zone(node, &zones);
-    if main.is_some() {
+    let main_zone = preferred_zone(node, &machines_by_zone);
+    if main_zone.is_some() {
         if let Some(own) = &mut inner.leadership {
-            own.shard.main_zone.clone_from(&main);
+            own.shard.main_zone.clone_from(&main_zone);
         }
-        inner.peers.main_zone = main;
+        inner.peers.main_zone = main_zone;
     }
 }
 
-/// Ends this node's leadership if it hears too few workers, or if a nearer controller
-/// can take over. `low_reachability_rounds` counts the rounds in which it heard too few.
-pub(super) async fn step_down_if_ineligible(node: &Arc<Node>, low_reachability_rounds: &mut u32) {
-    *low_reachability_rounds = match reachability(node).await {
-        Reachability::Enough => 0,
-        Reachability::Less => *low_reachability_rounds + 1,
-        Reachability::FarLess => LOW_REACHABILITY_ROUNDS,
-    };
-    let Some(lease) = node.lease() else {
-        return;
-    };
-    if *low_reachability_rounds >= LOW_REACHABILITY_ROUNDS {
-        *low_reachability_rounds = 0;
-        reach::note_ineligible(node);
-        let why = "it hears too few workers, and another controller does";
-        step_down(node, &lease, why).await;
-    } else if nearer_peer(node) {
-        let why = "a controller nearer to the machines can take over";
-        step_down(node, &lease, why).await;
+/// The leader's own zone, unless another zone with a controller holds more than twice as many
+/// machines: handing over for a small difference would never end.
+fn preferred_zone(node: &Node, machines_by_zone: &BTreeMap<&str, usize>) -> Option<String> {
+    let platform = &node.settings.platform;
+    let own_zone = platform.area.as_str();
+    let own_machines = machines_by_zone.get(own_zone).copied().unwrap_or(0);
+    let (zone, machines) = machines_by_zone
+        .iter()
+        .filter(|(zone, _)| platform.others.iter().any(|peer| peer.area == **zone))
+        .max_by_key(|(_, machines)| **machines)?;
+    if *machines > own_machines * 2 + 1 {
+        Some((*zone).to_owned())
+    } else {
+        Some(own_zone.to_owned())
     }
 }
 
-/// How many workers this leader hears, against the peer that hears most.
-enum Reachability {
-    Enough,
-    /// Fewer than half of them, and fewer than a peer.
-    Less,
-    /// Fewer than half of what a peer hears: there is nothing to wait for.
-    FarLess,
+/// Decides in each round whether the leader steps down.
+#[derive(Debug, Default)]
+pub(super) struct Handover {
+    /// Consecutive rounds in which the leader reached too few workers.
+    low_reachability_rounds: u32,
 }
 
-async fn reachability(node: &Node) -> Reachability {
-    let now = node.now();
-    let (reachable, by_heartbeat) = {
-        let inner = node.lock();
-        let Some(own) = &inner.leadership else {
-            return Reachability::Enough;
+impl Handover {
+    /// Ends this controller's leadership if it reaches too few workers, or if a controller in
+    /// the main zone can lead instead.
+    pub(super) async fn step_down_if_ineligible(&mut self, node: &Arc<Node>) {
+        self.low_reachability_rounds = match worker_reachability(node).await {
+            WorkerReachability::Sufficient => 0,
+            WorkerReachability::Lower => self.low_reachability_rounds + 1,
+            WorkerReachability::FarLower => MAX_LOW_REACHABILITY_ROUNDS,
         };
-        if !own.lease.live(now) || now.saturating_duration_since(own.lease.since) < LEADER_GRACE {
-            return Reachability::Enough;
-        }
-        let ReachableMachines {
-            reachable,
-            expected,
-        } = own.shard.reachability(now);
-        if expected < 2 || reachable * 2 >= expected {
-            return Reachability::Enough;
+        let Some(lease) = node.lease() else {
+            return;
+        };
+        if self.low_reachability_rounds >= MAX_LOW_REACHABILITY_ROUNDS {
+            self.low_reachability_rounds = 0;
+            eligibility::mark_ineligible(node);
+            let reason = "another controller reaches more workers";
+            step_down(node, &lease, reason).await;
+        } else if successor_in_main_zone(node) {
+            let reason = "a controller in the main zone can lead";
+            step_down(node, &lease, reason).await;
         }
-        let by_heartbeat = inner
-            .peers
-            .views
-            .values()
-            .filter(|view| {
-                now.saturating_duration_since(view.at) < HEARTBEAT_FRESH && view.heartbeat.kv_served
-            })
-            .map(|view| view.heartbeat.reachable_workers as usize)
-            .max()
-            .unwrap_or(0);
-        (reachable, by_heartbeat)
+    }
+}
+
+/// How many workers this leader reaches, compared with the peer that reaches most.
+enum WorkerReachability {
+    /// At least half of the expected workers, or as many as any peer.
+    Sufficient,
+    /// Fewer than half of the expected workers, and fewer than a peer.
+    Lower,
+    /// Fewer than half of what a peer reaches: waiting for another round wouldn't help.
+    FarLower,
+}
+
+/// Workers that a leader which reaches fewer than half of them, and its peers, reach.
+struct LowReachability {
+    by_leader: usize,
+    /// By the peer that reaches most, as its heartbeat states.
+    by_peer: usize,
+}
+
+async fn worker_reachability(node: &Node) -> WorkerReachability {
+    let Some(LowReachability { by_leader, by_peer }) = low_reachability(node) else {
+        return WorkerReachability::Sufficient;
     };
     let by_record = workers_reachable_elsewhere(node).await.unwrap_or_default();
     let by_record = by_record.into_values().max().unwrap_or(0);
     tracing::debug!(
-        reachable,
-        by_heartbeat,
+        by_leader,
+        by_peer,
         by_record,
-        "this leader hears too few workers"
+        "leader reaches fewer than half of the workers"
     );
-    match by_heartbeat.max(by_record) {
-        most if most > reachable * 2 => Reachability::FarLess,
-        most if most > reachable => Reachability::Less,
-        _ => Reachability::Enough,
+    match by_peer.max(by_record) {
+        most if most > by_leader * 2 => WorkerReachability::FarLower,
+        most if most > by_leader => WorkerReachability::Lower,
+        _ => WorkerReachability::Sufficient,
     }
 }
 
-/// Whether a peer in the zone of most machines could run the shard instead.
-fn nearer_peer(node: &Node) -> bool {
+/// What this leader and its peers reach, if the leader reaches fewer than half of the workers.
+fn low_reachability(node: &Node) -> Option<LowReachability> {
+    let now = node.now();
+    let inner = node.lock();
+    let own = inner.leadership.as_ref()?;
+    if !own.lease.live(now) || now.saturating_duration_since(own.lease.since) < LEADER_GRACE {
+        return None;
+    }
+    let ReachableMachines {
+        reachable,
+        expected,
+    } = own.shard.reachability(now);
+    if expected < 2 || reachable * 2 >= expected {
+        return None;
+    }
+    Some(LowReachability {
+        by_leader: reachable,
+        by_peer: most_reached_by_a_peer(&inner, now),
+    })
+}
+
+fn most_reached_by_a_peer(inner: &NodeState, now: Instant) -> usize {
+    inner
+        .peers
+        .views
+        .values()
+        .filter(|view| {
+            now.saturating_duration_since(view.at) < HEARTBEAT_FRESH && view.heartbeat.kv_served
+        })
+        .map(|view| view.heartbeat.reachable_workers as usize)
+        .max()
+        .unwrap_or(0)
+}
+
+/// Whether this leader is outside the main zone, and a peer in it can lead the shard instead.
+fn successor_in_main_zone(node: &Node) -> bool {
     let now = node.now();
-    // Who can't end its lease leaves the shard to nobody until it has run out, and
-    // through an outage that begins before.
+    // A leader that can't revoke its lease would leave the shard without a leader until the
+    // lease expires, and longer if the key-value store fails for all before.
     if node.kv_failing() {
         return false;
     }
     let inner = node.lock();
-    let (Some(own), Some(main)) = (&inner.leadership, &inner.peers.main_zone) else {
+    let (Some(own), Some(main_zone)) = (&inner.leadership, &inner.peers.main_zone) else {
         return false;
     };
-    let least = if own.shard.is_busy() {
-        LONGEST_BUSY
+    let min_leadership = if own.shard.is_busy() {
+        MIN_LEADERSHIP_WHEN_BUSY
     } else {
-        LEAST_LEADERSHIP
+        MIN_LEADERSHIP
     };
-    *main != node.settings.platform.area
-        && now.saturating_duration_since(own.lease.since) > least
+    *main_zone != node.settings.platform.area
+        && now.saturating_duration_since(own.lease.since) > min_leadership
         && inner.peers.views.values().any(|view| {
-            now.saturating_duration_since(view.at) < NEARER_HEARD
-                && view.heartbeat.zone == *main
+            now.saturating_duration_since(view.at) < SUCCESSOR_HEARTBEAT_FRESH
+                && view.heartbeat.zone == *main_zone
                 && view.heartbeat.kv_served
                 && !view.heartbeat.ineligible
-                && view.heartbeat.up_s > LEAST_LEADERSHIP.as_secs() / 2
+                && view.heartbeat.up_s > MIN_SUCCESSOR_UPTIME_S
         })
 }
--- a/src/coordination/peering/heartbeat.rs
+++ b/src/coordination/peering/heartbeat.rs
@@ -1,29 +1,33 @@
-//! Heartbeats: what each controller says of itself once a second.
+//! Heartbeats among controllers: what each states of itself once a second.
+//!
+//! An answer to a heartbeat is the answering controller's own. If the answering controller is the
+//! leader, its answer also grants an advance delegation ([`AdvanceDelegation`]).
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::{ROUND_DEADLINE, ask, extension};
+use super::{ROUND_DEADLINE, call_peer, lease_votes};
 use crate::coordination::node::Node;
-use crate::coordination::node::state::{LeaderContact, PeerView};
+use crate::coordination::node::state::{LeaderContact, NodeState, PeerView};
 use crate::coordination::shard::TaskCounts;
 use crate::coordination::worker_leases::advance_delegation::AdvanceDelegation;
 use crate::protocol::peers::{PeerAnswer, PeerHeartbeat, PeerRequest, Progress};
 use crate::protocol::{FencingToken, JobId};
 
-/// Jobs whose counts one heartbeat carries: some 1.5 MB, which all versions read.
-const MOST_PROGRESS: usize = 50_000;
-/// How long a worker that came by counts as heard.
-const HEARD: Duration = Duration::from_secs(8);
+/// Largest number of jobs whose counts one heartbeat carries: some 1.5 MB, which every version
+/// accepts.
+const MAX_PROGRESS_ROWS: usize = 50_000;
+/// How long after its last heartbeat to this controller a worker counts as reachable.
+const WORKER_REACHABLE_FOR: Duration = Duration::from_secs(8);
 
-/// What this node says of itself.
+/// This controller's heartbeat, without the jobs' progress.
 pub fn own_heartbeat(node: &Node) -> PeerHeartbeat {
     let now = node.now();
     let kv_served = !node.kv_lost();
     let mut inner = node.lock();
     inner
         .workers
-        .retain(|_, at| now.saturating_duration_since(*at) < HEARD);
+        .retain(|_, at| now.saturating_duration_since(*at) < WORKER_REACHABLE_FOR);
     let fencing_token = inner
         .leadership
         .as_ref()
@@ -42,7 +46,7 @@
             .candidacy
             .ineligible_until
             .is_some_and(|until| until > now),
-        // An earlier run may have answered workers until this one started.
+        // An earlier incarnation may have answered workers until this one started.
         answered_by_advance_delegation_ago_ms: now
             .saturating_duration_since(
                 inner
@@ -54,9 +58,11 @@
     }
 }
 
-/// How far the jobs are, if this node runs the shard. Jobs of which nothing runs or is done
-/// are left out: a job that isn't named is pending. Beyond the most that a frame holds, the
-/// counts of some jobs aren't shown by other controllers; they are for display alone.
+/// The progress of the unfinished jobs, if this controller leads the shard.
+///
+/// A job without a running or completed task is left out: a job that isn't named is pending. Of
+/// more jobs than a frame may carry, the other controllers show some as pending. The counts are
+/// for display only.
 fn progress(node: &Node) -> Vec<Progress> {
     let inner = node.lock();
     let Some(own) = &inner.leadership else {
@@ -67,17 +73,17 @@
         done: counts.done,
         running: counts.running,
     };
-    let begun = |(_, counts): &(&JobId, TaskCounts)| counts.done + counts.running > 0;
-    let rows = own.shard.progress().filter(begun).take(MOST_PROGRESS);
-    let rows: Vec<Progress> = rows.map(row).collect();
+    let has_begun = |(_, counts): &(&JobId, TaskCounts)| counts.done + counts.running > 0;
+    let begun = own.shard.progress().filter(has_begun);
+    let rows: Vec<Progress> = begun.take(MAX_PROGRESS_ROWS).map(row).collect();
     if rows.is_empty() {
-        // A frame without rows says nothing of the jobs.
+        // Without any row the receiver would keep the counts that it has.
         return own.shard.progress().take(1).map(row).collect();
     }
     rows
 }
 
-/// What this node says of itself and, if it runs the shard, of the jobs.
+/// This controller's heartbeat, with the jobs' progress if it leads the shard.
 pub fn leader_heartbeat(node: &Node) -> PeerHeartbeat {
     PeerHeartbeat {
         progress: progress(node),
@@ -85,26 +91,27 @@
     }
 }
 
-/// Sends a heartbeat to every other controller; the answers are taken in as they come.
+/// Sends a heartbeat to every other controller, without waiting for the answers.
 pub(super) fn send_to_all(node: &Arc<Node>) {
     let own = leader_heartbeat(node);
     for peer in &node.settings.platform.others {
         let (node, peer) = (node.clone(), peer.clone());
-        let (request, told) = (PeerRequest::Heartbeat(own.clone()), own.fencing_token);
+        let request = PeerRequest::Heartbeat(own.clone());
+        let sent_token = own.fencing_token;
         tokio::spawn(async move {
             let sent = node.now();
-            let answer = ask(&node, &peer, &request, ROUND_DEADLINE).await;
+            let answer = call_peer(&node, &peer, &request, ROUND_DEADLINE).await;
             if let Some(PeerAnswer::Heartbeat(heartbeat)) = answer {
-                heartbeat_answered(&node, heartbeat, sent, told);
+                handle_heartbeat_answer(&node, heartbeat, sent, sent_token);
             }
         });
     }
 }
 
-/// Answers a heartbeat, which allows its sender in advance to answer workers.
+/// Answers a peer's heartbeat. The answer of a leader grants the peer an advance delegation.
 pub fn answer_heartbeat(node: &Node, heartbeat: PeerHeartbeat) -> PeerHeartbeat {
     let node_id = heartbeat.node_id.clone();
-    note_heartbeat(node, heartbeat);
+    record_heartbeat(node, heartbeat);
     let answer = own_heartbeat(node);
     if let Some(fencing_token) = answer.fencing_token
         && let Some(own) = &mut node.lock().leadership
@@ -115,69 +122,91 @@
     answer
 }
 
-/// Takes in the answer to a heartbeat that was sent at `sent` under the fencing token `told`.
-pub(crate) fn heartbeat_answered(
+/// Handles the answer to a heartbeat that was sent at `sent` with the fencing token `sent_token`.
+pub(crate) fn handle_heartbeat_answer(
     node: &Node,
-    heartbeat: PeerHeartbeat,
+    answer: PeerHeartbeat,
     sent: Instant,
-    told: Option<FencingToken>,
+    sent_token: Option<FencingToken>,
 ) {
-    let now = node.now();
-    let kept = now.checked_sub(Duration::from_millis(
-        heartbeat.answered_by_advance_delegation_ago_ms,
-    ));
     {
+        let now = node.now();
         let mut inner = node.lock();
-        if let Some(fencing_token) = heartbeat.fencing_token {
-            inner.delegate.advance = Some(AdvanceDelegation::renewed(
-                inner.delegate.advance,
-                fencing_token,
-                sent,
-            ));
-        }
-        // Who was told our fencing token keeps nothing for a while.
-        if let Some(own) = &mut inner.leadership
-            && told == Some(own.lease.fencing_token)
-        {
-            let kept = kept.unwrap_or(own.lease.since);
-            own.advance_grants.answered(&heartbeat.node_id, sent, kept);
+        if let Some(fencing_token) = answer.fencing_token {
+            renew_advance_delegation(&mut inner, fencing_token, sent);
         }
+        record_last_delegated_renewal(&mut inner, &answer, sent, sent_token, now);
+    }
+    record_heartbeat(node, answer);
+}
+
+/// The leader with this token answered a heartbeat sent then: it grants an advance delegation.
+fn renew_advance_delegation(inner: &mut NodeState, fencing_token: FencingToken, sent: Instant) {
+    inner.delegate.advance = Some(AdvanceDelegation::renewed(
+        inner.delegate.advance,
+        fencing_token,
+        sent,
+    ));
+}
+
+/// A peer that received this leader's token renews no worker's lease by an advance delegation for
+/// a while: notes until when it may have done so.
+fn record_last_delegated_renewal(
+    inner: &mut NodeState,
+    answer: &PeerHeartbeat,
+    sent: Instant,
+    sent_token: Option<FencingToken>,
+    now: Instant,
+) {
+    let Some(own) = &mut inner.leadership else {
+        return;
+    };
+    if sent_token != Some(own.lease.fencing_token) {
+        return;
     }
-    note_heartbeat(node, heartbeat);
+    let ago = Duration::from_millis(answer.answered_by_advance_delegation_ago_ms);
+    let last_renewal = now.checked_sub(ago).unwrap_or(own.lease.since);
+    own.advance_grants
+        .answered(&answer.node_id, sent, last_renewal);
 }
 
-/// Notes what a peer says of itself.
-pub fn note_heartbeat(node: &Node, mut heartbeat: PeerHeartbeat) {
+/// Records what a peer states of itself, in a heartbeat or in the answer to one.
+pub fn record_heartbeat(node: &Node, mut heartbeat: PeerHeartbeat) {
     let at = node.now();
     let mut inner = node.lock();
-    if heartbeat.fencing_token.is_some() && !heartbeat.progress.is_empty() {
-        inner.peers.progress = std::mem::take(&mut heartbeat.progress)
-            .into_iter()
-            .map(|row| {
-                let counts = TaskCounts {
-                    done: row.done,
-                    running: row.running,
-                };
-                (row.job, counts)
-            })
-            .collect();
-    }
     if let Some(fencing_token) = heartbeat.fencing_token {
-        extension::end_earlier(&inner, fencing_token);
-    }
-    if let Some(fencing_token) = heartbeat.fencing_token
-        && inner
-            .peers
-            .leader_contact
-            .is_none_or(|contact| fencing_token >= contact.fencing_token)
-    {
-        inner.peers.leader_contact = Some(LeaderContact { fencing_token, at });
-    }
-    if heartbeat.fencing_token.is_some() && heartbeat.main_zone.is_some() {
-        inner.peers.main_zone.clone_from(&heartbeat.main_zone);
+        record_progress(&mut inner, std::mem::take(&mut heartbeat.progress));
+        lease_votes::end_superseded_leases(&inner, fencing_token);
+        record_leader_contact(&mut inner, fencing_token, at);
+        if heartbeat.main_zone.is_some() {
+            inner.peers.main_zone.clone_from(&heartbeat.main_zone);
+        }
     }
     inner
         .peers
         .views
         .insert(heartbeat.node_id.clone(), PeerView { heartbeat, at });
 }
+
+/// Replaces the jobs' progress by that of a leader's heartbeat, if it has any.
+fn record_progress(inner: &mut NodeState, rows: Vec<Progress>) {
+    if rows.is_empty() {
+        return;
+    }
+    let counts = |row: Progress| {
+        let counts = TaskCounts {
+            done: row.done,
+            running: row.running,
+        };
+        (row.job, counts)
+    };
+    inner.peers.progress = rows.into_iter().map(counts).collect();
+}
+
+/// Notes that the leader with this token was reached, unless a later one is known.
+fn record_leader_contact(inner: &mut NodeState, fencing_token: FencingToken, at: Instant) {
+    let latest = inner.peers.leader_contact;
+    if latest.is_none_or(|contact| fencing_token >= contact.fencing_token) {
+        inner.peers.leader_contact = Some(LeaderContact { fencing_token, at });
+    }
+}
--- a/src/coordination/peering/mod.rs
+++ b/src/coordination/peering/mod.rs
@@ -1,78 +1,58 @@
-//! What controllers say to one another once a second, and what follows from it.
+//! The exchange among controllers: once a second each sends the others a heartbeat and acts on
+//! what it knows of them.
+//!
+//! Owns the frames sent to peers, the votes by which a leader keeps its lease through an outage
+//! of the key-value store, handover of leadership to a better placed controller, and delegated
+//! lease renewal for workers that the leader can't reach. What was received is kept in the node's
+//! state; [`crate::api`] passes in the peers' requests, and [`crate::server`] starts [`run`] and
+//! [`delegation::serve_delegated_workers`]. Nothing here elects a leader.
 
 pub mod cancellations;
+mod client;
 pub mod delegation;
-pub mod extension;
+pub mod eligibility;
 pub mod handover;
 pub mod heartbeat;
-pub mod reach;
+pub mod lease_votes;
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use hyper::Method;
-
+use self::handover::Handover;
 use super::node::Node;
-use crate::protocol::peers::{PeerAnswer, PeerRequest, decode_answer, encode_request};
-use crate::settings::platform::Peer;
-use crate::transport::client::{Answer, CallError};
 
-/// Pause between two rounds.
-const ROUND: Duration = Duration::from_secs(1);
-/// Deadline of a question to a peer that the next round asks again.
+pub(super) use self::client::call_peer;
+
+/// Pause between two rounds of the exchange.
+const ROUND_INTERVAL: Duration = Duration::from_secs(1);
+/// Deadline of a request that the next round sends again.
 const ROUND_DEADLINE: Duration = Duration::from_millis(700);
-/// How long a new leader listens before it may find that it hears too few workers: every
-/// machine was asked for a heartbeat at once.
+/// Age of a leadership before which its leader judges neither its workers nor its peers by
+/// missed heartbeats: it asks every machine for a heartbeat when it begins.
 const LEADER_GRACE: Duration = Duration::from_secs(2);
-/// A peer's heartbeat older than this means that it can't be reached.
+/// Age from which a peer's last heartbeat means that the peer can't be reached.
 pub(super) const HEARTBEAT_FRESH: Duration = Duration::from_secs(3);
-/// The path of the first frames, [`PeerRequest`] and [`PeerAnswer`].
-const PEER: &str = "/peer";
-
-/// Sends a frame to another controller.
-pub async fn ask(
-    node: &Node,
-    peer: &Peer,
-    request: &PeerRequest,
-    deadline: Duration,
-) -> Option<PeerAnswer> {
-    let frame = encode_request(request);
-    let answer = post(node, peer, PEER, frame, deadline).await.ok()?;
-    decode_answer(&answer.body)
-}
-
-async fn post(
-    node: &Node,
-    peer: &Peer,
-    path: &str,
-    frame: Vec<u8>,
-    deadline: Duration,
-) -> Result<Answer, CallError> {
-    let http = &node.clients.peers;
-    http.call(Method::POST, peer.address, path, frame, deadline)
-        .await
-}
 
-/// Exchanges heartbeats for ever, and does what they call for.
+/// Runs the exchange for as long as the process lasts.
 pub async fn run(node: Arc<Node>) {
-    let mut low_reachability_rounds = 0;
+    let mut handover = Handover::default();
     let mut was_ready = false;
     loop {
-        handover::note_main_zone(&node);
-        log_readiness(&node, &mut was_ready);
+        handover::update_main_zone(&node);
+        log_readiness_change(&node, &mut was_ready);
         heartbeat::send_to_all(&node);
-        cancellations::ask_all(&node);
+        cancellations::query_all(&node);
         refresh_job_index(&node);
-        tokio::time::sleep(ROUND).await;
-        delegation::note_quiet(&node);
+        tokio::time::sleep(ROUND_INTERVAL).await;
+        delegation::update_last_delegated_renewal(&node);
         delegation::publish_reachability(&node).await;
-        delegation::delegate_and_revoke(&node).await;
-        handover::step_down_if_ineligible(&node, &mut low_reachability_rounds).await;
-        reach::probe_unreachable_workers(&node).await;
+        delegation::update_delegations(&node).await;
+        handover.step_down_if_ineligible(&node).await;
+        eligibility::probe_unreachable_workers(&node).await;
     }
 }
 
-fn log_readiness(node: &Node, was_ready: &mut bool) {
+fn log_readiness_change(node: &Node, was_ready: &mut bool) {
     let ready = node.ready();
     if ready != std::mem::replace(was_ready, ready) {
         tracing::info!(
@@ -84,7 +64,7 @@
     }
 }
 
-/// A catch-up read of the key-value store keeps this node's picture of it fresh.
+/// Starts a catch-up read of the jobs. A failure is retried by the next round.
 fn refresh_job_index(node: &Arc<Node>) {
     let node = node.clone();
     tokio::spawn(async move {
--- a/src/coordination/requests/forwarding.rs
+++ b/src/coordination/requests/forwarding.rs
@@ -41,7 +41,7 @@
 }
 
 async fn forward(node: &Node, peer: &Peer, request: &UserRequest) -> Option<UserResponse> {
-    match peering::ask(node, peer, &request.to_forward(), FORWARD_DEADLINE).await? {
+    match peering::call_peer(node, peer, &request.to_forward(), FORWARD_DEADLINE).await? {
         PeerAnswer::Answer { status, body } => {
             let response = UserResponse { status, body };
             (!response.is_unavailable()).then_some(response)
--- a/src/coordination/requests/mod.rs
+++ b/src/coordination/requests/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! The [`crate::api`] layer passes in a request and writes out the response. Any controller
 //! answers: from the key-value store or, while the store doesn't serve it, through a peer
-//! ([`routing`]). A final state, and that a job was never accepted, are answered only from a
+//! (`routing`). A final state, and that a job was never accepted, are answered only from a
 //! linearizable read of the store; the counts of an unfinished job's tasks come from the leader's
 //! memory and are for display. The shard is notified of accepted and cancelled jobs, and is never
 //! waited for.
--- a/src/coordination/tests/cancellation_freshness.rs
+++ b/src/coordination/tests/cancellation_freshness.rs
@@ -12,7 +12,7 @@
 use crate::coordination::node::state::Leadership;
 use crate::coordination::node::{KV_DEADLINE, Node};
 use crate::coordination::peering::cancellations::{
-    confirmed_cancellations, note_peer_cancellations,
+    confirmed_cancellations, record_peer_cancellations,
 };
 use crate::coordination::shard::{RecoveredState, Shard};
 use crate::coordination::worker_heartbeats::{HeartbeatDecision, handle_heartbeat};
@@ -136,7 +136,7 @@
 
     /// The leader asks a controller what it told.
     fn ask(&self, peer: &Node) {
-        note_peer_cancellations(&self.leader, "n1", self.leader.now(), self.told_by(peer));
+        record_peer_cancellations(&self.leader, "n1", self.leader.now(), self.told_by(peer));
     }
 
     /// The worker that runs the job's task heartbeats to the leader: the commands
--- a/src/coordination/tests/peering.rs
+++ b/src/coordination/tests/peering.rs
@@ -10,8 +10,12 @@
 use crate::coordination::leadership::lease::ShardLease;
 use crate::coordination::node::state::Leadership;
 use crate::coordination::node::{KV_DEADLINE, Node};
-use crate::coordination::peering::extension::{grant_extension, proves_unowned, vote_on_revival};
-use crate::coordination::peering::heartbeat::{heartbeat_answered, note_heartbeat, own_heartbeat};
+use crate::coordination::peering::heartbeat::{
+    handle_heartbeat_answer, own_heartbeat, record_heartbeat,
+};
+use crate::coordination::peering::lease_votes::{
+    grant_extension, proves_no_successor, vote_on_revival,
+};
 use crate::coordination::shard::{RecoveredState, Shard};
 use crate::coordination::worker_leases::advance_delegation::{self, AdvanceGrants};
 use crate::protocol::peer_messages::{RevivalVote, ReviveLease};
@@ -82,7 +86,7 @@
         node_id: "beta".into(),
         ..PeerHeartbeat::default()
     };
-    note_heartbeat(&node, peer.clone());
+    record_heartbeat(&node, peer.clone());
     assert!(node.ready(), "an outage for all: nobody is served anyway");
     clock.advance(Duration::from_secs(3));
     assert!(!node.ready());
@@ -94,7 +98,7 @@
     .await;
     assert_eq!(reply.status, 503);
     assert!(node.live_lease().is_none() && node.leader_id().is_none());
-    note_heartbeat(&node, peer);
+    record_heartbeat(&node, peer);
     assert!(node.ready());
 }
 
@@ -111,7 +115,7 @@
         fencing_token: Some(FencingToken::new(7)),
         ..PeerHeartbeat::default()
     };
-    heartbeat_answered(&node, leader, node.now(), None);
+    handle_heartbeat_answer(&node, leader, node.now(), None);
     clock.advance(advance_delegation::LEADER_UNREACHABLE_AFTER);
     assert_eq!(
         node.delegated_fencing_token(&heartbeat),
@@ -140,13 +144,13 @@
         fencing_token: Some(FencingToken::new(7)),
         ..PeerHeartbeat::default()
     };
-    note_heartbeat(&node, from_leader);
+    record_heartbeat(&node, from_leader);
     // An older one without a fencing token, which comes late, takes nothing back.
     let before = PeerHeartbeat {
         node_id: "beta".into(),
         ..PeerHeartbeat::default()
     };
-    note_heartbeat(&node, before);
+    record_heartbeat(&node, before);
     assert_eq!(node.delegated_fencing_token(&heartbeat), None);
     clock.advance(advance_delegation::LEADER_UNREACHABLE_AFTER);
     assert_eq!(
@@ -180,7 +184,7 @@
         fencing_token: Some(fencing_token),
         ..PeerHeartbeat::default()
     };
-    note_heartbeat(&node, heartbeat(FencingToken::new(8)));
+    record_heartbeat(&node, heartbeat(FencingToken::new(8)));
     assert!(
         !lease.ended(),
         "an older leader's late heartbeat proves nothing"
@@ -189,7 +193,7 @@
         !grant_extension(&node, Duration::from_secs(1)),
         "it may go on yet"
     );
-    note_heartbeat(&node, heartbeat(FencingToken::new(10)));
+    record_heartbeat(&node, heartbeat(FencingToken::new(10)));
     assert!(lease.ended());
     lease.record_renewal(now, now + Duration::from_secs(60));
     assert!(!lease.live(node.now()));
@@ -223,11 +227,11 @@
     );
     let _ = node.clients.kv.get("o/0/owner", KV_DEADLINE).await;
     let answer = asked(9);
-    assert!(proves_unowned(&answer, node.now(), renewed));
+    assert!(proves_no_successor(&answer, node.now(), renewed));
     assert!(node.campaign_blocked_until().is_some());
     // Its run began after that renewal: an earlier one may have been the leader.
     let before = renewed - Duration::from_secs(3);
-    assert!(!proves_unowned(&answer, node.now(), before));
+    assert!(!proves_no_successor(&answer, node.now(), before));
     node.lock().candidacy.latest_fencing_token = FencingToken::new(10);
     assert!(!asked(9).granted, "it has owned the shard since");
     assert!(asked(10).granted);
--- a/src/coordination/tests/reach.rs
+++ b/src/coordination/tests/reach.rs
@@ -12,8 +12,8 @@
 use super::{heartbeat, node};
 use crate::clock::FakeClock;
 use crate::coordination::node::Node;
+use crate::coordination::peering::eligibility::{mark_ineligible, probe_unreachable_workers};
 use crate::coordination::peering::heartbeat::own_heartbeat;
-use crate::coordination::peering::reach::{note_ineligible, probe_unreachable_workers};
 
 const TOKEN: u64 = 7;
 
@@ -26,7 +26,7 @@
         shard.heartbeat(&heartbeat, now)
     });
     clock.advance(Duration::from_secs(20));
-    note_ineligible(node);
+    mark_ineligible(node);
     node.lock().leadership = None;
 }
 
--- a/src/coordination/tests/scale.rs
+++ b/src/coordination/tests/scale.rs
@@ -11,7 +11,7 @@
 use crate::api;
 use crate::clock::FakeClock;
 use crate::coordination::node::Node;
-use crate::coordination::peering::heartbeat::{leader_heartbeat, note_heartbeat};
+use crate::coordination::peering::heartbeat::{leader_heartbeat, record_heartbeat};
 use crate::coordination::shard::TaskCounts;
 use crate::protocol::TaskId;
 use crate::protocol::peers::{PeerRequest, encode_request};
@@ -113,7 +113,7 @@
             running: 1,
         },
     );
-    note_heartbeat(&receiver, leader_heartbeat(&sender));
+    record_heartbeat(&receiver, leader_heartbeat(&sender));
     assert_eq!(
         receiver.lock().peers.progress.get(&id).copied(),
         Some(TaskCounts::default())
--- a/tests/trial/meetings.rs
+++ b/tests/trial/meetings.rs
@@ -12,8 +12,8 @@
 use valegap::coordination::executor::execute;
 use valegap::coordination::leadership::lease::ShardLease;
 use valegap::coordination::node::Node;
-use valegap::coordination::peering::cancellations::ask_for_cancellations;
-use valegap::coordination::peering::extension::{all_grant_extension, all_vote_for_revival};
+use valegap::coordination::peering::cancellations::query_cancellations;
+use valegap::coordination::peering::lease_votes::{all_grant_extension, all_vote_for_revival};
 use valegap::coordination::requests::{RequestOrigin, UserRequest, UserResponse, answer};
 use valegap::coordination::shard::{Action, ShardWrite};
 use valegap::coordination::worker_leases::cancellation_freshness;
@@ -380,7 +380,7 @@
     // Its answers end with the bound after its own last look.
     let bound = cancellation_freshness::bound(&node.settings);
     node.lock().cancellations.caught_up(now);
-    ask_for_cancellations(node.clone(), node.settings.platform.others[0].clone(), 0).await;
+    query_cancellations(node.clone(), node.settings.platform.others[0].clone(), 0).await;
     assert!(
         node.lock().peers.older.contains_key("n1"),
         "logged, and left alone for a while"
