--- a/src/coordination/shard/scheduler/gang/mod.rs
+++ b/src/coordination/shard/scheduler/gang/mod.rs
@@ -3,8 +3,8 @@
 //! All tasks of one gang attempt carry one attempt number, by which they find one another.
 //! A gang is launched whole, on machines found for all its tasks at once, and only when no
 //! task of an earlier attempt can exist ([`placement`]). What happens to one task decides
-//! for all ([`reconciliation`]), so that whoever stops one task for whatever reason stops
-//! the gang.
+//! for all ([`reconciliation`]), so that a stop of one task, for whatever reason,
+//! stops the gang.
 
 mod placement;
 mod reconciliation;
--- a/src/coordination/shard/scheduler/gang/placement.rs
+++ b/src/coordination/shard/scheduler/gang/placement.rs
@@ -30,9 +30,9 @@
     }
 }
 
-/// Room for a gang in one zone.
+/// Free capacity for a gang in one zone.
 #[derive(Default)]
-struct ZoneRoom {
+struct ZoneCapacity {
     fitting_tasks: u32,
     free_cores: f64,
 }
@@ -149,9 +149,9 @@
             let zones = constraint.zones_in_use().cloned();
             return zones.map(ZoneChoice::Only).collect();
         }
-        let mut zones = zones_with_room(spec, pass.candidates());
+        let mut zones = capacity_by_zone(spec, pass.candidates());
         zones.sort_by(|(_, a), (_, b)| {
-            let tasks = |room: &ZoneRoom| room.fitting_tasks.min(spec.tasks);
+            let tasks = |zone: &ZoneCapacity| zone.fitting_tasks.min(spec.tasks);
             tasks(b)
                 .cmp(&tasks(a))
                 .then(b.free_cores.total_cmp(&a.free_cores))
@@ -246,16 +246,16 @@
     }
 }
 
-/// The room for a gang's tasks in each zone, in the order of the zones' names.
-fn zones_with_room<'a>(
+/// The free capacity for a gang's tasks in each zone, in the order of the zones' names.
+fn capacity_by_zone<'a>(
     spec: &JobSpec,
     candidates: &'a [Candidate],
-) -> Vec<(&'a Arc<str>, ZoneRoom)> {
-    let mut zones: BTreeMap<&Arc<str>, ZoneRoom> = BTreeMap::new();
+) -> Vec<(&'a Arc<str>, ZoneCapacity)> {
+    let mut zones: BTreeMap<&Arc<str>, ZoneCapacity> = BTreeMap::new();
     for candidate in candidates.iter().filter(|c| c.allows(spec)) {
-        let room = zones.entry(&candidate.zone).or_default();
-        room.fitting_tasks += candidate.fitting_tasks(spec).min(spec.tasks);
-        room.free_cores += candidate.free.cores;
+        let capacity = zones.entry(&candidate.zone).or_default();
+        capacity.fitting_tasks += candidate.fitting_tasks(spec).min(spec.tasks);
+        capacity.free_cores += candidate.free.cores;
     }
     zones.into_iter().collect()
 }
--- a/src/coordination/shard/scheduler/mod.rs
+++ b/src/coordination/shard/scheduler/mod.rs
@@ -135,16 +135,16 @@
         placed
     }
 
-    /// Places up to `most` of a job's tasks; returns how many.
+    /// Places up to `max_tasks` of a job's waiting tasks; returns how many.
     fn place_tasks(
         &mut self,
         id: &JobId,
-        most: usize,
+        max_tasks: usize,
         pass: &mut SchedulingPass,
         now: Instant,
     ) -> usize {
         let mut placed = 0;
-        while placed < most {
+        while placed < max_tasks {
             let view = self.scheduler_view();
             let Some(job) = view.jobs.get(id) else {
                 break;
--- a/src/coordination/shard/scheduler/placement.rs
+++ b/src/coordination/shard/scheduler/placement.rs
@@ -50,7 +50,7 @@
         let spec = &job.spec;
         let zones = self.zone_constraint(job);
         let pinned_zone = if zones.must_choose_zone() {
-            Some(zone_with_most_room(spec, pass.candidates())?)
+            Some(zone_with_most_capacity(spec, pass.candidates())?)
         } else {
             zones.zones_in_use().next().filter(|_| spec.one_zone)
         };
@@ -70,7 +70,7 @@
     }
 
     /// Whether a service must leave releasable machines alone: one that runs services
-    /// already has room for it, or would by preemption. Scale-in could otherwise no longer
+    /// already has the resources for it, or would by preemption. Scale-in could otherwise no longer
     /// release the machine.
     pub(super) fn must_stay_with_services(
         &self,
@@ -111,7 +111,7 @@
                 })
     }
 
-    /// Whether stopping one lower-priority task on a candidate makes room for a task.
+    /// Whether stopping one lower-priority task on a candidate frees enough for a task.
     fn can_preempt_one_for(&self, candidate: &Candidate, spec: &JobSpec) -> bool {
         let machine = self.machines.get(&candidate.id);
         machine.is_some_and(|machine| runs_replaceable_task(machine, spec))
@@ -126,8 +126,11 @@
     })
 }
 
-/// The zone with room for most tasks of a job; `None` if none has room.
-fn zone_with_most_room<'a>(spec: &JobSpec, candidates: &'a [Candidate]) -> Option<&'a Arc<str>> {
+/// The zone in which most tasks of a job fit; `None` if none fits anywhere.
+fn zone_with_most_capacity<'a>(
+    spec: &JobSpec,
+    candidates: &'a [Candidate],
+) -> Option<&'a Arc<str>> {
     let mut fitting_tasks: BTreeMap<&Arc<str>, u32> = BTreeMap::new();
     for candidate in candidates.iter().filter(|c| c.allows(spec)) {
         *fitting_tasks.entry(&candidate.zone).or_default() += candidate.free.fits(spec);
--- a/src/coordination/shard/scheduler/preemption/mod.rs
+++ b/src/coordination/shard/scheduler/preemption/mod.rs
@@ -40,7 +40,7 @@
 /// What preemption in one pass has decided so far.
 #[derive(Clone)]
 struct PreemptionPlan {
-    /// The teams' usage with the tasks that the plan makes room for.
+    /// The teams' usage with the tasks that the plan frees resources for.
     usage: Usage,
     /// By candidate, what is free or being freed, less what the plan uses.
     available: Vec<Amounts>,
--- a/src/coordination/shard/scheduler/preemption/planner.rs
+++ b/src/coordination/shard/scheduler/preemption/planner.rs
@@ -29,20 +29,27 @@
     eligible: Vec<usize>,
 }
 
-/// The sets of victims that each make room for one more task, the cheapest first.
+/// The sets of victims that each free enough for one more task, the cheapest first.
 type VictimSets = BTreeMap<PreemptionCost, Vec<AttemptId>>;
 
-/// A candidate with room for a task.
-enum Room {
+/// Resources for one task.
+struct Allocation {
+    /// Index of the candidate in the pass.
+    candidate: usize,
+    source: AllocationSource,
+}
+
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum AllocationSource {
     /// Free already, or being freed.
-    Available(usize),
-    /// Made by victims that were just added to the plan.
-    Preempted(usize),
+    Available,
+    /// Freed by victims that were just added to the plan.
+    Preempted,
 }
 
 impl PreemptionPlanner<'_> {
-    /// Plans room for all waiting tasks of a gang, or changes nothing: room for some of
-    /// them would be of no use.
+    /// Plans resources for all waiting tasks of a gang, or changes nothing: resources for
+    /// some of them would be of no use.
     pub(super) fn plan_gang(&self, job: &Job, plan: &mut PreemptionPlan) {
         if job.waiting() == 0 || self.view.placeable_tasks(job) < job.waiting() {
             return;
@@ -77,8 +84,8 @@
             .collect()
     }
 
-    /// Plans room for as many of a job's waiting tasks as possible: what is available
-    /// already, then what the cheapest victims free. Returns whether all tasks got room.
+    /// Plans resources for as many of a job's waiting tasks as possible: what is available
+    /// already, then what the cheapest victims free. Returns whether that is all tasks.
     pub(super) fn plan_job(
         &self,
         job: &Job,
@@ -93,26 +100,22 @@
                 self.preempt_within_team(spec, plan);
                 return false;
             }
-            let index = match self.find_room(&preemptor, &zones, &mut victim_sets, plan) {
-                Some(Room::Available(index)) => {
-                    plan.assign(index, spec);
-                    index
+            let allocation = self.allocate(&preemptor, &zones, &mut victim_sets, plan);
+            let Some(Allocation { candidate, source }) = allocation else {
+                return false;
+            };
+            plan.assign(candidate, spec);
+            zones.add(&self.pass.candidates()[candidate].zone, 1);
+            if source == AllocationSource::Preempted {
+                // For a guarantee, tasks are preempted one at a time: each stop loses as
+                // much as it helps, and most shortages end soon by themselves.
+                if preemptor.claims_guarantee && !spec.is_gang() {
+                    return false;
                 }
-                Some(Room::Preempted(index)) => {
-                    plan.assign(index, spec);
-                    // For a guarantee, tasks are preempted one at a time: each stop loses
-                    // as much as it helps, and most shortages end soon by themselves.
-                    if preemptor.claims_guarantee && !spec.is_gang() {
-                        return false;
-                    }
-                    if let Some(victim_sets) = &mut victim_sets {
-                        victim_sets.extend(self.victims_on(index, &preemptor, plan));
-                    }
-                    index
+                if let Some(victim_sets) = &mut victim_sets {
+                    victim_sets.extend(self.victims_on(candidate, &preemptor, plan));
                 }
-                None => return false,
-            };
-            zones.add(&self.pass.candidates()[index].zone, 1);
+            }
         }
         true
     }
@@ -123,7 +126,7 @@
         zones: &ZoneConstraint,
         plan: &PreemptionPlan,
     ) -> Preemptor<'a> {
-        // While anything stops already, nobody is preempted for a guarantee.
+        // While any task is stopping already, none is preempted for a guarantee.
         let claims_guarantee = plan.usage.within_guarantee(self.view.policy, &job.spec)
             && plan.freeing.is_empty()
             && !self.any_candidate_stopping();
@@ -159,21 +162,24 @@
         })
     }
 
-    /// Room for one task: what is available, or else what the cheapest victims free, who
-    /// are then added to the plan. `None` if there is none or the plan is full.
-    fn find_room(
+    /// Finds resources for one task: what is available, or else what the cheapest victims
+    /// free, which are then added to the plan. `None` if there are none or the plan is full.
+    fn allocate(
         &self,
         preemptor: &Preemptor,
         zones: &ZoneConstraint,
         victim_sets: &mut Option<VictimSets>,
         plan: &mut PreemptionPlan,
-    ) -> Option<Room> {
+    ) -> Option<Allocation> {
         let admitted = |index: usize| zones.admits(&self.pass.candidates()[index].zone);
         let mut eligible = preemptor.eligible.iter().copied();
         let available =
             eligible.find(|index| plan.available[*index].holds(preemptor.spec) && admitted(*index));
-        if let Some(index) = available {
-            return Some(Room::Available(index));
+        if let Some(candidate) = available {
+            return Some(Allocation {
+                candidate,
+                source: AllocationSource::Available,
+            });
         }
         if plan.is_full() {
             return None;
@@ -184,7 +190,10 @@
         for attempt in victim_sets.remove(&cost).unwrap_or_default() {
             self.add_victim(cost.candidate, attempt, preemptor, plan);
         }
-        Some(Room::Preempted(cost.candidate))
+        Some(Allocation {
+            candidate: cost.candidate,
+            source: AllocationSource::Preempted,
+        })
     }
 
     fn victim_sets(&self, preemptor: &Preemptor, plan: &PreemptionPlan) -> VictimSets {
--- a/src/coordination/shard/scheduler/preemption/victims.rs
+++ b/src/coordination/shard/scheduler/preemption/victims.rs
@@ -34,7 +34,7 @@
 }
 
 impl PreemptionPlanner<'_> {
-    /// The cheapest victims on one candidate that make room for one more task, with their
+    /// The cheapest victims on one candidate that free enough for one more task, with their
     /// cost; `None` if all that may be preempted there is not enough.
     pub(super) fn victims_on(
         &self,
--- a/src/coordination/shard/scheduler/quota.rs
+++ b/src/coordination/shard/scheduler/quota.rs
@@ -111,7 +111,7 @@
         let mut usage = Usage::default();
         for machine in self.machines.values() {
             let unreconciled = self.is_unreconciled(machine);
-            // An unreconciled machine may be used whole, by anybody.
+            // Any team may be using all of an unreconciled machine.
             let unknown = if unreconciled {
                 1
             } else {
--- a/src/coordination/shard/scheduler/scoring.rs
+++ b/src/coordination/shard/scheduler/scoring.rs
@@ -89,7 +89,7 @@
                 .is_some_and(|zone| *zone != *candidate.zone),
             costs_extra: candidate.costs_extra,
             on_demand: !candidate.spot,
-            // Whoever pulls an image does so where most room for its next tasks is.
+            // An image is pulled where most of the tasks that follow will fit.
             free_cores: if lacks_image || self.spread {
                 -candidate.free.cores
             } else {
--- a/src/coordination/shard/scheduler/view.rs
+++ b/src/coordination/shard/scheduler/view.rs
@@ -22,7 +22,7 @@
     /// Machines that may run tasks this leader does not know of.
     unreconciled: &'a BTreeSet<MachineId>,
     fencing_token: FencingToken,
-    /// The zone of the controller next to most machines, which services prefer.
+    /// The zone with most machines among those that have a controller; services prefer it.
     pub(super) main_zone: Option<&'a str>,
 }
 
