--- a/src/coordination/shard/autoscaler/demand.rs
+++ b/src/coordination/shard/autoscaler/demand.rs
@@ -60,11 +60,11 @@
     /// All demands, in the order in which they get capacity.
     pub(super) fn demands(&mut self, capacities: &[Capacity], now: Instant) -> Vec<Demand> {
         let used = self.usage();
-        let (mut demands, pressed) = self.queued_demands(capacities, &used, now);
+        let (mut demands, accepting_extra_cost) = self.queued_demands(capacities, &used, now);
         demands.extend(self.foreseen_demands(now));
         self.record_work(now);
         demands.extend(self.quota_demands(&used, now));
-        self.mark_pressed(&pressed);
+        self.mark_accepting_extra_cost(&accepting_extra_cost);
         demands
     }
 
@@ -77,7 +77,7 @@
         now: Instant,
     ) -> (Vec<Demand>, Vec<JobId>) {
         let mut demands = Vec::new();
-        let mut pressed = Vec::new();
+        let mut accepting_extra_cost = Vec::new();
         let wall = self.wall_ms(now);
         let mut queue = Queue {
             usage: used.clone(),
@@ -88,8 +88,8 @@
                 continue;
             };
             let urgency = self.urgency(job, count, &queue, capacities, wall);
-            if urgency.pressed {
-                pressed.push(job.id.clone());
+            if urgency.accepts_extra_cost {
+                accepting_extra_cost.push(job.id.clone());
             }
             let patient = count - urgency.urgent;
             for (count, filter) in [
@@ -107,7 +107,7 @@
                 }
             }
         }
-        (demands, pressed)
+        (demands, accepting_extra_cost)
     }
 
     /// The jobs with waiting tasks, in the order in which they get capacity.
--- a/src/coordination/shard/autoscaler/plan.rs
+++ b/src/coordination/shard/autoscaler/plan.rs
@@ -219,7 +219,7 @@
     /// The zone in which tasks of a job bound to one zone may exist.
     pub(super) fn begun_zone(&self, id: &JobId) -> Option<Arc<str>> {
         let job = self.jobs.get(id).filter(|job| job.spec.one_zone)?;
-        self.live_zones(job).into_keys().next()
+        self.tasks_by_zone(job).into_keys().next()
     }
 
     /// The zone of the best offer for a demand.
--- a/src/coordination/shard/autoscaler/urgency.rs
+++ b/src/coordination/shard/autoscaler/urgency.rs
@@ -26,7 +26,7 @@
     pub urgent: u32,
     /// Some would start too late on low-cost capacity: the scheduler may place the job on
     /// machines that cost extra.
-    pub pressed: bool,
+    pub accepts_extra_cost: bool,
 }
 
 impl Shard {
@@ -44,7 +44,7 @@
         let queued = queue.core_seconds;
         Urgency {
             urgent: self.urgent_tasks(job, waiting, queued, low_cost + extra_cost, wall),
-            pressed: self.urgent_tasks(job, waiting, queued, low_cost, wall) > 0,
+            accepts_extra_cost: self.urgent_tasks(job, waiting, queued, low_cost, wall) > 0,
         }
     }
 
@@ -111,13 +111,13 @@
     }
 
     /// Marks the jobs that cannot wait for low-cost machines alone.
-    pub(super) fn mark_pressed(&mut self, pressed: &[JobId]) {
+    pub(super) fn mark_accepting_extra_cost(&mut self, accepting_extra_cost: &[JobId]) {
         for job in self.jobs.values_mut() {
-            job.pressed = false;
+            job.accepts_extra_cost = false;
         }
-        for id in pressed {
+        for id in accepting_extra_cost {
             if let Some(job) = self.jobs.get_mut(id) {
-                job.pressed = true;
+                job.accepts_extra_cost = true;
             }
         }
     }
--- a/src/coordination/shard/jobs/mod.rs
+++ b/src/coordination/shard/jobs/mod.rs
@@ -52,8 +52,9 @@
     pub final_stage: Option<Stage>,
     /// Its final record has been asked for.
     pub finish_sent: bool,
-    /// Some of its tasks can't wait for cheap room alone.
-    pub pressed: bool,
+    /// Some of its tasks would start too late on low-cost machines: they may also use those
+    /// that cost extra.
+    pub accepts_extra_cost: bool,
     /// If it is a gang, its present attempt.
     pub gang: GangAttempt,
     /// Where to look first for a task that waits.
@@ -77,7 +78,7 @@
             ran: RunTimes::default(),
             final_stage: None,
             finish_sent: false,
-            pressed: false,
+            accepts_extra_cost: false,
             gang: GangAttempt::default(),
             cursor: 0,
         }
--- a/src/coordination/shard/scheduler/candidates.rs
+++ b/src/coordination/shard/scheduler/candidates.rs
@@ -59,7 +59,10 @@
     /// Whether a job may use a machine that scale-in would otherwise release: work that
     /// may run on spot instances waits for those while its deadline allows.
     pub(super) fn cost_acceptable(&self, job: &Job) -> bool {
-        !self.costs_extra || !job.spec.spot || job.spec.kind == JobKind::Service || job.pressed
+        !self.costs_extra
+            || !job.spec.spot
+            || job.spec.kind == JobKind::Service
+            || job.accepts_extra_cost
     }
 }
 
--- a/src/coordination/shard/scheduler/mod.rs
+++ b/src/coordination/shard/scheduler/mod.rs
@@ -225,7 +225,7 @@
     }
 
     /// How many tasks of a job with a zone rule may exist in each zone.
-    pub(super) fn live_zones(&self, job: &Job) -> BTreeMap<Arc<str>, u32> {
+    pub(super) fn tasks_by_zone(&self, job: &Job) -> BTreeMap<Arc<str>, u32> {
         self.scheduler_view().tasks_by_zone(job)
     }
 }
