--- a/src/coordination/shard/autoscaler/capacity.rs
+++ b/src/coordination/shard/autoscaler/capacity.rs
@@ -202,7 +202,7 @@
     /// Whether a machine is about to be removed, or is booting in a zone that is partitioned.
     pub(super) fn is_leaving(&self, machine: &Machine) -> bool {
         machine.deleting
-            || machine.cordoned
+            || machine.health.is_cordoned()
             || machine.preemption_notice.is_some()
             || machine.vanished
             || (machine.last_contact.is_none() && self.delegations.is_partitioned(&machine.zone))
--- a/src/coordination/shard/autoscaler/scale_in.rs
+++ b/src/coordination/shard/autoscaler/scale_in.rs
@@ -132,7 +132,7 @@
     fn remove_deleted(&mut self, id: &MachineId, now: Instant) {
         self.empty_machine(id, now);
         if let Some(machine) = self.machines.remove(id) {
-            self.record_gone(id);
+            self.remove_from_roster(id);
             // The cloud has one more of that kind.
             self.autoscaler.backoff.reset(&MachineKind::from(&machine));
         }
@@ -194,7 +194,7 @@
         if !machine.load.idle() || has_unrecorded {
             return None;
         }
-        if machine.cordoned || machine.draining || machine.preemption_notice.is_some() {
+        if machine.health.is_cordoned() || machine.draining || machine.preemption_notice.is_some() {
             return Some(DeletionReason::Drained);
         }
         let idle = machine
--- a/src/coordination/shard/health/failure_evidence.rs
+++ b/src/coordination/shard/health/failure_evidence.rs
@@ -15,7 +15,7 @@
 /// The jobs that failed on one machine. A job is sound once a task of it has succeeded on
 /// some machine.
 #[derive(Debug, Default)]
-pub struct FailureEvidence {
+pub(super) struct FailureEvidence {
     /// Jobs known to be sound.
     sound: BTreeSet<JobId>,
     /// Jobs not known to be sound, and when they failed.
--- a/src/coordination/shard/health/failure_history.rs
+++ b/src/coordination/shard/health/failure_history.rs
@@ -26,9 +26,9 @@
 /// Time added to that multiple, for jobs that fail at once.
 const SUCCESS_MARGIN: Duration = Duration::from_secs(5);
 
-/// A failed attempt of a job's task.
+/// An attempt that failed by itself.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Failure<'a> {
+pub(in crate::coordination::shard) struct FailedAttempt<'a> {
     /// The job.
     pub job: &'a JobId,
     /// Where the attempt ran.
@@ -83,7 +83,11 @@
     }
 
     /// Notes a failure; returns the pause until the next attempt, if one is due.
-    pub(super) fn note_failure(&mut self, failure: &Failure<'_>, now: Instant) -> Option<Duration> {
+    pub(super) fn note_failure(
+        &mut self,
+        failure: &FailedAttempt<'_>,
+        now: Instant,
+    ) -> Option<Duration> {
         if self.machines.insert(failure.machine.clone()) {
             self.machines_since_success += 1;
         }
--- a/src/coordination/shard/health/failures.rs
+++ b/src/coordination/shard/health/failures.rs
@@ -1,10 +1,11 @@
 //! What failed and successful attempts mean for jobs and machines.
 
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
-use super::failure_history::Failure;
+use super::FailedAttempt;
+use super::machine_health::log_cordon;
 use crate::coordination::shard::{Attempt, Job, Phase, Shard};
-use crate::protocol::{JobId, MachineId};
+use crate::protocol::JobId;
 
 /// Tasks of a crash-looping job that may exist at a time.
 const CRASH_LOOPING_TASKS: u32 = 2;
@@ -26,43 +27,35 @@
 }
 
 impl Shard {
-    /// An attempt that began at `began` failed by itself after it had run for `ran`.
+    /// An attempt failed by itself: judges its job, or else its machine.
     pub(in crate::coordination::shard) fn attempt_failed(
         &mut self,
-        id: &JobId,
-        machine_id: &MachineId,
-        began: Instant,
-        ran: Duration,
+        failure: &FailedAttempt<'_>,
         now: Instant,
     ) {
-        let Some(job) = self.jobs.get_mut(id) else {
+        let Some(job) = self.jobs.get_mut(failure.job) else {
             return;
         };
-        let failure = Failure {
-            job: id,
-            machine: machine_id,
-            began,
-            ran,
-        };
         let was_crash_looping = job.is_crash_looping();
-        if let Some(pause) = job.failures.note_failure(&failure, now) {
+        if let Some(pause) = job.failures.note_failure(failure, now) {
             job.not_before = Some(now + pause);
         }
         if !job.is_crash_looping() {
             let sound = !job.done().is_empty();
-            self.note_machine_failure(&failure, sound, now);
+            self.note_machine_failure(failure, sound, now);
         } else if !was_crash_looping {
-            tracing::info!(job = %id, "job is crash-looping, its attempts are limited");
-            self.withdraw_evidence(id);
+            tracing::info!(job = %failure.job, "job is crash-looping, its attempts are limited");
+            self.withdraw_evidence(failure.job);
         }
     }
 
     /// Counts a failure as evidence against its machine, and cordons it if that suffices.
-    fn note_machine_failure(&mut self, failure: &Failure<'_>, sound: bool, now: Instant) {
-        if let Some(machine) = self.machines.get_mut(failure.machine) {
-            machine.failures.note_failure(failure.job, sound, now);
+    fn note_machine_failure(&mut self, failure: &FailedAttempt<'_>, sound: bool, now: Instant) {
+        if let Some(machine) = self.machines.get_mut(failure.machine)
+            && let Some(reason) = machine.health.note_failure(failure.job, sound, now)
+        {
+            log_cordon(&machine.id, reason);
         }
-        self.cordon_if_faulty(failure.machine);
     }
 
     /// A task of a job has completed, or has run for long: where others of it failed, the
@@ -80,10 +73,11 @@
         job.failures.note_success();
         job.not_before = None;
         for machine_id in job.failures.failed_on().clone() {
-            if let Some(machine) = self.machines.get_mut(&machine_id) {
-                machine.failures.confirm(id);
+            if let Some(machine) = self.machines.get_mut(&machine_id)
+                && let Some(reason) = machine.health.confirm_failure(id)
+            {
+                log_cordon(&machine.id, reason);
             }
-            self.cordon_if_faulty(&machine_id);
         }
     }
 
@@ -95,25 +89,11 @@
         };
         for machine_id in job.failures.failed_on() {
             if let Some(machine) = self.machines.get_mut(machine_id) {
-                machine.failures.withdraw(id);
+                machine.health.withdraw_failure(id);
             }
         }
     }
 
-    fn cordon_if_faulty(&mut self, id: &MachineId) {
-        let Some(machine) = self.machines.get_mut(id) else {
-            return;
-        };
-        if machine.failures.proves_fault() && !machine.cordoned {
-            machine.cordoned = true;
-            tracing::info!(
-                machine = %id,
-                reason = "tasks of several sound jobs failed on it",
-                "machine cordoned"
-            );
-        }
-    }
-
     /// Counts tasks that have run for longer than any failed attempt of their job as
     /// successes: a service has no others, since it never completes.
     pub(in crate::coordination::shard) fn note_outliving_tasks(&mut self, now: Instant) {
--- a/src/coordination/shard/health/mod.rs
+++ b/src/coordination/shard/health/mod.rs
@@ -8,7 +8,7 @@
 //!   ([`FailureHistory`]): it is no evidence against a machine, and only a few of its tasks
 //!   are tried at a time, with rising pauses, until one succeeds.
 //! - A machine on which recent failures of several jobs have no known cause is
-//!   *quarantined* ([`FailureEvidence`]): it gets no new tasks for a while.
+//!   *quarantined* ([`MachineHealth`]): it gets no new tasks for a while.
 //! - A machine on which tasks of several sound jobs failed, or run far longer than elsewhere
 //!   ([`RunTimes`]), is *cordoned*: it gets no new tasks and is deleted once it is empty.
 //!
@@ -19,11 +19,15 @@
 mod failure_evidence;
 mod failure_history;
 mod failures;
+mod machine_health;
 mod slowness;
 
-pub use failure_evidence::FailureEvidence;
 pub use failure_history::FailureHistory;
+pub use machine_health::MachineHealth;
 pub use slowness::RunTimes;
 
+use failure_evidence::FailureEvidence;
+pub(in crate::coordination::shard) use failure_history::FailedAttempt;
+
 #[cfg(test)]
 mod tests;
--- a/src/coordination/shard/health/slowness.rs
+++ b/src/coordination/shard/health/slowness.rs
@@ -2,6 +2,7 @@
 
 use std::time::{Duration, Instant};
 
+use super::machine_health::log_cordon;
 use crate::coordination::shard::{Attempt, Job, Machine, Phase, Shard};
 use crate::protocol::users::JobKind;
 use crate::protocol::{AttemptId, MachineId};
@@ -15,8 +16,6 @@
 const OVERDUE_MULTIPLE: f64 = 2.5;
 /// Time added to that multiple, for short tasks, whose run times vary more.
 const OVERDUE_MARGIN: Duration = Duration::from_secs(5);
-/// Overdue tasks after which a machine is cordoned.
-const OVERDUE_TASKS_TO_CORDON: u32 = 2;
 
 /// Run times of one job's completed tasks.
 #[derive(Debug, Clone, Copy, Default)]
@@ -86,19 +85,9 @@
     /// for it.
     fn note_overdue(&mut self, overdue: &OverdueAttempt) -> Option<MachineId> {
         let machine = self.machines.get_mut(&overdue.machine)?;
-        if let Some(attempt) = machine.attempts.get_mut(&overdue.attempt) {
-            attempt.overdue = true;
-            machine.slow_tasks += 1;
-        }
-        if machine.slow_tasks < OVERDUE_TASKS_TO_CORDON || machine.cordoned {
-            return None;
-        }
-        machine.cordoned = true;
-        tracing::info!(
-            machine = %machine.id,
-            reason = "its tasks run far longer than others of their jobs",
-            "machine cordoned"
-        );
+        machine.attempts.get_mut(&overdue.attempt)?.overdue = true;
+        let reason = machine.health.note_overdue_attempt()?;
+        log_cordon(&machine.id, reason);
         Some(machine.id.clone())
     }
 
--- a/src/coordination/shard/health/tests.rs
+++ b/src/coordination/shard/health/tests.rs
@@ -1,7 +1,6 @@
 use std::time::{Duration, Instant};
 
-use super::failure_history::Failure;
-use super::{FailureEvidence, FailureHistory};
+use super::{FailedAttempt, FailureEvidence, FailureHistory};
 use crate::protocol::{JobId, MachineId};
 
 #[test]
@@ -12,7 +11,7 @@
     let mut now = Instant::now();
     let mut pauses = Vec::new();
     for _ in 0..12 {
-        let failure = Failure {
+        let failure = FailedAttempt {
             job: &job,
             machine: &machine,
             began: now,
--- a/src/coordination/shard/machines/mod.rs
+++ b/src/coordination/shard/machines/mod.rs
@@ -21,7 +21,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::{FailureEvidence, Policy};
+use super::{MachineHealth, Policy};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::{AttemptId, JobId, MachineId, TaskId};
 
@@ -60,12 +60,8 @@
     pub rented: Instant,
     /// Since when nothing has run on it.
     pub idle_since: Option<Instant>,
-    /// Jobs that failed on it.
-    pub failures: FailureEvidence,
-    /// Tasks that ran far longer on it than others of their jobs elsewhere.
-    pub slow_tasks: u32,
-    /// Gets no new tasks and is given back when empty.
-    pub cordoned: bool,
+    /// What attempts on it have shown of it.
+    pub health: MachineHealth,
     /// Being emptied, so that it can be given back.
     pub draining: bool,
     /// A deletion is under way.
@@ -100,9 +96,7 @@
             images: Vec::new(),
             rented: now,
             idle_since: None,
-            failures: FailureEvidence::default(),
-            slow_tasks: 0,
-            cordoned: false,
+            health: MachineHealth::default(),
             draining: false,
             deleting: false,
             deletion_retry: None,
@@ -182,8 +176,8 @@
             && self.epochs.is_live()
             && !self.commands.is_unreachable()
             && !self.deleting
-            && !self.cordoned
-            && !self.failures.is_quarantined(now)
+            && !self.health.is_cordoned()
+            && !self.health.is_quarantined(now)
             && !self.draining
             && self.preemption_notice.is_none()
             && !self.vanished
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -17,7 +17,7 @@
 
 pub use autoscaler::RentalOutcome;
 pub use delegations::delegate_commands;
-pub use health::{FailureEvidence, FailureHistory};
+pub use health::{FailureHistory, MachineHealth};
 pub use jobs::{Job, TaskCounts};
 pub use machines::{Attempt, Machine, MachineLoad, Machines, Phase};
 pub use persistence::{ShardWrite, WritePurpose};
--- a/src/coordination/shard/persistence/flush.rs
+++ b/src/coordination/shard/persistence/flush.rs
@@ -3,7 +3,8 @@
 use std::time::Instant;
 
 use super::shard_write::{ShardWrite, WritePurpose};
-use super::write_queue::{NextWrite, WriteLimits};
+use super::write_limits::WriteLimits;
+use super::write_queue::NextWrite;
 use crate::coordination::shard::{Action, Shard};
 use crate::protocol::MachineId;
 
--- a/src/coordination/shard/persistence/mod.rs
+++ b/src/coordination/shard/persistence/mod.rs
@@ -18,6 +18,7 @@
 mod snapshots;
 mod token_bucket;
 mod transaction;
+mod write_limits;
 mod write_queue;
 
 pub use shard_write::{ShardWrite, WritePurpose};
--- a/src/coordination/shard/persistence/records.rs
+++ b/src/coordination/shard/persistence/records.rs
@@ -37,7 +37,7 @@
     }
 
     /// Removes a machine that no longer exists from the roster.
-    pub(in crate::coordination::shard) fn record_gone(&mut self, id: &MachineId) {
+    pub(in crate::coordination::shard) fn remove_from_roster(&mut self, id: &MachineId) {
         self.writes.remove_roster_entry(id);
     }
 
--- a/src/coordination/shard/persistence/write_queue.rs
+++ b/src/coordination/shard/persistence/write_queue.rs
@@ -9,49 +9,12 @@
 use super::snapshot_rounds::{CompletedAttempt, SnapshotRounds};
 use super::token_bucket::TokenBucket;
 use super::transaction::TransactionBuilder;
-use crate::coordination::shard::Policy;
+use super::write_limits::WriteLimits;
 use crate::protocol::MachineId;
 use crate::protocol::kv::Mutation;
 use crate::storage::records::RosterRecord;
 use crate::storage::roster::Roster;
 
-/// Least burst of snapshot chunks, in mutations: one chunk and the sequence number.
-const MIN_CHUNK_BURST: f64 = 2.0;
-
-/// What the store takes at a time, and how fast it may be written to.
-#[derive(Debug, Clone, Copy)]
-pub(super) struct WriteLimits {
-    /// Mutations in one transaction, with that of the sequence number.
-    txn_ops: usize,
-    /// Bytes of one value.
-    value_bytes: usize,
-    /// Mutations a second for snapshots.
-    snapshot_writes_per_s: f64,
-    /// Mutations a second for all other records.
-    record_writes_per_s: f64,
-    /// Least time from the start of one snapshot round to the start of the next.
-    snapshot_interval: Duration,
-}
-
-impl From<&Policy> for WriteLimits {
-    fn from(policy: &Policy) -> Self {
-        Self {
-            txn_ops: policy.txn_ops,
-            value_bytes: policy.value_bytes,
-            snapshot_writes_per_s: policy.snapshot_writes_per_s,
-            record_writes_per_s: policy.record_writes_per_s,
-            snapshot_interval: policy.snapshot,
-        }
-    }
-}
-
-impl WriteLimits {
-    /// The most chunks that the budget ever allows at once, in mutations.
-    fn chunk_burst(&self) -> f64 {
-        self.snapshot_writes_per_s.max(MIN_CHUNK_BURST)
-    }
-}
-
 /// What is to be done next about durable writes.
 #[derive(Debug)]
 pub(super) enum NextWrite {
--- a/src/coordination/shard/reconciler/outcomes.rs
+++ b/src/coordination/shard/reconciler/outcomes.rs
@@ -2,6 +2,7 @@
 
 use std::time::{Duration, Instant};
 
+use crate::coordination::shard::health::FailedAttempt;
 use crate::coordination::shard::{Attempt, Shard};
 use crate::protocol::workers::AttemptOutcome;
 use crate::protocol::{AttemptId, MachineId, TaskId};
@@ -56,8 +57,13 @@
         match outcome {
             AttemptOutcome::Done => self.task_done(task, ended, now),
             AttemptOutcome::Error if !ended.asked && job.final_stage.is_none() => {
-                let ran = ended.ran.unwrap_or_default();
-                self.attempt_failed(&task.job, id, ended.began, ran, now);
+                let failure = FailedAttempt {
+                    job: &task.job,
+                    machine: id,
+                    began: ended.began,
+                    ran: ended.ran.unwrap_or_default(),
+                };
+                self.attempt_failed(&failure, now);
             }
             AttemptOutcome::NoRoom
             | AttemptOutcome::Busy
--- a/src/coordination/shard/tests/failing_jobs.rs
+++ b/src/coordination/shard/tests/failing_jobs.rs
@@ -110,7 +110,7 @@
     for _ in 0..300 {
         run_one_second(&mut script, &MACHINES, &fails_everywhere);
     }
-    let cordoned = |id: &&&str| script.machine(id).cordoned;
+    let cordoned = |id: &&&str| script.machine(id).health.is_cordoned();
     assert_eq!(MACHINES.iter().filter(cordoned).count(), 0);
     assert_eq!(script.shard.jobs()["run-1"].live().len(), 6);
     script.submit("run-2", spec("blue", 1.0, 20));
@@ -168,7 +168,7 @@
         run_one_second(&mut script, &MACHINES, &faulty);
     }
     let machine = script.machine("vm-1");
-    assert!(!machine.cordoned, "the jobs may be faulty");
+    assert!(!machine.health.is_cordoned(), "the jobs may be faulty");
     assert!(!machine.open(script.now, &script.shard.policy));
     for id in &MACHINES[1..] {
         complete(&mut script, id);
--- a/src/coordination/shard/tests/health.rs
+++ b/src/coordination/shard/tests/health.rs
@@ -85,8 +85,8 @@
         .iter()
         .any(|batch| batch.machine == slow.machine && stops(&batch.commands) > 0);
     assert!(stopped, "its tasks move");
-    assert!(script.machine(&slow.machine).cordoned);
-    assert!(!script.machine(&quick.machine).cordoned);
+    assert!(script.machine(&slow.machine).health.is_cordoned());
+    assert!(!script.machine(&quick.machine).health.is_cordoned());
 }
 
 /// Found by the simulation: tasks that an earlier leader had started seemed to have run for a
@@ -115,7 +115,7 @@
         script.heartbeat("vm-1", later(5));
         script.advance(Duration::ZERO);
     }
-    assert!(!script.machine("vm-1").cordoned);
+    assert!(!script.machine("vm-1").health.is_cordoned());
 }
 
 /// The tasks that a batch launches, all in one state.
