--- a/src/coordination/executor/shard_write.rs
+++ b/src/coordination/executor/shard_write.rs
@@ -57,19 +57,19 @@
         let transaction = fenced_transaction(lease, *sequence, &value, write);
         let applied_at = match node.clients.kv.txn(&transaction, KV_DEADLINE).await {
             Ok(TransactionOutcome::Committed { revision }) => Some(revision),
-            Ok(TransactionOutcome::Conflict) | Err(KvError::NoAnswer) => {
+            Ok(TransactionOutcome::Conflict) | Err(KvError::NoAnswer { .. }) => {
                 match resolve(node, lease, *sequence, &record).await {
                     Resolution::Applied { mod_revision } => Some(mod_revision),
                     Resolution::Superseded => return WriteOutcome::LeaseEnded,
                     Resolution::Unresolved => None,
                 }
             }
-            Err(KvError::TooLarge(reason)) => {
+            Err(KvError::TooLarge { answer: reason, .. }) => {
                 error!(reason, "the store refused a shard write as too large");
                 return WriteOutcome::TooLarge;
             }
-            Err(KvError::Unexpected(reason)) => {
-                error!(reason, "unexpected answer to a shard write");
+            Err(error) if error.is_protocol_error() => {
+                error!(%error, "unexpected answer to a shard write");
                 None
             }
             Err(_) => None,
--- a/src/coordination/leadership/election.rs
+++ b/src/coordination/leadership/election.rs
@@ -143,7 +143,7 @@
     let page = node
         .clients
         .kv
-        .follow(&keys::leader_prefix(), revision, LEADER_WATCH_WAIT)
+        .watch(&keys::leader_prefix(), revision, LEADER_WATCH_WAIT)
         .await?;
     let deleted = |event: &WatchEvent| matches!(event, WatchEvent::Delete { key, .. } if *key == keys::leader());
     if page.events.iter().any(deleted) {
@@ -158,7 +158,7 @@
     if let Some(until) = node.campaign_blocked_until() {
         return until.saturating_duration_since(now) + AFTER_VOTE_MARGIN;
     }
-    placement_delay(&node.lock(), &node.settings.platform.area, now)
+    placement_delay(&node.lock(), &node.settings.platform.zone, now)
 }
 
 /// The delay by which a candidate in `zone` gives way to better placed ones.
--- a/src/coordination/leadership/job_watch.rs
+++ b/src/coordination/leadership/job_watch.rs
@@ -39,14 +39,14 @@
     match node
         .clients
         .kv
-        .follow(keys::JOBS, revision, JOB_WATCH_WAIT)
+        .watch(keys::JOBS, revision, JOB_WATCH_WAIT)
         .await
     {
         Ok(page) => {
             apply_events(node, lease, page.events);
             Ok(page.revision.max(revision))
         }
-        Err(KvError::TooOld) => resync(node, lease).await,
+        Err(KvError::Compacted { .. }) => resync(node, lease).await,
         Err(error) => Err(error),
     }
 }
--- a/src/coordination/leadership/renewal.rs
+++ b/src/coordination/leadership/renewal.rs
@@ -87,7 +87,7 @@
             () = &mut pause => return false,
             () = lease.end_notify.notified() => return false,
             Some(result) = in_flight.join_next() => {
-                if matches!(result, Ok(Err(KvError::Refused(_)))) {
+                if matches!(result, Ok(Err(KvError::Refused { .. }))) {
                     return true;
                 }
             }
@@ -123,7 +123,7 @@
         .await;
     match &result {
         Ok(()) => lease.record_renewal(sent, lease::deadline(operator, sent)),
-        Err(KvError::LeaseEnded) if !lease.ended() => {
+        Err(KvError::LeaseEnded { .. }) if !lease.ended() => {
             warn!(fencing_token = %lease.fencing_token, "the lease has expired in the store");
             lease.end();
         }
--- a/src/coordination/node/reachability.rs
+++ b/src/coordination/node/reachability.rs
@@ -8,6 +8,7 @@
 use super::Node;
 use super::state::PeerView;
 use crate::coordination::peering::lease_votes;
+use crate::storage::kv_client::KvHealth;
 
 /// How long after its last heartbeat another controller counts as reachable.
 const PEER_REACHABLE_WITHIN: Duration = Duration::from_millis(2500);
@@ -47,7 +48,10 @@
 
     /// Whether the store has stopped serving this node.
     pub fn kv_lost(&self) -> bool {
-        let (served, failed) = self.clients.kv.health();
+        let KvHealth {
+            last_served: served,
+            last_failed: failed,
+        } = self.clients.kv.health();
         let Some(served) = served else {
             return true;
         };
@@ -57,7 +61,10 @@
 
     /// Whether the store's last answer to this node was none, or a refusal.
     pub fn kv_failing(&self) -> bool {
-        let (served, failed) = self.clients.kv.health();
+        let KvHealth {
+            last_served: served,
+            last_failed: failed,
+        } = self.clients.kv.health();
         failed.is_some() && failed > served
     }
 
--- a/src/coordination/node/status.rs
+++ b/src/coordination/node/status.rs
@@ -26,7 +26,7 @@
             page,
             "controller {} in {}, up {:?}",
             self.node_id(),
-            self.settings.platform.area,
+            self.settings.platform.zone,
             now.saturating_duration_since(self.started),
         )?;
         writeln!(page, "leader of the shard: {leader}")?;
--- a/src/coordination/peering/delegation/inventories.rs
+++ b/src/coordination/peering/delegation/inventories.rs
@@ -80,7 +80,7 @@
 fn put_back(node: &Node, heartbeats: Vec<WorkerHeartbeat>, error: &KvError) {
     let mut inner = node.lock();
     inner.delegate.unwritten_heartbeats.put_back(heartbeats);
-    if let KvError::TooLarge(_) = error {
+    if let KvError::TooLarge { .. } = error {
         let page_bytes = inner.delegate.inventory_bytes.unwrap_or(node.value_bytes());
         let reduced = (page_bytes / 2).max(MIN_INVENTORY_PAGE_BYTES);
         inner.delegate.inventory_bytes = Some(reduced);
--- a/src/coordination/peering/delegation/leader.rs
+++ b/src/coordination/peering/delegation/leader.rs
@@ -104,11 +104,11 @@
 fn unreachable_zones(node: &Node, unreachable: &BTreeSet<String>) -> BTreeSet<String> {
     let platform = &node.settings.platform;
     let reachable = |peer: &&Peer| !unreachable.contains(&peer.node_id);
-    let zones = platform.others.iter().map(|peer| peer.area.clone());
+    let zones = platform.others.iter().map(|peer| peer.zone.clone());
     let mut zones: BTreeSet<String> = zones.collect();
     for peer in platform.others.iter().filter(reachable) {
-        zones.remove(&peer.area);
+        zones.remove(&peer.zone);
     }
-    zones.remove(&platform.area);
+    zones.remove(&platform.zone);
     zones
 }
--- a/src/coordination/peering/handover.rs
+++ b/src/coordination/peering/handover.rs
@@ -47,11 +47,11 @@
 /// machines: handing over for a small difference would never end.
 fn preferred_zone(node: &Node, machines_by_zone: &BTreeMap<&str, usize>) -> Option<String> {
     let platform = &node.settings.platform;
-    let own_zone = platform.area.as_str();
+    let own_zone = platform.zone.as_str();
     let own_machines = machines_by_zone.get(own_zone).copied().unwrap_or(0);
     let (zone, machines) = machines_by_zone
         .iter()
-        .filter(|(zone, _)| platform.others.iter().any(|peer| peer.area == **zone))
+        .filter(|(zone, _)| platform.others.iter().any(|peer| peer.zone == **zone))
         .max_by_key(|(_, machines)| **machines)?;
     if *machines > own_machines * 2 + 1 {
         Some((*zone).to_owned())
@@ -178,7 +178,7 @@
     } else {
         MIN_LEADERSHIP
     };
-    *main_zone != node.settings.platform.area
+    *main_zone != node.settings.platform.zone
         && now.saturating_duration_since(own.lease.since) > min_leadership
         && inner.peers.views.values().any(|view| {
             now.saturating_duration_since(view.at) < SUCCESSOR_HEARTBEAT_FRESH
--- a/src/coordination/peering/heartbeat.rs
+++ b/src/coordination/peering/heartbeat.rs
@@ -35,7 +35,7 @@
         .map(|own| own.lease.fencing_token);
     PeerHeartbeat {
         node_id: node.node_id().to_owned(),
-        zone: node.settings.platform.area.clone(),
+        zone: node.settings.platform.zone.clone(),
         kv_served,
         reachable_workers: inner.workers.len() as u32,
         up_s: node.up_time().as_secs(),
--- a/src/coordination/requests/cancellation.rs
+++ b/src/coordination/requests/cancellation.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use super::kv_access::{read, read_final, unexpected, write_in_turn};
+use super::kv_access::{read, read_final, write_in_turn};
 use super::response::UserResponse;
 use crate::coordination::node::Node;
-use crate::protocol::kv::KeyValue;
+use crate::protocol::kv::{KeyValue, KvRequest};
 use crate::protocol::users::Stage;
 use crate::storage::kv_client::{KvError, Refusal, TransactionOutcome};
 use crate::storage::records::{FinalRecord, JobRecord};
@@ -24,7 +24,10 @@
             return Ok(response);
         }
     }
-    Err(KvError::Refused(Refusal::TooManyConflicts))
+    Err(KvError::Refused {
+        request: KvRequest::Transaction,
+        reason: Refusal::TooManyConflicts,
+    })
 }
 
 async fn answer_not_open(node: &Arc<Node>, id: &str) -> Result<UserResponse, KvError> {
@@ -40,10 +43,11 @@
     id: &str,
     open: KeyValue,
 ) -> Result<Option<UserResponse>, KvError> {
-    let job: JobRecord = serde_json::from_value(open.value).map_err(unexpected)?;
+    let job: JobRecord = serde_json::from_value(open.value)
+        .map_err(|source| KvError::undecodable_record(&open.key, source))?;
     let record = FinalRecord::new(Stage::Cancelled, job.spec).within(node.value_bytes());
-    let transaction =
-        job_transition::finish_job(id, open.mod_revision, &record).map_err(unexpected)?;
+    let transaction = job_transition::finish_job(id, open.mod_revision, &record)
+        .map_err(|source| KvError::unencodable("a final record", source))?;
     match write_in_turn(node, &transaction).await? {
         TransactionOutcome::Committed { revision } => {
             node.job_index.record_final(id, &record, revision);
--- a/src/coordination/requests/kv_access.rs
+++ b/src/coordination/requests/kv_access.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::coordination::node::Node;
-use crate::protocol::kv::{KeyValue, Transaction};
+use crate::protocol::kv::{KeyValue, KvRequest, Transaction};
 use crate::storage::keys;
 use crate::storage::kv_client::{KvError, Refusal, TransactionOutcome, backoff};
 use crate::storage::records::FinalRecord;
@@ -21,7 +21,7 @@
     let mut retries = 0;
     loop {
         match request().await {
-            Err(KvError::Refused(Refusal::RateLimited)) if retries < MAX_RATE_LIMIT_RETRIES => {
+            Err(error) if error.is_rate_limited() && retries < MAX_RATE_LIMIT_RETRIES => {
                 retries += 1;
                 tokio::time::sleep(backoff(retries)).await;
             }
@@ -37,7 +37,10 @@
     transaction: &Transaction,
 ) -> Result<TransactionOutcome, KvError> {
     let Ok(wait) = node.admission.user_writes.reserve(node.now()) else {
-        return Err(KvError::Refused(Refusal::LocalRateLimit));
+        return Err(KvError::Refused {
+            request: KvRequest::Transaction,
+            reason: Refusal::LocalRateLimit,
+        });
     };
     tokio::time::sleep(wait).await;
     retry_rate_limited(|| node.clients.kv.txn(transaction, USER_KV_DEADLINE)).await
@@ -53,13 +56,9 @@
     let Some(item) = read(node, &keys::final_job(id)).await? else {
         return Ok(None);
     };
-    let record: FinalRecord = serde_json::from_value(item.value).map_err(unexpected)?;
+    let record: FinalRecord = serde_json::from_value(item.value)
+        .map_err(|source| KvError::undecodable_record(&item.key, source))?;
     node.job_index.record_final(id, &record, item.mod_revision);
     node.notify_finished_jobs();
     Ok(Some(record))
 }
-
-/// A record that can't be read or written as JSON.
-pub(super) fn unexpected(error: serde_json::Error) -> KvError {
-    KvError::Unexpected(error.to_string())
-}
--- a/src/coordination/requests/submission.rs
+++ b/src/coordination/requests/submission.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::admission::{self, Inadmissible};
-use super::kv_access::{unexpected, write_in_turn};
+use super::kv_access::write_in_turn;
 use super::response::UserResponse;
 use super::status_query;
 use crate::coordination::node::Node;
@@ -33,7 +33,8 @@
         accepted_at_ms: node.clock.wall_ms(),
         spec,
     };
-    let value = serde_json::to_value(&record).map_err(unexpected)?;
+    let value = serde_json::to_value(&record)
+        .map_err(|source| KvError::unencodable("a job's record", source))?;
     if value.to_string().len() > node.value_bytes() {
         return answer_too_large(node, id).await;
     }
--- a/src/coordination/shard/policy.rs
+++ b/src/coordination/shard/policy.rs
@@ -6,7 +6,7 @@
 use crate::coordination::clock_drift;
 use crate::coordination::worker_leases::advance_delegation;
 use crate::settings::Settings;
-use crate::settings::platform::Objective;
+use crate::settings::platform::ServiceLevelObjective;
 
 /// A team's amounts; 0 means none.
 #[derive(Debug, Clone, Copy, Default)]
@@ -92,10 +92,10 @@
                 .iter()
                 .map(|team| {
                     let policy = TeamPolicy {
-                        cores: team.cpus,
-                        cores_max: team.cpus_max,
-                        accelerators: team.gpus,
-                        accelerators_max: team.gpus_max,
+                        cores: team.quota_cores,
+                        cores_max: team.max_cores,
+                        accelerators: team.quota_accelerators,
+                        accelerators_max: team.max_accelerators,
                     };
                     (team.name.clone(), policy)
                 })
@@ -114,11 +114,11 @@
             snapshot_writes_per_s: state.write_rps * operator.snapshot_write_share,
             record_writes_per_s: state.write_rps * RECORD_WRITE_SHARE,
             suspect_after: given.workers.latest_heartbeat() + operator.suspect_late(),
-            dead_after: given.workers.latest_heartbeat() + operator.abandon_late(),
+            dead_after: given.workers.latest_heartbeat() + operator.declare_dead_late(),
             headroom: operator.headroom,
             idle: operator.idle(),
-            guarantee_hold: operator.guarantee_hold(),
-            refused: operator.refused(),
+            guarantee_hold: operator.quota_hold(),
+            refused: operator.scale_out_retry(),
         }
     }
 
@@ -154,7 +154,7 @@
 }
 
 /// The times of the objectives of one kind, by class.
-fn within(objectives: &[Objective], kind: &str) -> HashMap<String, Duration> {
+fn within(objectives: &[ServiceLevelObjective], kind: &str) -> HashMap<String, Duration> {
     objectives
         .iter()
         .filter(|aim| aim.kind == kind)
@@ -166,10 +166,10 @@
 }
 
 /// The multiples of deadlines that objectives name, by class.
-fn deadline_times(objectives: &[Objective]) -> HashMap<String, Vec<f64>> {
+fn deadline_times(objectives: &[ServiceLevelObjective]) -> HashMap<String, Vec<f64>> {
     let mut times: HashMap<String, Vec<f64>> = HashMap::new();
     for aim in objectives.iter().filter(|aim| aim.kind == "deadline") {
-        let multiple = aim.times.unwrap_or(1.0);
+        let multiple = aim.deadline_multiple.unwrap_or(1.0);
         if let Some(class) = &aim.class
             && (0.1..1e3).contains(&multiple)
         {
--- a/src/server.rs
+++ b/src/server.rs
@@ -52,7 +52,7 @@
     let internal_listener = listen(platform.internal_addr).await?;
     info!(
         node_id = node.node_id(),
-        area = platform.area,
+        area = platform.zone,
         front = %platform.front,
         "valegap starts"
     );
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,4 +1,4 @@
-//! The settings file (JSON) that the platform hands over.
+//! The settings file (JSON) that the platform hands over. Fields that it doesn't know are ignored.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,6 +7,15 @@
 
 use super::SettingsError;
 
+mod validation;
+
+/// Longest time between two heartbeats of a worker, as a multiple of the usual one.
+const MAX_HEARTBEAT_INTERVAL: f64 = 1.25;
+/// How long a gang's task waits for the others if the file doesn't say, in seconds.
+const DEFAULT_GANG_WAIT_S: f64 = 30.0;
+/// How soon a gang's tasks notice the end of another if the file doesn't say, in seconds.
+const DEFAULT_GANG_PEER_S: f64 = 5.0;
+
 /// Another controller.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Peer {
@@ -14,7 +23,8 @@
     #[serde(rename = "label")]
     pub node_id: String,
     /// Its zone.
-    pub area: String,
+    #[serde(rename = "area")]
+    pub zone: String,
     /// Its internal address.
     pub address: SocketAddr,
 }
@@ -29,80 +39,81 @@
     pub kv: SocketAddr,
 }
 
-/// A team's guarantee and limit; 0 means none.
+/// A team's quota and its limit: what it is guaranteed, and the most that it may use at once.
+/// 0 means none.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Team {
     /// The team's name.
     pub name: String,
     /// Cores that are guaranteed.
-    #[serde(default)]
-    pub cpus: f64,
-    /// Cores that may be used at once.
-    #[serde(default)]
-    pub cpus_max: f64,
+    #[serde(rename = "cpus", default)]
+    pub quota_cores: f64,
+    /// Most cores in use at once.
+    #[serde(rename = "cpus_max", default)]
+    pub max_cores: f64,
     /// Accelerators that are guaranteed.
-    #[serde(default)]
-    pub gpus: f64,
-    /// Accelerators that may be used at once.
-    #[serde(default)]
-    pub gpus_max: f64,
+    #[serde(rename = "gpus", default)]
+    pub quota_accelerators: f64,
+    /// Most accelerators in use at once.
+    #[serde(rename = "gpus_max", default)]
+    pub max_accelerators: f64,
 }
 
-/// One of the objectives at start and at finish.
+/// A service-level objective for one class of jobs.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Objective {
-    /// What is aimed at.
+pub struct ServiceLevelObjective {
+    /// What is measured: `wait` (the time to start), `finished` (the time to finish) or `deadline`.
     pub kind: String,
-    /// The class of jobs that it is about.
+    /// The class of jobs.
     #[serde(default)]
     pub class: Option<String>,
-    /// The time within which it should happen.
+    /// The time within which it should happen, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// The share for which it should.
+    /// The share of jobs for which it should.
     #[serde(default)]
     pub share: Option<f64>,
-    /// A multiple of the deadline.
-    #[serde(default)]
-    pub times: Option<f64>,
+    /// For deadlines: the multiple of the deadline within which jobs should be done.
+    #[serde(rename = "times", default)]
+    pub deadline_multiple: Option<f64>,
 }
 
-/// How workers behave.
+/// How workers behave; times are in seconds.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Workers {
-    /// The usual pause between two heartbeats.
+    /// The usual time between two heartbeats.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
     /// How long a worker's lease lasts.
     pub lease_s: f64,
-    /// How long a cancelled job's tasks have to end.
+    /// How long after its cancellation a job's last task may still run.
     pub cancel_s: f64,
     /// How long a gang's task waits for the others.
     #[serde(default = "default_gang_wait")]
     pub gang_wait_s: f64,
-    /// How soon a gang's tasks notice that one is gone, and within what time all
-    /// have to be told to stop.
+    /// How soon a gang's tasks notice that one of them has ended, and within what time all have
+    /// to be commanded to stop.
     #[serde(default = "default_gang_peer")]
     pub gang_peer_s: f64,
 }
 
 fn default_gang_wait() -> f64 {
-    30.0
+    DEFAULT_GANG_WAIT_S
 }
 
 fn default_gang_peer() -> f64 {
-    5.0
+    DEFAULT_GANG_PEER_S
 }
 
 impl Workers {
-    /// The usual pause between two heartbeats.
+    /// The usual time between two heartbeats.
     pub fn heartbeat_interval(&self) -> Duration {
         Duration::from_secs_f64(self.heartbeat_interval_s)
     }
 
-    /// When the next heartbeat is due at the latest: pauses vary by a quarter.
+    /// The longest time between two heartbeats.
     pub fn latest_heartbeat(&self) -> Duration {
-        Duration::from_secs_f64(self.heartbeat_interval_s * 1.25)
+        Duration::from_secs_f64(self.heartbeat_interval_s * MAX_HEARTBEAT_INTERVAL)
     }
 
     /// How long a worker's lease lasts.
@@ -115,7 +126,7 @@
         Duration::from_secs_f64(self.gang_wait_s)
     }
 
-    /// How long a cancelled job's tasks have to end.
+    /// How long after its cancellation a job's last task may still run.
     pub fn cancel(&self) -> Duration {
         Duration::from_secs_f64(self.cancel_s)
     }
@@ -124,15 +135,15 @@
 /// The key-value store's limits.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct KvLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Changes a second.
+    /// Mutations per second.
     pub write_rps: f64,
-    /// Size of a value in KiB.
+    /// Largest value, in KiB.
     pub value_kb: f64,
-    /// Changes of one transaction.
+    /// Most mutations of one transaction.
     pub txn_ops: usize,
-    /// The limits that it will have from some moment on, without notice.
+    /// The limits that will apply from some moment on, which isn't announced.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub next: Option<UpcomingLimits>,
 }
@@ -140,36 +151,35 @@
 /// Limits to come; what isn't named stays as it is.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct UpcomingLimits {
-    /// Requests a second, if that changes.
+    /// Requests per second, if that changes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rps: Option<f64>,
-    /// Changes a second, if that changes.
+    /// Mutations per second, if that changes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub write_rps: Option<f64>,
-    /// Size of a value in KiB, if that changes.
+    /// Largest value in KiB, if that changes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub value_kb: Option<f64>,
-    /// Changes of one transaction, if that changes.
+    /// Most mutations of one transaction, if that changes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub txn_ops: Option<usize>,
 }
 
 impl KvLimits {
-    /// What is planned by: the lesser of the limits now and those to come, since
-    /// the change comes without notice.
+    /// The limits to keep: the lower of each now and to come, since the change isn't announced.
     pub fn planned(&self) -> Self {
         let next = self.next.clone().unwrap_or_default();
-        let least = |now: f64, next: Option<f64>| next.map_or(now, |next| next.min(now));
+        let lower = |now: f64, next: Option<f64>| next.map_or(now, |next| next.min(now));
         Self {
-            rps: least(self.rps, next.rps),
-            write_rps: least(self.write_rps, next.write_rps),
-            value_kb: least(self.value_kb, next.value_kb),
+            rps: lower(self.rps, next.rps),
+            write_rps: lower(self.write_rps, next.write_rps),
+            value_kb: lower(self.value_kb, next.value_kb),
             txn_ops: next.txn_ops.map_or(self.txn_ops, |n| n.min(self.txn_ops)),
             next: None,
         }
     }
 
-    /// The most that a value may take.
+    /// Largest value, in bytes.
     pub fn value_bytes(&self) -> usize {
         (self.value_kb * 1024.0) as usize
     }
@@ -178,43 +188,43 @@
 /// The cloud's limits.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CloudLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// How old the machine list may be.
+    /// How old the machine list may be, in seconds.
     pub list_lag_s: f64,
 }
 
-/// What this machine gives the process.
+/// The resources that a controller's process has.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Resources {
     /// Share of a core.
     pub cpu: f64,
     /// Memory in MB.
     pub ram_mb: f64,
-    /// Sockets.
+    /// Most open connections.
     pub max_connections: usize,
 }
 
-/// The part named `settings`.
+/// The part named `settings`: what is the same for all controllers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Parameters {
     /// The zones that have controllers.
     pub zones: Vec<String>,
     /// The teams.
     pub teams: Vec<Team>,
-    /// The objectives at start and at finish.
+    /// The service-level objectives.
     #[serde(default)]
-    pub objectives: Vec<Objective>,
-    /// What applies to workers.
+    pub objectives: Vec<ServiceLevelObjective>,
+    /// How workers behave.
     pub workers: Workers,
     /// The key-value store's limits.
     #[serde(rename = "state")]
     pub kv: KvLimits,
     /// The cloud's limits.
     pub cloud: CloudLimits,
-    /// What each controller has.
+    /// The resources of each controller.
     pub resources: Resources,
-    /// How far the time of day may be off.
+    /// How far the controllers' times of day may differ, in milliseconds.
     #[serde(default)]
     pub skew_ms: f64,
 }
@@ -226,146 +236,31 @@
     #[serde(rename = "label")]
     pub node_id: String,
     /// Its zone.
-    pub area: String,
-    /// The address for users, workers and the balancer.
+    #[serde(rename = "area")]
+    pub zone: String,
+    /// The address for users, workers and the load balancer.
     #[serde(rename = "front")]
     pub front: SocketAddr,
     /// The address for the other controllers.
     pub internal_addr: SocketAddr,
     /// The other controllers.
     pub others: Vec<Peer>,
-    /// What the controllers depend on.
+    /// The services that the controllers depend on.
     pub services: Services,
-    /// What is the same for all controllers.
+    /// The settings that are the same for all controllers.
     pub settings: Parameters,
 }
 
 impl Platform {
     /// Reads and checks the file's text; `file` is for messages only.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
-        let platform: Self = serde_json::from_str(text).map_err(|error| SettingsError::Syntax {
+        let platform: Self = serde_json::from_str(text).map_err(|source| SettingsError::Json {
             file: file.to_owned(),
-            why: error.to_string(),
+            source,
         })?;
-        platform.check(file)?;
+        validation::check(&platform, file)?;
         Ok(platform)
     }
-
-    fn check(&self, file: &str) -> Result<(), SettingsError> {
-        let broken = self.rules().into_iter().find(|rule| !rule.holds);
-        match broken {
-            None => Ok(()),
-            Some(rule) => Err(SettingsError::Field {
-                file: file.to_owned(),
-                field: rule.field.to_owned(),
-                why: rule.why.to_owned(),
-            }),
-        }
-    }
-
-    /// What has to hold, in the order in which it is checked.
-    fn rules(&self) -> Vec<Rule> {
-        let named = |field, holds, why| Rule { field, holds, why };
-        let settings = &self.settings;
-        let itself = self.others.iter().any(|peer| peer.node_id == self.node_id);
-        let mut rules = vec![
-            named("label", !self.node_id.is_empty(), "must not be empty"),
-            named("others", !itself, "names this node itself"),
-            named(
-                "settings.teams",
-                !settings.teams.is_empty(),
-                "must not be empty",
-            ),
-        ];
-        rules.extend(settings.positive_numbers().map(|(field, value)| {
-            let holds = value.is_finite() && value > 0.0 && value < MOST;
-            named(field, holds, "must be a number above 0")
-        }));
-        let workers = &settings.workers;
-        let state = &settings.kv;
-        let next_ops = state.next.as_ref().and_then(|next| next.txn_ops);
-        let lag = settings.cloud.list_lag_s;
-        let amounts = settings.teams.iter().flat_map(Team::amounts);
-        rules.extend([
-            named(
-                "settings.workers.lease_s",
-                workers.lease_s > workers.heartbeat_interval_s,
-                "must be above report_s",
-            ),
-            named(
-                "settings.state.txn_ops",
-                state.txn_ops >= LEAST_CHANGES,
-                "must be at least 3",
-            ),
-            named(
-                "settings.state.next.txn_ops",
-                next_ops.is_none_or(|mutations| mutations >= LEAST_CHANGES),
-                "must be at least 3",
-            ),
-            named(
-                "settings.cloud.list_lag_s",
-                is_amount(lag),
-                "must be a number of 0 or more",
-            ),
-            named(
-                "settings.teams",
-                amounts.into_iter().all(is_amount),
-                "amounts must be numbers of 0 or more",
-            ),
-        ]);
-        rules
-    }
-}
-
-/// Something that has to hold of a field.
-struct Rule {
-    field: &'static str,
-    holds: bool,
-    why: &'static str,
-}
-
-/// Numbers from here on are not taken as meant.
-const MOST: f64 = 1e9;
-
-/// Changes that a transaction has to allow: the sequence number, and a job's two records.
-const LEAST_CHANGES: usize = 3;
-
-fn is_amount(value: f64) -> bool {
-    value.is_finite() && value >= 0.0
-}
-
-impl Team {
-    fn amounts(&self) -> [f64; 4] {
-        [self.cpus, self.cpus_max, self.gpus, self.gpus_max]
-    }
-}
-
-impl Parameters {
-    /// The numbers that have to be above 0; what isn't given counts as 1.
-    fn positive_numbers(&self) -> impl Iterator<Item = (&'static str, f64)> {
-        let next = self.kv.next.clone().unwrap_or_default();
-        [
-            (
-                "settings.workers.report_s",
-                self.workers.heartbeat_interval_s,
-            ),
-            ("settings.workers.lease_s", self.workers.lease_s),
-            ("settings.workers.cancel_s", self.workers.cancel_s),
-            ("settings.workers.gang_wait_s", self.workers.gang_wait_s),
-            ("settings.workers.gang_peer_s", self.workers.gang_peer_s),
-            ("settings.state.rps", self.kv.rps),
-            ("settings.state.write_rps", self.kv.write_rps),
-            ("settings.state.value_kb", self.kv.value_kb),
-            ("settings.cloud.rps", self.cloud.rps),
-            ("settings.state.next.rps", next.rps.unwrap_or(1.0)),
-            (
-                "settings.state.next.write_rps",
-                next.write_rps.unwrap_or(1.0),
-            ),
-            ("settings.state.next.value_kb", next.value_kb.unwrap_or(1.0)),
-        ]
-        .into_iter()
-    }
 }
 
 #[cfg(test)]
--- a/src/storage/job_index.rs
+++ b/src/storage/job_index.rs
@@ -174,7 +174,7 @@
                     self.apply(page.events, page.revision);
                     return Ok(());
                 }
-                Err(KvError::TooOld) => {}
+                Err(KvError::Compacted { .. }) => {}
                 Err(error) => return Err(error),
             }
         }
--- a/src/storage/kv_client.rs
+++ b/src/storage/kv_client.rs
@@ -1,209 +1,104 @@
 //! The key-value store's client.
+//!
+//! The store is consensus-backed: reads are linearizable, and a transaction is a compare-and-swap
+//! of several keys. Every failed request says what was requested and whether it may have taken
+//! effect; the client never repeats one by itself.
 
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex};
-use std::time::{Duration, Instant};
+use std::sync::Arc;
+use std::time::Duration;
 
-use hdrhistogram::Histogram;
-use hyper::{Method, StatusCode};
-use rand::Rng;
-use serde::de::DeserializeOwned;
-use serde_json::Value;
-use thiserror::Error;
+use hyper::StatusCode;
 
+use self::health::HealthMonitor;
+use self::http::{decode, encode, is_served, method, says_no_such_lease, text, unexpected};
+use self::latencies::LatencyHistogram;
 use crate::clock::Clock;
 use crate::protocol::kv::{
-    Committed, KeyPage, KeyValue, LeaseGranted, LeaseRequest, Transaction, WatchPage,
+    Committed, KeyPage, KeyValue, KvRequest, LeaseGranted, LeaseRequest, Transaction, WatchPage,
 };
 use crate::transport::client::{Answer, CallError, HttpClient};
 
-/// Why the key-value store didn't do what was asked.
-#[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum KvError {
-    /// The request was not carried out, for this reason.
-    #[error("refused ({0})")]
-    Refused(Refusal),
-    /// It may have done it, or may still do it.
-    #[error("no answer")]
-    NoAnswer,
-    /// The lease has ended.
-    #[error("the lease has ended")]
-    LeaseEnded,
-    /// The watch's starting point is too old, or too much has changed since: the
-    /// keys have to be read again, in pages.
-    #[error("the watch is too old")]
-    TooOld,
-    /// It calls the request malformed: larger than its limits, as far as is known.
-    /// It will never take it as it is.
-    #[error("too large: {0}")]
-    TooLarge(String),
-    /// An answer outside its protocol.
-    #[error("unexpected answer: {0}")]
-    Unexpected(String),
-}
+pub use self::backoff::backoff;
+pub use self::error::{KvError, Refusal};
+pub use self::health::KvHealth;
+pub use self::latencies::Latencies;
 
-/// Why a request was surely not carried out.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum Refusal {
-    /// The store answered 503: it serves nobody here now.
-    #[error("503")]
-    Unavailable,
-    /// The store answered 429: it is at its rate limit.
-    #[error("429")]
-    RateLimited,
-    /// No connection to the store came about.
-    #[error("no connection")]
-    NotConnected,
-    /// This controller's own share of the store's writes is used up; nothing was sent.
-    #[error("busy")]
-    LocalRateLimit,
-    /// Other writers changed the same keys at every try.
-    #[error("conflicts")]
-    TooManyConflicts,
-}
+mod backoff;
+mod error;
+mod health;
+mod http;
+mod latencies;
+
+/// How much longer than the store holds a watch its answer is awaited.
+const WATCH_ANSWER_MARGIN: Duration = Duration::from_millis(1500);
 
 /// What became of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TransactionOutcome {
-    /// It was carried out.
+    /// All its mutations were applied.
     Committed {
-        /// The revision of its changes.
+        /// The revision that they share.
         revision: u64,
     },
-    /// A condition did not hold: nothing was changed.
+    /// A precondition did not hold: nothing was changed.
     Conflict,
 }
 
-/// How the service has answered lately.
-#[derive(Debug, Clone, Copy, Default)]
-struct Health {
-    served: Option<Instant>,
-    failed: Option<Instant>,
-}
-
-/// The client. Renewals and watches have connections of their own.
+/// The client. Lease requests and watches have connections of their own, so that neither a
+/// burst of other requests nor a watch that waits delays a renewal.
 pub struct KvClient {
     addr: SocketAddr,
     clock: Arc<dyn Clock>,
     requests: HttpClient,
-    renewals: HttpClient,
+    leases: HttpClient,
     watches: HttpClient,
-    health: Mutex<Health>,
-    /// Times of the answered requests, watches apart, in microseconds.
-    latencies: Mutex<Histogram<u64>>,
-}
-
-/// Percentiles of the service's latencies.
-#[derive(Debug, Clone, Copy)]
-pub struct Latencies {
-    /// Requests that were answered.
-    pub answered: u64,
-    /// The median.
-    pub p50: Duration,
-    /// The 99th percentile.
-    pub p99: Duration,
-    /// The longest.
-    pub longest: Duration,
+    health: HealthMonitor,
+    /// Of all requests but watches, which wait on purpose.
+    latencies: LatencyHistogram,
 }
 
-/// Longest latency that is told from longer ones.
-const LONGEST_LATENCY_US: u64 = 60_000_000;
-
 impl KvClient {
-    /// A client for the service at this address.
+    /// A client for the store at this address.
     pub fn new(addr: SocketAddr, clock: Arc<dyn Clock>) -> Self {
         Self {
             addr,
             clock,
             requests: HttpClient::new(),
-            renewals: HttpClient::new(),
+            leases: HttpClient::new(),
             watches: HttpClient::new(),
-            health: Mutex::new(Health::default()),
-            latencies: Mutex::new(
-                Histogram::new_with_bounds(1, LONGEST_LATENCY_US, 2)
-                    .expect("the bounds are constants in range"),
-            ),
+            health: HealthMonitor::default(),
+            latencies: LatencyHistogram::new(),
         }
     }
 
-    /// How long the service has taken to answer since the start.
+    /// How long the store has taken to answer since the start.
     pub fn latencies(&self) -> Latencies {
-        let histogram = self.latencies.lock().unwrap_or_else(|e| e.into_inner());
-        let at = |quantile| Duration::from_micros(histogram.value_at_quantile(quantile));
-        Latencies {
-            answered: histogram.len(),
-            p50: at(0.5),
-            p99: at(0.99),
-            longest: Duration::from_micros(histogram.max()),
-        }
-    }
-
-    /// When it last served this node, and when it last failed to.
-    pub fn health(&self) -> (Option<Instant>, Option<Instant>) {
-        let health = *self.health.lock().unwrap_or_else(|e| e.into_inner());
-        (health.served, health.failed)
-    }
-
-    fn note(&self, result: &Result<Answer, CallError>) {
-        let mut health = self.health.lock().unwrap_or_else(|e| e.into_inner());
-        let served = match result {
-            Ok(answer) => answer.status != StatusCode::SERVICE_UNAVAILABLE,
-            Err(error) => *error == CallError::TooLarge,
-        };
-        let now = self.clock.now();
-        if served {
-            health.served = Some(now);
-        } else {
-            health.failed = Some(now);
-        }
+        self.latencies.percentiles()
     }
 
-    async fn call(
-        &self,
-        client: &HttpClient,
-        method: Method,
-        path: &str,
-        body: Vec<u8>,
-        deadline: Duration,
-    ) -> Result<Answer, KvError> {
-        let sent = self.clock.now();
-        let result = client.call(method, self.addr, path, body, deadline).await;
-        if result.is_ok() && !path.starts_with("/follow") {
-            let micros = (self.clock.now() - sent)
-                .as_micros()
-                .clamp(1, LONGEST_LATENCY_US.into());
-            let mut histogram = self.latencies.lock().unwrap_or_else(|e| e.into_inner());
-            histogram.saturating_record(micros as u64);
-        }
-        self.note(&result);
-        match result {
-            Ok(answer) => match answer.status {
-                StatusCode::SERVICE_UNAVAILABLE => Err(KvError::Refused(Refusal::Unavailable)),
-                StatusCode::TOO_MANY_REQUESTS => Err(KvError::Refused(Refusal::RateLimited)),
-                _ => Ok(answer),
-            },
-            Err(CallError::NotSent) => Err(KvError::Refused(Refusal::NotConnected)),
-            Err(CallError::NoAnswer) => Err(KvError::NoAnswer),
-            // Only what a watch has missed has no limit of its own.
-            Err(CallError::TooLarge) => Err(KvError::TooOld),
-        }
+    /// When the store last served this controller, and when it last failed to.
+    pub fn health(&self) -> KvHealth {
+        self.health.get()
     }
 
-    /// Reads one key.
+    /// Reads one key; None if it doesn't exist.
     pub async fn get(&self, key: &str, deadline: Duration) -> Result<Option<KeyValue>, KvError> {
-        let path = format!("/store/{key}");
+        let request = KvRequest::Get {
+            key: key.to_owned(),
+        };
         let answer = self
-            .call(&self.requests, Method::GET, &path, Vec::new(), deadline)
+            .call(&self.requests, &request, Vec::new(), deadline)
             .await?;
         match answer.status {
-            StatusCode::OK => parse(&answer).map(Some),
+            StatusCode::OK => decode(request, &answer).map(Some),
             StatusCode::NOT_FOUND => Ok(None),
-            _ => Err(unexpected(&answer)),
+            _ => Err(unexpected(request, &answer)),
         }
     }
 
-    /// Reads all keys with a prefix, with a revision no later than any of the
-    /// pages: a watch from there misses nothing.
+    /// Reads all keys with a prefix in order, page by page, with a revision no later than that of
+    /// any page: a watch after it misses no change. The deadline is that of each page.
     pub async fn list(
         &self,
         prefix: &str,
@@ -213,20 +108,23 @@
         let mut revision = None;
         let mut after = String::new();
         loop {
-            let path = format!("/store?Prefix={prefix}&After={after}&Most=500");
+            let request = KvRequest::List {
+                prefix: prefix.to_owned(),
+                after,
+            };
             let answer = self
-                .call(&self.requests, Method::GET, &path, Vec::new(), deadline)
+                .call(&self.requests, &request, Vec::new(), deadline)
                 .await?;
             if answer.status != StatusCode::OK {
-                return Err(unexpected(&answer));
+                return Err(unexpected(request, &answer));
             }
-            let page: KeyPage = parse(&answer)?;
-            let first = *revision.get_or_insert(page.revision);
+            let page: KeyPage = decode(request, &answer)?;
+            let revision = *revision.get_or_insert(page.revision);
             let last = page.items.last().map(|item| item.key.clone());
             items.extend(page.items);
             match last {
                 Some(last) if page.more => after = last,
-                _ => return Ok((items, first)),
+                _ => return Ok((items, revision)),
             }
         }
     }
@@ -234,83 +132,82 @@
     /// Runs one transaction.
     pub async fn txn(
         &self,
-        txn: &Transaction,
+        transaction: &Transaction,
         deadline: Duration,
     ) -> Result<TransactionOutcome, KvError> {
-        let body = serde_json::to_vec(txn).map_err(|e| KvError::Unexpected(e.to_string()))?;
-        let answer = self
-            .call(&self.requests, Method::POST, "/txn", body, deadline)
-            .await?;
+        let request = KvRequest::Transaction;
+        let body = encode(&request, transaction)?;
+        let answer = self.call(&self.requests, &request, body, deadline).await?;
         match answer.status {
             StatusCode::OK => {
-                let done: Committed = parse(&answer)?;
-                Ok(TransactionOutcome::Committed {
-                    revision: done.revision,
-                })
+                let Committed { revision } = decode(request, &answer)?;
+                Ok(TransactionOutcome::Committed { revision })
             }
             StatusCode::CONFLICT => Ok(TransactionOutcome::Conflict),
-            StatusCode::BAD_REQUEST if answer.body.windows(13).any(|w| w == b"no such lease") => {
-                Err(KvError::LeaseEnded)
+            StatusCode::BAD_REQUEST if says_no_such_lease(&answer) => {
+                Err(KvError::LeaseEnded { request })
             }
-            StatusCode::BAD_REQUEST => Err(KvError::TooLarge(text(&answer))),
-            _ => Err(unexpected(&answer)),
+            StatusCode::BAD_REQUEST => Err(KvError::TooLarge {
+                request,
+                answer: text(&answer),
+            }),
+            _ => Err(unexpected(request, &answer)),
         }
     }
 
-    /// Asks for a lease.
+    /// Requests a lease, and returns its id.
     pub async fn grant_lease(&self, ttl: Duration, deadline: Duration) -> Result<u64, KvError> {
-        let request = LeaseRequest {
+        let request = KvRequest::GrantLease;
+        let body = LeaseRequest {
             ttl_ms: ttl.as_millis() as u64,
         };
-        let body = serde_json::to_vec(&request).map_err(|e| KvError::Unexpected(e.to_string()))?;
-        let answer = self
-            .call(&self.renewals, Method::POST, "/holds", body, deadline)
-            .await?;
+        let body = encode(&request, &body)?;
+        let answer = self.call(&self.leases, &request, body, deadline).await?;
         if answer.status != StatusCode::OK {
-            return Err(unexpected(&answer));
+            return Err(unexpected(request, &answer));
         }
-        parse::<LeaseGranted>(&answer).map(|granted| granted.lease)
+        decode::<LeaseGranted>(request, &answer).map(|granted| granted.lease)
     }
 
     /// Renews a lease.
     pub async fn renew_lease(&self, lease: u64, deadline: Duration) -> Result<(), KvError> {
-        let path = format!("/holds/{lease}/renew");
+        let request = KvRequest::RenewLease { lease };
         let answer = self
-            .call(&self.renewals, Method::POST, &path, Vec::new(), deadline)
+            .call(&self.leases, &request, Vec::new(), deadline)
             .await?;
         match answer.status {
             StatusCode::OK => Ok(()),
-            StatusCode::NOT_FOUND => Err(KvError::LeaseEnded),
-            _ => Err(unexpected(&answer)),
+            StatusCode::NOT_FOUND => Err(KvError::LeaseEnded { request }),
+            _ => Err(unexpected(request, &answer)),
         }
     }
 
-    /// Ends a lease at once.
+    /// Revokes a lease, which deletes the keys attached to it; no error if it has ended.
     pub async fn revoke_lease(&self, lease: u64, deadline: Duration) -> Result<(), KvError> {
-        let path = format!("/holds/{lease}");
+        let request = KvRequest::RevokeLease { lease };
         let answer = self
-            .call(&self.renewals, Method::DELETE, &path, Vec::new(), deadline)
+            .call(&self.leases, &request, Vec::new(), deadline)
             .await?;
         if answer.status.is_success() || answer.status == StatusCode::NOT_FOUND {
             Ok(())
         } else {
-            Err(unexpected(&answer))
+            Err(unexpected(request, &answer))
         }
     }
 
-    /// Waits for changes of keys with a prefix.
-    pub async fn follow(
+    /// Waits up to `hold` for changes of keys with a prefix after a revision.
+    pub async fn watch(
         &self,
         prefix: &str,
         after: u64,
-        wait: Duration,
+        hold: Duration,
     ) -> Result<WatchPage, KvError> {
-        let deadline = wait + Duration::from_millis(1500);
-        self.watch_once(&self.watches, prefix, after, wait, deadline)
+        let deadline = hold + WATCH_ANSWER_MARGIN;
+        self.watch_once(&self.watches, prefix, after, hold, deadline)
             .await
     }
 
-    /// All changes of keys with a prefix up to now, without waiting.
+    /// Reads all changes of keys with a prefix after a revision, up to the store's current one.
     pub async fn catch_up(
         &self,
         prefix: &str,
@@ -326,41 +223,56 @@
         client: &HttpClient,
         prefix: &str,
         after: u64,
-        wait: Duration,
+        hold: Duration,
         deadline: Duration,
     ) -> Result<WatchPage, KvError> {
-        let path = format!(
-            "/follow?Prefix={prefix}&After={after}&HoldMs={}",
-            wait.as_millis()
-        );
-        let answer = self
-            .call(client, Method::GET, &path, Vec::new(), deadline)
-            .await?;
+        let request = KvRequest::Watch {
+            prefix: prefix.to_owned(),
+            after,
+            hold_ms: hold.as_millis(),
+        };
+        let answer = self.call(client, &request, Vec::new(), deadline).await?;
         match answer.status {
-            StatusCode::OK => parse(&answer),
-            StatusCode::GONE => Err(KvError::TooOld),
-            _ => Err(unexpected(&answer)),
+            StatusCode::OK => decode(request, &answer),
+            StatusCode::GONE => Err(KvError::Compacted { request }),
+            _ => Err(unexpected(request, &answer)),
         }
     }
-}
 
-fn parse<T: DeserializeOwned>(answer: &Answer) -> Result<T, KvError> {
-    serde_json::from_slice(&answer.body).map_err(|e| KvError::Unexpected(e.to_string()))
-}
-
-fn text(answer: &Answer) -> String {
-    let text: Value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
-    format!("{} {text}", answer.status)
-}
-
-fn unexpected(answer: &Answer) -> KvError {
-    KvError::Unexpected(text(answer))
-}
-
-/// A pause before another try, with jitter.
-pub fn backoff(attempt: u32) -> Duration {
-    let base = 50_u64 << attempt.min(5);
-    Duration::from_millis(rand::rng().random_range(base / 2..=base))
+    /// Sends a request and records its latency and the store's health.
+    async fn call(
+        &self,
+        client: &HttpClient,
+        request: &KvRequest,
+        body: Vec<u8>,
+        deadline: Duration,
+    ) -> Result<Answer, KvError> {
+        let sent = self.clock.now();
+        let result = client
+            .call(method(request), self.addr, &request.path(), body, deadline)
+            .await;
+        let answered = self.clock.now();
+        if result.is_ok() && !matches!(request, KvRequest::Watch { .. }) {
+            self.latencies.record(answered - sent);
+        }
+        self.health.record(is_served(&result), answered);
+        let request = || request.clone();
+        let refused = |reason| KvError::Refused {
+            request: request(),
+            reason,
+        };
+        match result {
+            Ok(answer) => match answer.status {
+                StatusCode::SERVICE_UNAVAILABLE => Err(refused(Refusal::Unavailable)),
+                StatusCode::TOO_MANY_REQUESTS => Err(refused(Refusal::RateLimited)),
+                _ => Ok(answer),
+            },
+            Err(CallError::NotSent) => Err(refused(Refusal::NotConnected)),
+            Err(CallError::NoAnswer) => Err(KvError::NoAnswer { request: request() }),
+            // Only a watch's answer has no bound of its own.
+            Err(CallError::TooLarge) => Err(KvError::Compacted { request: request() }),
+        }
+    }
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/src/storage/kv_client/latencies.rs
@@ -0,0 +1,55 @@
+//! How long the key-value store takes to answer.
+
+use std::sync::{Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+
+use hdrhistogram::Histogram;
+
+/// Longest latency that the histogram distinguishes from longer ones, in microseconds.
+const MAX_LATENCY_US: u64 = 60_000_000;
+/// Significant decimal digits that the histogram keeps.
+const SIGNIFICANT_DIGITS: u8 = 2;
+
+/// Percentiles of the store's latencies since the start.
+#[derive(Debug, Clone, Copy)]
+pub struct Latencies {
+    /// How many requests were answered.
+    pub answered: u64,
+    /// The median.
+    pub p50: Duration,
+    /// The 99th percentile.
+    pub p99: Duration,
+    /// The longest.
+    pub longest: Duration,
+}
+
+/// The latencies of answered requests, in microseconds.
+pub(super) struct LatencyHistogram(Mutex<Histogram<u64>>);
+
+impl LatencyHistogram {
+    pub(super) fn new() -> Self {
+        let histogram = Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+            .expect("the bounds are constants in the library's range");
+        Self(Mutex::new(histogram))
+    }
+
+    fn lock(&self) -> MutexGuard<'_, Histogram<u64>> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    pub(super) fn record(&self, latency: Duration) {
+        let micros = latency.as_micros().clamp(1, MAX_LATENCY_US.into());
+        self.lock().saturating_record(micros as u64);
+    }
+
+    pub(super) fn percentiles(&self) -> Latencies {
+        let histogram = self.lock();
+        let at = |quantile| Duration::from_micros(histogram.value_at_quantile(quantile));
+        Latencies {
+            answered: histogram.len(),
+            p50: at(0.5),
+            p99: at(0.99),
+            longest: Duration::from_micros(histogram.max()),
+        }
+    }
+}
--- a/src/storage/kv_client/tests.rs
+++ b/src/storage/kv_client/tests.rs
@@ -23,10 +23,67 @@
     });
     let client = KvClient::new(addr, Arc::new(SteadyClock));
     let looked = client.catch_up("j/", 0, Duration::from_secs(5)).await;
-    assert!(matches!(looked, Err(KvError::TooOld)), "{looked:?}");
-    let (served, failed) = client.health();
     assert!(
-        served.is_some() && failed.is_none(),
+        matches!(looked, Err(KvError::Compacted { .. })),
+        "{looked:?}"
+    );
+    let health = client.health();
+    assert!(
+        health.last_served.is_some() && health.last_failed.is_none(),
         "the service did answer"
     );
 }
+
+#[test]
+fn requests_have_the_paths_of_the_store_s_interface() {
+    for (request, path) in [
+        (
+            KvRequest::Get {
+                key: "o/0/owner".into(),
+            },
+            "/store/o/0/owner",
+        ),
+        (
+            KvRequest::List {
+                prefix: "j/open/".into(),
+                after: "j/open/run-1".into(),
+            },
+            "/store?Prefix=j/open/&After=j/open/run-1&Most=500",
+        ),
+        (KvRequest::Transaction, "/txn"),
+        (KvRequest::GrantLease, "/holds"),
+        (KvRequest::RenewLease { lease: 4 }, "/holds/4/renew"),
+        (KvRequest::RevokeLease { lease: 4 }, "/holds/4"),
+        (
+            KvRequest::Watch {
+                prefix: "j/".into(),
+                after: 7,
+                hold_ms: 1500,
+            },
+            "/follow?Prefix=j/&After=7&HoldMs=1500",
+        ),
+    ] {
+        assert_eq!(request.path(), path);
+    }
+}
+
+#[test]
+fn errors_say_what_was_requested_and_why_it_failed() {
+    let request = KvRequest::RenewLease { lease: 4 };
+    let refused = KvError::Refused {
+        request: request.clone(),
+        reason: Refusal::RateLimited,
+    };
+    assert_eq!(
+        refused.to_string(),
+        "the renewal of lease 4 was refused: rate limited (429)"
+    );
+    assert!(refused.is_rate_limited() && !refused.is_protocol_error());
+    let answer = Answer {
+        status: StatusCode::OK,
+        body: "[".into(),
+    };
+    let undecodable = decode::<KeyValue>(request, &answer).expect_err("no JSON");
+    assert!(undecodable.is_protocol_error());
+    assert!(std::error::Error::source(&undecodable).is_some());
+}
