--- a/src/coordination/shard/tests/agent_epochs.rs
+++ b/src/coordination/shard/tests/agent_epochs.rs
@@ -2,10 +2,9 @@
 
 use std::time::Duration;
 
-use super::fixtures::{record, spec};
-use super::scripted_shard::{ScriptedShard, TOKEN, recovered_job, roster_machine, task_status};
+use super::fixtures::{record, recovered_job, roster_machine, running_task, spec};
+use super::scripted_shard::{ScriptedShard, TOKEN};
 use crate::coordination::shard::{CommandOutcome, RecoveredState};
-use crate::protocol::workers::TaskState;
 
 /// Found by the simulation: a machine that was unreachable at a failover came back in a new
 /// agent epoch, answered a probe only, and its tasks counted as lost when the lease of its
@@ -22,7 +21,7 @@
     script.now += Duration::from_millis(1900);
     script.shard.tick(script.now);
     script.reconcile();
-    let line = task_status("run-1/0", 7, TaskState::Running, None);
+    let line = running_task("run-1/0", 7);
     let mut heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![line]);
     heartbeat.agent_epoch = 2;
     script.answer(&probe, CommandOutcome::Executed(heartbeat));
@@ -97,7 +96,7 @@
         script.launches().is_empty(),
         "run-1 may run in agent epoch 2"
     );
-    let runs = vec![task_status("run-1/0", 7, TaskState::Running, None)];
+    let runs = vec![running_task("run-1/0", 7)];
     let mut token_acknowledged = script.heartbeat_of("vm-1", TOKEN, runs);
     token_acknowledged.agent_epoch = 2;
     script.shard.heartbeat(&token_acknowledged, script.now);
--- a/src/coordination/shard/tests/combined_faults.rs
+++ b/src/coordination/shard/tests/combined_faults.rs
@@ -2,14 +2,12 @@
 
 use std::time::Duration;
 
-use super::fixtures::{record, spec};
-use super::scripted_shard::{
-    ScriptedShard, TOKEN, recovered_job, roster_machine, stops, task_status,
-};
+use super::fixtures::{record, recovered_job, roster_machine, running_task, spec, task_status};
+use super::scripted_shard::{ScriptedShard, TOKEN, stops};
 use super::scripted_workers::run_commands;
-use crate::coordination::shard::{CommandOutcome, HeartbeatOutcome, RecoveredState};
+use crate::coordination::shard::{CommandOutcome, RecoveredState};
 use crate::protocol::cloud::{Listed, ListedState};
-use crate::protocol::users::{JobSpec, Stage};
+use crate::protocol::users::Stage;
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState};
 
 fn second(n: u64) -> Duration {
@@ -184,14 +182,7 @@
 #[test]
 fn a_heartbeat_delayed_past_a_failover_changes_nothing() {
     let mut script = ScriptedShard::new(recovered_job(1, &["vm-1"]));
-    let runs = |attempt_number| {
-        vec![task_status(
-            "run-1/0",
-            attempt_number,
-            TaskState::Running,
-            None,
-        )]
-    };
+    let runs = |attempt_number| vec![running_task("run-1/0", attempt_number)];
     let before = script.heartbeat_of("vm-1", TOKEN - 1, Vec::new());
     let mut agent_epoch = script.heartbeat_of("vm-1", TOKEN - 1, runs(3));
     agent_epoch.agent_epoch = 0;
@@ -248,62 +239,6 @@
     assert!(next.shard.jobs()["run-1"].all_done());
 }
 
-/// A job bound to one zone loses the machine for which the zone was chosen, while others of its tasks
-/// run: lost tasks restart in that zone and no other.
-#[test]
-fn lost_tasks_of_a_one_zone_job_restart_in_its_zone_only() {
-    let mut script = ScriptedShard::empty();
-    let bound = JobSpec {
-        one_zone: true,
-        ..spec("blue", 4.0, 3)
-    };
-    script.heartbeat("vm-1", Vec::new());
-    script.heartbeat("vm-2", Vec::new());
-    script.submit("run-1", bound);
-    run_commands(&mut script, "vm-1");
-    let on = |script: &ScriptedShard, id: &str| script.machine(id).attempts.len();
-    let first = if on(&script, "vm-1") == 1 {
-        "vm-1"
-    } else {
-        "vm-2"
-    };
-    let other = if first == "vm-1" { "vm-2" } else { "vm-1" };
-    assert_eq!((on(&script, first), on(&script, other)), (1, 2));
-    // The machine with one task begins a new agent epoch; there is free capacity in the south.
-    let south = |script: &mut ScriptedShard,
-                 heartbeat: &crate::protocol::workers::WorkerHeartbeat| {
-        let mut heartbeat = heartbeat.clone();
-        script.sequence += 1;
-        heartbeat.sequence = script.sequence;
-        let outcome = script.shard.heartbeat(&heartbeat, script.now);
-        assert!(matches!(outcome, HeartbeatOutcome::Answer(_)));
-        script.reconcile();
-    };
-    let heartbeat = {
-        let mut heartbeat = script.heartbeat_of("vm-9", TOKEN, Vec::new());
-        heartbeat.zone = "south".into();
-        heartbeat
-    };
-    south(&mut script, &heartbeat);
-    let runs = script.running_heartbeat(other).tasks;
-    script.heartbeat(other, runs);
-    let mut restarted = script.heartbeat_of(first, TOKEN, Vec::new());
-    restarted.agent_epoch = 2;
-    script.receive(&restarted);
-    let launches = script.launches();
-    assert!(
-        launches.iter().all(|batch| &*batch.machine != "vm-9"),
-        "two of its tasks run in the north"
-    );
-    for batch in &launches {
-        let heartbeat = script.heartbeat_of(&batch.machine, TOKEN, Vec::new());
-        script.answer(batch, CommandOutcome::Refused(heartbeat));
-    }
-    script.advance(second(1));
-    south(&mut script, &heartbeat);
-    assert_eq!(on(&script, "vm-9"), 0);
-}
-
 /// The leader crashes while a machine with a long task is unreachable, and the new leader receives
 /// only its heartbeats: the task is not started twice, and it is restarted once its agent epoch ends.
 #[test]
@@ -312,13 +247,13 @@
     script.heartbeat("vm-2", Vec::new());
     let lease = script.shard.policy.worker_lease_bound();
     // Its heartbeats arrive, under the earlier leader's fencing token; answers don't reach it.
-    let begun = script.now;
+    let start = script.now;
     let mut sequence = script.sequence;
-    while script.now - begun < lease / 2 {
+    while script.now - start < lease / 2 {
         for batch in script.batches() {
             script.answer(&batch, CommandOutcome::NoAnswer);
         }
-        let runs = vec![task_status("run-1/0", 7, TaskState::Running, None)];
+        let runs = vec![running_task("run-1/0", 7)];
         let heartbeat = script.heartbeat_of("vm-1", TOKEN - 1, runs);
         script.shard.heartbeat(&heartbeat, script.now);
         script.heartbeat("vm-2", Vec::new());
--- a/src/coordination/shard/tests/delegations.rs
+++ b/src/coordination/shard/tests/delegations.rs
@@ -2,11 +2,13 @@
 
 use std::time::Duration;
 
-use super::fixtures::{ADVANCE_DELEGATION, record, spec};
-use super::scripted_shard::{ScriptedShard, TOKEN, recovered_job, roster_machine, task_status};
+use super::fixtures::{
+    ADVANCE_DELEGATION, ended_task, record, recovered_job, roster_machine, running_task, spec,
+};
+use super::scripted_shard::{ScriptedShard, TOKEN};
 use crate::coordination::shard::{CommandOutcome, RecoveredState, delegate_commands};
 use crate::protocol::TaskId;
-use crate::protocol::workers::{AttemptOutcome, Command, TaskState};
+use crate::protocol::workers::{AttemptOutcome, Command};
 
 /// Found in a large deployment: a network partition between zones ended half of all replicas.
 #[test]
@@ -20,21 +22,13 @@
     let Command::Launch { task, attempt } = batch.commands[0].clone() else {
         panic!("not a launch");
     };
-    let runs = vec![task_status(
-        &task.to_string(),
-        attempt,
-        TaskState::Running,
-        None,
-    )];
+    let runs = vec![running_task(&task.to_string(), attempt)];
     let heartbeat = script.heartbeat_of("vm-1", TOKEN, runs.clone());
     script.answer(&batch, CommandOutcome::Executed(heartbeat));
     script.heartbeat("vm-1", runs);
     script.shard.delegate("beta", script.now);
     script.reconcile();
-    for _ in 0..120 {
-        script.advance(Duration::from_secs(1));
-        script.heartbeat("vm-2", Vec::new());
-    }
+    advance_with_heartbeats_of(&mut script, "vm-2", 120);
     assert!(script.launches().is_empty(), "it may still run there");
     assert!(!script.machine("vm-1").deleting);
     // The revocation is written at once here. The delegate may answer a little longer, and
@@ -42,8 +36,7 @@
     script.shard.revoke("beta");
     script.reconcile();
     for _ in 0..26 {
-        script.advance(Duration::from_secs(1));
-        script.heartbeat("vm-2", Vec::new());
+        advance_with_heartbeats_of(&mut script, "vm-2", 1);
         let at_once = script.machine("vm-1").deleting;
         assert!(script.launches().is_empty() || at_once);
     }
@@ -52,10 +45,7 @@
         0,
         "its lease may not have expired"
     );
-    for _ in 0..6 {
-        script.advance(Duration::from_secs(1));
-        script.heartbeat("vm-2", Vec::new());
-    }
+    advance_with_heartbeats_of(&mut script, "vm-2", 6);
     assert!(script.machine("vm-1").epochs.ended() > 0);
     assert_eq!(script.launches().len(), 1, "it starts again elsewhere");
 }
@@ -74,7 +64,7 @@
     script.reconcile();
     assert!(script.shard.wants_inventories());
     assert!(script.launches().is_empty(), "both tasks may run on vm-1");
-    let runs = vec![task_status("run-1/0", 7, TaskState::Running, None)];
+    let runs = vec![running_task("run-1/0", 7)];
     let older = script.heartbeat_of("vm-1", TOKEN - 1, runs.clone());
     script.shard.apply_relayed_heartbeat(&older, script.now);
     assert!(
@@ -101,9 +91,9 @@
         "vm-1",
         TOKEN,
         vec![
-            task_status("run-1/0", 1, TaskState::Running, None),
-            task_status("run-2/0", 2, TaskState::Running, None),
-            task_status("run-2/1", 3, TaskState::Ended, Some(AttemptOutcome::Done)),
+            running_task("run-1/0", 1),
+            running_task("run-2/0", 2),
+            ended_task("run-2/1", 3, AttemptOutcome::Done),
         ],
     );
     let commands = delegate_commands(&heartbeat, |job| job == "run-1");
@@ -125,10 +115,10 @@
     let start = script.now;
     let second = Duration::from_secs(1);
     let unreconciled_tasks =
-        |script: &mut ScriptedShard, time: Duration, kept: Option<Duration>| {
+        |script: &mut ScriptedShard, time: Duration, answered: Option<Duration>| {
             script.now = start + time;
-            let kept = kept.map(|time| start + time);
-            script.shard.note_advance_renewals(kept, script.now);
+            let answered = answered.map(|time| start + time);
+            script.shard.note_advance_renewals(answered, script.now);
             script.advance(Duration::ZERO);
             script.shard.summary().contains("unresolved 1")
         };
@@ -152,3 +142,11 @@
         Some(later)
     ));
 }
+
+/// Lets time pass in which only this machine sends heartbeats, without tasks.
+fn advance_with_heartbeats_of(script: &mut ScriptedShard, id: &str, seconds: u64) {
+    for _ in 0..seconds {
+        script.advance(Duration::from_secs(1));
+        script.heartbeat(id, Vec::new());
+    }
+}
--- a/src/coordination/shard/tests/failing_jobs.rs
+++ b/src/coordination/shard/tests/failing_jobs.rs
@@ -3,16 +3,15 @@
 
 use std::time::Duration;
 
-use super::fixtures::{self, policy, record};
-use super::scripted_shard::{ScriptedShard, TOKEN, stops, task_status};
+use super::fixtures::{self, policy, record, task_status};
+use super::scripted_shard::{ScriptedShard, TOKEN, stops};
 use crate::coordination::shard::{CommandOutcome, Policy, RecoveredState};
-use crate::protocol::AttemptId;
 use crate::protocol::users::{JobKind, JobSpec, Stage};
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState, TaskStatus, WorkerHeartbeat};
 
 const MACHINES: [&str; 6] = ["vm-1", "vm-2", "vm-3", "vm-4", "vm-5", "vm-6"];
 
-/// A job that needn't wait for spot machines.
+/// A job that does not need spot machines.
 fn spec(team: &str, cores: f64, tasks: u32) -> JobSpec {
     JobSpec {
         spot: false,
@@ -20,7 +19,7 @@
     }
 }
 
-/// Machines that are up, and nothing else.
+/// Open machines, without jobs and quotas.
 fn cluster(machines: &[&str]) -> ScriptedShard {
     let mut script = ScriptedShard::without_quotas();
     script.shard.policy.idle = Duration::from_secs(86_400);
@@ -41,18 +40,13 @@
     behavior: &TaskBehavior,
 ) -> WorkerHeartbeat {
     // What has ended and may be cleared is cleared before the next heartbeat.
-    let listed_still = script
-        .machine(id)
-        .attempts
-        .iter()
-        .filter(|(_, a)| !a.ended());
-    let keys: Vec<_> = listed_still.map(|(key, _)| key.clone()).collect();
-    let tasks: Vec<TaskStatus> = keys
-        .into_iter()
-        .map(|AttemptId { task, number }| {
-            let state = behavior(&task.job, id);
+    let attempts = script.machine(id).attempts.iter();
+    let listed = attempts.filter(|(_, attempt)| !attempt.ended());
+    let tasks: Vec<TaskStatus> = listed
+        .map(|(attempt, _)| {
+            let state = behavior(&attempt.task.job, id);
             let outcome = (state == TaskState::Ended).then_some(AttemptOutcome::Error);
-            task_status(&task.to_string(), number, state, outcome)
+            task_status(&attempt.task.to_string(), attempt.number, state, outcome)
         })
         .collect();
     script.heartbeat_of(id, TOKEN, tasks)
@@ -63,8 +57,7 @@
 fn run_one_second(script: &mut ScriptedShard, machines: &[&str], behavior: &TaskBehavior) -> usize {
     let mut launched = 0;
     for batch in script.batches() {
-        let launch = |command: &&Command| matches!(command, Command::Launch { .. });
-        launched += batch.commands.iter().filter(launch).count();
+        launched += batch.launches();
         let heartbeat = heartbeat_with(script, &batch.machine, behavior);
         script.answer(&batch, CommandOutcome::Executed(heartbeat));
     }
@@ -86,19 +79,6 @@
     }
 }
 
-fn complete(script: &mut ScriptedShard, id: &str) {
-    let keys: Vec<_> = script.machine(id).attempts.keys().cloned().collect();
-    let tasks = keys
-        .into_iter()
-        .map(|AttemptId { task, number }| {
-            let done = Some(AttemptOutcome::Done);
-            task_status(&task.to_string(), number, TaskState::Ended, done)
-        })
-        .collect();
-    let heartbeat = script.heartbeat_of(id, TOKEN, tasks);
-    script.receive(&heartbeat);
-}
-
 /// Found in review: a machine was cordoned once any two jobs had failed on it, and failures of a job
 /// counted until it had failed on three machines.
 #[test]
@@ -147,7 +127,7 @@
     assert!(tried);
     run_one_second(&mut script, &MACHINES, &fixed);
     for id in MACHINES {
-        complete(&mut script, id);
+        script.all_ended(id, AttemptOutcome::Done);
     }
     run_one_second(&mut script, &MACHINES, &fixed);
     let job = &script.shard.jobs()["run-9"];
@@ -171,13 +151,13 @@
     assert!(!machine.health.is_cordoned(), "the jobs may be faulty");
     assert!(!machine.open(script.now, &script.shard.policy));
     for id in &MACHINES[1..] {
-        complete(&mut script, id);
+        script.all_ended(id, AttemptOutcome::Done);
     }
     for _ in 0..3 {
         run_one_second(&mut script, &MACHINES, &faulty);
     }
     for id in &MACHINES[1..] {
-        complete(&mut script, id);
+        script.all_ended(id, AttemptOutcome::Done);
     }
     run_one_second(&mut script, &MACHINES, &faulty);
     assert!(script.machine("vm-1").deleting, "sound jobs failed there");
--- a/src/coordination/shard/tests/failover.rs
+++ b/src/coordination/shard/tests/failover.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use super::fixtures::{record, spec};
-use super::scripted_shard::{ScriptedShard, TOKEN, recovered_job, roster_machine, task_status};
+use super::fixtures::{record, recovered_job, roster_machine, running_task, spec};
+use super::scripted_shard::{ScriptedShard, TOKEN};
 use crate::coordination::shard::{CommandOutcome, RecoveredState};
-use crate::protocol::workers::{Command, TaskState};
+use crate::protocol::workers::Command;
 
 /// Tasks of jobs that an earlier leader knew may run on any machine of the roster that is not
 /// reconciled yet.
@@ -23,7 +23,7 @@
     // A job that no earlier leader can have known starts at once.
     script.submit("run-2", spec("blue", 1.0, 1));
     assert_eq!(script.launches().len(), 1);
-    let line = task_status("run-1/0", 9, TaskState::Running, None);
+    let line = running_task("run-1/0", 9);
     script.heartbeat("vm-2", vec![line]);
     assert!(script.launches().is_empty(), "the task runs on vm-2");
     assert_eq!(script.shard.view("run-1").map(|v| v.running), Some(1));
@@ -113,7 +113,7 @@
 #[test]
 fn a_task_seen_and_lost_restarts_before_all_machines_are_reconciled() {
     let mut script = ScriptedShard::new(recovered_job(2, &["vm-1", "vm-2"]));
-    let running = task_status("run-1/0", 7, TaskState::Running, None);
+    let running = running_task("run-1/0", 7);
     let probe = script.probes().remove(0);
     let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![running]);
     script.answer(&probe, CommandOutcome::Executed(heartbeat));
@@ -137,7 +137,7 @@
     let mut recovered = recovered_job(4, &["vm-1", "vm-2"]);
     recovered.jobs[0].2.spec.scatter = true;
     let mut script = ScriptedShard::new(recovered);
-    let running = |n| task_status(&format!("run-1/{n}"), 7, TaskState::Running, None);
+    let running = |n| running_task(&format!("run-1/{n}"), 7);
     let probe = script.probes().remove(0);
     let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![running(0), running(1)]);
     script.answer(&probe, CommandOutcome::Executed(heartbeat));
--- a/src/coordination/shard/tests/fixtures.rs
+++ b/src/coordination/shard/tests/fixtures.rs
@@ -1,12 +1,14 @@
-//! Jobs, machine types and the policy that the shard's tests start from.
+//! Jobs, machines, task states and the policy that the shard's tests start from.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::coordination::shard::{Policy, TeamPolicy};
+use crate::coordination::shard::{Policy, RecoveredMachine, RecoveredState, TeamPolicy};
+use crate::protocol::TaskId;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::{JobKind, JobSpec, Priority};
-use crate::storage::records::{FORMAT_VERSION, JobRecord};
+use crate::protocol::workers::{AttemptOutcome, TaskState, TaskStatus};
+use crate::storage::records::{FORMAT_VERSION, JobRecord, RosterRecord};
 
 /// How long a worker keeps its tasks without an answer from a controller.
 pub(super) const WORKER_LEASE: Duration = Duration::from_secs(27);
@@ -103,3 +105,50 @@
         refused: Duration::from_secs(15),
     }
 }
+
+/// A machine of the recovered roster.
+pub(super) fn roster_machine(id: &str) -> RecoveredMachine {
+    RecoveredMachine {
+        id: id.to_owned(),
+        page: 0,
+        record: RosterRecord {
+            addr: "10.0.0.1:9000".into(),
+            machine_type: "m8".into(),
+            zone: "north".into(),
+            spot: false,
+            deleting: false,
+        },
+    }
+}
+
+/// A job of an earlier leader and a roster, as a new leader recovers them.
+pub(super) fn recovered_job(tasks: u32, machines: &[&str]) -> RecoveredState {
+    RecoveredState {
+        jobs: vec![("run-1".into(), 5, record(spec("red", 1.0, tasks)))],
+        roster: machines.iter().map(|id| roster_machine(id)).collect(),
+        ..RecoveredState::default()
+    }
+}
+
+/// A task as a worker's heartbeat lists it.
+pub(super) fn task_status(
+    task: &str,
+    attempt: u64,
+    state: TaskState,
+    outcome: Option<AttemptOutcome>,
+) -> TaskStatus {
+    TaskStatus {
+        task: TaskId::parse(task).expect("task id"),
+        attempt,
+        state,
+        outcome,
+    }
+}
+
+pub(super) fn running_task(task: &str, attempt: u64) -> TaskStatus {
+    task_status(task, attempt, TaskState::Running, None)
+}
+
+pub(super) fn ended_task(task: &str, attempt: u64, outcome: AttemptOutcome) -> TaskStatus {
+    task_status(task, attempt, TaskState::Ended, Some(outcome))
+}
--- a/src/coordination/shard/tests/gangs/failover.rs
+++ b/src/coordination/shard/tests/gangs/failover.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use super::super::fixtures::record;
-use super::super::scripted_shard::{ScriptedShard, roster_machine, task_status};
+use super::super::fixtures::{ended_task, record, roster_machine, running_task, task_status};
+use super::super::scripted_shard::ScriptedShard;
 use super::{gang, second};
 use crate::coordination::shard::{CommandOutcome, Phase, RecoveredState};
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState};
@@ -12,30 +12,22 @@
 /// neither replaced, nor is a second attempt started beside the first.
 #[test]
 fn a_new_leader_recovers_a_gang_and_starts_no_second_attempt() {
-    let old = |state| vec![task_status("run-1/0", 7, state, None)];
     for started in [false, true] {
-        let mut script = ScriptedShard::new(RecoveredState {
-            jobs: vec![("run-1".into(), 5, record(gang(2, 8.0)))],
-            roster: vec![roster_machine("vm-1"), roster_machine("vm-2")],
-            ..RecoveredState::default()
-        });
+        let mut script = ScriptedShard::new(recovered_gang_of_two());
         script.add_machines(&["vm-3"]);
-        let state = if started {
-            TaskState::Running
-        } else {
-            TaskState::Waiting
+        let state = match started {
+            true => TaskState::Running,
+            false => TaskState::Waiting,
         };
-        script.heartbeat("vm-1", old(state));
+        script.heartbeat("vm-1", vec![task_status("run-1/0", 7, state, None)]);
         script.advance(second(1));
         assert!(script.launches().is_empty(), "run-1/1 may be on vm-2");
-        let attempt = script.machine("vm-1").attempts.values().next();
-        assert_eq!(attempt.and_then(|a| a.stop()), None);
+        assert_eq!(stop_of_first(&script, "vm-1"), None);
         // It is not on vm-2 either.
         script.heartbeat("vm-2", Vec::new());
         script.batches();
         script.advance(second(1));
-        let attempt = script.machine("vm-1").attempts.values().next();
-        let stop = attempt.and_then(|a| a.stop());
+        let stop = stop_of_first(&script, "vm-1");
         let again = script.shard.jobs()["run-1"].live().len();
         if started {
             assert_eq!(
@@ -91,11 +83,7 @@
 /// machine that has sent no heartbeat yet.
 #[test]
 fn a_gang_with_a_task_on_an_unreconciled_machine_is_not_restarted() {
-    let mut script = ScriptedShard::new(RecoveredState {
-        jobs: vec![("run-1".into(), 5, record(gang(2, 8.0)))],
-        roster: vec![roster_machine("vm-1"), roster_machine("vm-2")],
-        ..RecoveredState::default()
-    });
+    let mut script = ScriptedShard::new(recovered_gang_of_two());
     script.add_machines(&["vm-3", "vm-4"]);
     let line = |state, outcome| vec![task_status("run-1/0", 7, state, outcome)];
     script.heartbeat("vm-1", line(TaskState::Waiting, None));
@@ -117,49 +105,60 @@
 #[test]
 fn a_stop_that_reached_half_of_a_gang_is_completed_by_the_next_leader() {
     for reached in [false, true] {
-        let mut script = ScriptedShard::new(RecoveredState {
-            jobs: vec![("run-1".into(), 5, record(gang(2, 8.0)))],
-            roster: vec![roster_machine("vm-1"), roster_machine("vm-2")],
-            ..RecoveredState::default()
-        });
+        let mut script = ScriptedShard::new(recovered_gang_of_two());
         script.add_machines(&["vm-3", "vm-4"]);
-        let saved = task_status(
-            "run-1/0",
-            7,
-            TaskState::Ended,
-            Some(AttemptOutcome::Stopped),
-        );
+        let saved = ended_task("run-1/0", 7, AttemptOutcome::Stopped);
         script.heartbeat("vm-1", vec![saved]);
         for _ in 0..3 {
             script.advance(second(1));
             assert!(script.launches().is_empty(), "run-1/1 may run on vm-2");
         }
         if reached {
-            let runs = || vec![task_status("run-1/1", 7, TaskState::Running, None)];
-            script.heartbeat("vm-2", runs());
-            let answer = script.heartbeat("vm-2", runs());
-            let stops = |c: &Command| matches!(c, Command::Stop { .. });
-            assert!(answer.iter().any(stops), "it can't run alone");
-            assert!(script.launches().is_empty());
-            let ended = task_status(
-                "run-1/1",
-                7,
-                TaskState::Ended,
-                Some(AttemptOutcome::GangPeerLost),
-            );
-            script.heartbeat("vm-2", vec![ended]);
+            stop_the_other_task(&mut script);
         } else {
-            let expiry = script.machine("vm-2").lease.expires_at();
-            while script.now <= expiry {
-                for id in ["vm-1", "vm-3", "vm-4"] {
-                    script.heartbeat(id, Vec::new());
-                }
-                assert!(script.shard.jobs()["run-1"].live().is_empty());
-                script.advance(second(1));
-            }
+            expire_the_other_lease(&mut script);
         }
         script.advance(second(1));
         let started = script.shard.jobs()["run-1"].live().len();
         assert_eq!(started, 2, "reached: {reached}");
     }
 }
+
+/// The other task is listed as running, is stopped, and ends.
+fn stop_the_other_task(script: &mut ScriptedShard) {
+    let running = || vec![running_task("run-1/1", 7)];
+    script.heartbeat("vm-2", running());
+    let answer = script.heartbeat("vm-2", running());
+    let stops = |command: &Command| matches!(command, Command::Stop { .. });
+    assert!(answer.iter().any(stops), "it can't run alone");
+    assert!(script.launches().is_empty());
+    let ended = ended_task("run-1/1", 7, AttemptOutcome::GangPeerLost);
+    script.heartbeat("vm-2", vec![ended]);
+}
+
+/// The machine of the other task sends nothing until its lease expires.
+fn expire_the_other_lease(script: &mut ScriptedShard) {
+    let expiry = script.machine("vm-2").lease.expires_at();
+    while script.now <= expiry {
+        for id in ["vm-1", "vm-3", "vm-4"] {
+            script.heartbeat(id, Vec::new());
+        }
+        assert!(script.shard.jobs()["run-1"].live().is_empty());
+        script.advance(second(1));
+    }
+}
+
+/// A gang of an earlier leader, and two machines of the roster.
+fn recovered_gang_of_two() -> RecoveredState {
+    RecoveredState {
+        jobs: vec![("run-1".into(), 5, record(gang(2, 8.0)))],
+        roster: vec![roster_machine("vm-1"), roster_machine("vm-2")],
+        ..RecoveredState::default()
+    }
+}
+
+/// The time to save with which the first attempt on a machine is stopped, if it is.
+fn stop_of_first(script: &ScriptedShard, id: &str) -> Option<Duration> {
+    let first = script.machine(id).attempts.values().next();
+    first.and_then(|attempt| attempt.stop())
+}
--- a/src/coordination/shard/tests/gangs/placement.rs
+++ b/src/coordination/shard/tests/gangs/placement.rs
@@ -36,7 +36,7 @@
         team: "red".into(),
         ..gang(tasks, 4.0)
     };
-    // The team's limit is 16 cores: one gang of twelve leaves no room for eight.
+    // The team's limit is 16 cores: one gang of twelve leaves none for eight.
     script.submit("run-1", limited(3));
     assert_eq!(script.execute_launches().len(), 3);
     script.submit("run-2", limited(2));
@@ -77,7 +77,7 @@
     assert_eq!(on, ["vm-2", "vm-3"]);
 }
 
-/// Two gangs for which there is room once: capacity is reserved for the first as it is freed, and
+/// Two gangs, and capacity for one: capacity is reserved for the first as it is freed, and
 /// small jobs behind it do not take it.
 #[test]
 fn capacity_is_reserved_for_a_gang_that_small_jobs_would_starve() {
@@ -135,29 +135,23 @@
     for id in &hosts {
         script.all_in_state(id, TaskState::Waiting);
     }
-    // One machine of each dies; one comes.
-    let of = |script: &ScriptedShard, job: &str| {
-        let job = &script.shard.jobs()[job];
-        job.live()[&0].clone()
-    };
-    let dead = [of(&script, "run-1"), of(&script, "run-2")];
+    // One machine of each is lost, and one joins.
+    let dead = ["run-1", "run-2"].map(|job| script.shard.jobs()[job].live()[&0].clone());
     script.shard.deletion_answered(&dead, true, script.now);
     script.advance(second(1));
     script.add_machines(&["vm-5"]);
     assert_eq!(script.execute_launches().len(), 1);
     // Waiting tasks wait no longer than a replacement could take to start.
-    let stays: Vec<&String> = hosts
+    let remaining: Vec<&String> = hosts
         .iter()
         .filter(|id| !dead.iter().any(|d| **d == ***id))
         .collect();
     for _ in 0..40 {
         script.advance(second(1));
-        for id in &stays {
+        for id in remaining.iter().map(|id| id.as_str()).chain(["vm-5"]) {
             let heartbeat = script.recorded_heartbeat(id);
             script.shard.heartbeat(&heartbeat, script.now);
         }
-        let heartbeat = script.recorded_heartbeat("vm-5");
-        script.shard.heartbeat(&heartbeat, script.now);
         script.execute_stops();
     }
     let held = |id: &&&String| {
@@ -165,7 +159,7 @@
         attempts.any(|attempt| attempt.stop().is_none())
     };
     assert_eq!(
-        stays.iter().filter(held).count(),
+        remaining.iter().filter(held).count(),
         1,
         "one gang has released its places"
     );
--- a/src/coordination/shard/tests/health.rs
+++ b/src/coordination/shard/tests/health.rs
@@ -2,10 +2,8 @@
 
 use std::time::Duration;
 
-use super::fixtures::{record, spec};
-use super::scripted_shard::{
-    CommandBatch, ScriptedShard, TOKEN, launched_attempt, roster_machine, stops, task_status,
-};
+use super::fixtures::{record, roster_machine, spec, task_status};
+use super::scripted_shard::{CommandBatch, ScriptedShard, TOKEN, launched_attempt, stops};
 use crate::coordination::shard::{Action, CommandOutcome, RecoveredState};
 use crate::protocol::MachineId;
 use crate::protocol::users::JobKind;
--- a/src/coordination/shard/tests/heartbeats.rs
+++ b/src/coordination/shard/tests/heartbeats.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use super::fixtures::spec;
-use super::scripted_shard::{CommandBatch, ScriptedShard, TOKEN, launched_attempt, task_status};
+use super::fixtures::{spec, task_status};
+use super::scripted_shard::{CommandBatch, ScriptedShard, TOKEN, launched_attempt};
 use crate::coordination::shard::{CommandOutcome, HeartbeatOutcome};
 use crate::protocol::MachineId;
 use crate::protocol::workers::TaskState;
--- a/src/coordination/shard/tests/launches.rs
+++ b/src/coordination/shard/tests/launches.rs
@@ -1,7 +1,7 @@
 //! Admission of machines, and launches that are repeated, stopped or lost.
 
-use super::fixtures::{policy, record, spec};
-use super::scripted_shard::{ScriptedShard, TOKEN, launched_attempt, task_status};
+use super::fixtures::{ended_task, policy, record, spec, task_status};
+use super::scripted_shard::{ScriptedShard, TOKEN, launched_attempt};
 use crate::coordination::shard::{Action, CommandOutcome, RecoveredState, WritePurpose};
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState};
 
@@ -48,12 +48,7 @@
             let commands = script.heartbeat("vm-1", Vec::new());
             assert_eq!(launched_attempt(&commands), attempt_number);
         }
-        let line = task_status(
-            "run-1/0",
-            attempt_number,
-            TaskState::Ended,
-            Some(AttemptOutcome::Error),
-        );
+        let line = ended_task("run-1/0", attempt_number, AttemptOutcome::Error);
         script.heartbeat("vm-1", vec![line.clone()]);
         script.batches();
         let commands = script.heartbeat("vm-1", vec![line]);
--- a/src/coordination/shard/tests/leader_pause.rs
+++ b/src/coordination/shard/tests/leader_pause.rs
@@ -3,15 +3,14 @@
 
 use std::time::Duration;
 
-use super::fixtures::spec;
-use super::scripted_shard::{ScriptedShard, TOKEN, task_status};
-use crate::coordination::shard::{Action, CommandOutcome};
-use crate::protocol::workers::{Command, TaskState};
+use super::fixtures::{running_task, spec};
+use super::scripted_shard::{CommandBatch, ScriptedShard, TOKEN};
+use super::scripted_workers::run_batches;
 
 const MACHINES: [&str; 6] = ["vm-1", "vm-2", "vm-3", "vm-4", "vm-5", "vm-6"];
 
-/// Machines each of which runs a task that fills it.
-fn busy() -> ScriptedShard {
+/// Machines that are full with one task each.
+fn full_machines() -> ScriptedShard {
     let mut script = ScriptedShard::empty();
     for id in MACHINES.iter().chain(&MACHINES) {
         script.heartbeat(id, Vec::new());
@@ -21,21 +20,10 @@
     script
 }
 
-/// All commands are executed and answered; returns how many were launches.
+/// Executes all commands; returns the number of launches.
 fn execute(script: &mut ScriptedShard) -> usize {
-    let mut launches = 0;
-    for batch in script.batches() {
-        let launch = |command: &&Command| matches!(command, Command::Launch { .. });
-        launches += batch.commands.iter().filter(launch).count();
-        let heartbeat = script.running_heartbeat(&batch.machine);
-        script.answer(&batch, CommandOutcome::Executed(heartbeat));
-    }
-    launches
-}
-
-fn deletions(script: &ScriptedShard) -> usize {
-    let deletion = |action: &&Action| matches!(action, Action::Delete(_));
-    script.actions.iter().filter(deletion).count()
+    let batches = run_batches(script);
+    batches.iter().map(CommandBatch::launches).sum()
 }
 
 /// The controller was paused, not the machines: none is deleted for missed heartbeats, and none of
@@ -43,13 +31,13 @@
 #[test]
 fn a_paused_leader_counts_no_machine_as_unreachable() {
     for seconds in [3, 14, 20] {
-        let mut script = busy();
+        let mut script = full_machines();
         script.advance(Duration::from_secs(seconds));
         // Late timers all fire together.
         for _ in 0..5 {
             script.advance(Duration::from_millis(200));
         }
-        assert_eq!(deletions(&script), 0, "after {seconds} s");
+        assert_eq!(script.deletions(), 0, "after {seconds} s");
         // Probes are answered, and heartbeats arrive again one by one.
         let mut launches = execute(&mut script);
         for id in MACHINES {
@@ -58,7 +46,7 @@
             script.shard.heartbeat(&heartbeat, script.now);
             launches += execute(&mut script);
         }
-        assert_eq!(deletions(&script), 0, "after {seconds} s");
+        assert_eq!(script.deletions(), 0, "after {seconds} s");
         assert_eq!(launches, 0);
         assert_eq!(script.shard.jobs()["run-1"].live().len(), MACHINES.len());
     }
@@ -68,14 +56,14 @@
 /// or counted, and never runs a second time.
 #[test]
 fn after_a_pause_longer_than_the_leases_running_tasks_are_counted_once() {
-    let mut script = busy();
+    let mut script = full_machines();
     let lines: Vec<_> = MACHINES
         .iter()
         .map(|id| {
             let attempts = &script.machine(id).attempts;
             let (attempt, _) = attempts.first_key_value().expect("a task");
             let task = attempt.task.to_string();
-            task_status(&task, attempt.number, TaskState::Running, None)
+            running_task(&task, attempt.number)
         })
         .collect();
     script.advance(Duration::from_secs(40));
--- a/src/coordination/shard/tests/preemption.rs
+++ b/src/coordination/shard/tests/preemption.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use super::fixtures::spec;
-use super::scripted_shard::{ScriptedShard, TOKEN, roster_machine, stops};
+use super::fixtures::{roster_machine, spec};
+use super::scripted_shard::{ScriptedShard, TOKEN, stops};
 use super::scripted_workers::run_commands;
 use crate::coordination::shard::{CommandOutcome, RecoveredState};
 use crate::protocol::users::{JobKind, JobSpec, Priority};
--- a/src/coordination/shard/tests/scale/cluster.rs
+++ b/src/coordination/shard/tests/scale/cluster.rs
@@ -5,8 +5,8 @@
 
 use serde_json::Value;
 
-use super::super::fixtures::{self, machine_types, policy, record};
-use super::super::scripted_shard::{ScriptedShard, TOKEN, task_status};
+use super::super::fixtures::{self, machine_types, policy, record, task_status};
+use super::super::scripted_shard::{ScriptedShard, TOKEN};
 use crate::coordination::shard::{
     Action, CommandOutcome, Policy, RecoveredMachine, RecoveredState, Shard,
 };
--- a/src/coordination/shard/tests/scale/records.rs
+++ b/src/coordination/shard/tests/scale/records.rs
@@ -5,16 +5,15 @@
 
 use serde_json::Value;
 
-use super::super::fixtures::record;
-use super::super::scripted_shard::{ScriptedShard, TOKEN, task_status};
+use super::super::fixtures::{record, running_task};
+use super::super::scripted_shard::{ScriptedShard, TOKEN};
 use super::cluster::{name, small_store, spec, zone};
-use crate::coordination::shard::{Action, RecoveredState};
+use crate::coordination::shard::{Action, RecoveredState, ShardWrite};
 use crate::protocol::MachineId;
 use crate::protocol::kv::Mutation;
-use crate::protocol::workers::TaskState;
 use crate::storage::keys;
 use crate::storage::records::RosterRecord;
-use crate::storage::roster::decode_page;
+use crate::storage::roster::{Roster, decode_page};
 
 fn roster_entry(n: usize) -> RosterRecord {
     RosterRecord {
@@ -29,7 +28,6 @@
 /// The limit on values falls while the pages are being written.
 #[test]
 fn a_roster_of_six_thousand_machines_is_split_and_read_back() {
-    use crate::storage::roster::Roster;
     const ENTRIES: usize = 6_000;
     let mut roster = Roster::default();
     for n in 0..ENTRIES {
@@ -60,17 +58,23 @@
         }
         writes += 1;
     }
-    let mut read = Roster::default();
+    let names = read_roster(&store);
+    assert_eq!(names.len(), ENTRIES);
+    assert!(writes < 1_000, "{writes} writes");
+}
+
+/// The machines of a stored roster.
+fn read_roster(store: &BTreeMap<String, Value>) -> BTreeSet<String> {
+    let mut roster = Roster::default();
     let mut names = BTreeSet::new();
-    for (key, value) in &store {
+    for (key, value) in store {
         let page = key[keys::roster_prefix().len()..].parse().expect("a page");
         for (id, record) in decode_page(value).expect("a page") {
-            read.load(page, MachineId::from(id.as_str()), record);
+            roster.load(page, MachineId::from(id.as_str()), record);
             names.insert(id);
         }
     }
-    assert_eq!(names.len(), ENTRIES);
-    assert!(writes < 1_000, "{writes} writes");
+    names
 }
 
 /// Writing the placements of sixty thousand single tasks would take longer than the snapshot may be
@@ -89,34 +93,41 @@
     for n in 0..machines {
         let tasks = (0..30).map(|k| {
             let task = format!("run-{:06}/0", n * 30 + k);
-            task_status(&task, 7, TaskState::Running, None)
+            running_task(&task, 7)
         });
         let heartbeat = script.heartbeat_of(&name(n), TOKEN, tasks.collect());
         script.shard.heartbeat(&heartbeat, script.now);
     }
-    let mut written = 0.0;
+    let mut written = 0;
     let mut stale = 0;
     for _ in 0..40 {
         script.now += Duration::from_secs(1);
         // Something starts every second.
         script.shard.writes.progress_changed(script.now);
         script.shard.reconcile(script.now);
-        loop {
-            let writes: Vec<_> = script.shard.take_actions();
-            let writes = writes.into_iter().filter_map(|action| match action {
+        written += apply_writes(&mut script);
+        stale += usize::from(script.shard.writes.stale(script.now, staleness));
+    }
+    assert_eq!(stale, 0, "{written} mutations were written");
+}
+
+/// Applies all writes until there are no more; returns the number of mutations.
+fn apply_writes(script: &mut ScriptedShard) -> usize {
+    let mut mutations = 0;
+    loop {
+        let actions = script.shard.take_actions().into_iter();
+        let writes: Vec<ShardWrite> = actions
+            .filter_map(|action| match action {
                 Action::Write(write) => Some(write),
                 _ => None,
-            });
-            let writes: Vec<_> = writes.collect();
-            if writes.is_empty() {
-                break;
-            }
-            for write in writes {
-                written += write.mutations.len() as f64;
-                script.shard.shard_written(&write, script.now);
-            }
+            })
+            .collect();
+        if writes.is_empty() {
+            return mutations;
+        }
+        for write in writes {
+            mutations += write.mutations.len();
+            script.shard.shard_written(&write, script.now);
         }
-        stale += usize::from(script.shard.writes.stale(script.now, staleness));
     }
-    assert_eq!(stale, 0, "{written} mutations were written");
 }
--- a/src/coordination/shard/tests/scale_in.rs
+++ b/src/coordination/shard/tests/scale_in.rs
@@ -8,12 +8,6 @@
 use crate::coordination::shard::{Action, Policy, RecoveredState};
 use crate::protocol::users::{JobSpec, Stage};
 
-fn deletions(script: &mut ScriptedShard) -> usize {
-    let all = script.actions.len();
-    script.actions.retain(|a| !matches!(a, Action::Delete(_)));
-    all - script.actions.len()
-}
-
 /// Lets time pass, in which the machine sends heartbeats without tasks.
 fn idle_for(script: &mut ScriptedShard, seconds: u64) {
     for _ in 0..seconds {
@@ -25,7 +19,7 @@
 }
 
 /// A team with a quota of 8 cores, and a machine that has run a job of it.
-fn after_a_job(job: JobSpec) -> ScriptedShard {
+fn after_job(job: JobSpec) -> ScriptedShard {
     let policy = Policy {
         advance_delegation: Duration::ZERO,
         ..policy()
@@ -39,7 +33,7 @@
         let heartbeat = script.running_heartbeat("vm-1");
         script.shard.heartbeat(&heartbeat, script.now);
     }
-    assert_eq!(deletions(&mut script), 0, "it has tasks");
+    assert_eq!(script.deletions(), 0, "it has tasks");
     script.shard.job_finished("run-1", Some(Stage::Cancelled));
     script.heartbeat("vm-1", Vec::new());
     script
@@ -48,19 +42,19 @@
 /// Found by users: machines held for an unused quota stayed rented for ever.
 #[test]
 fn quota_capacity_is_scaled_in_some_time_after_the_last_job() {
-    let mut script = after_a_job(spec("red", 1.0, 1));
+    let mut script = after_job(spec("red", 1.0, 1));
     idle_for(&mut script, 25);
-    assert_eq!(deletions(&mut script), 0, "it had tasks lately");
+    assert_eq!(script.deletions(), 0, "it had tasks lately");
     idle_for(&mut script, 10);
-    assert_eq!(deletions(&mut script), 1);
+    assert_eq!(script.deletions(), 1);
 }
 
 /// With the first job, capacity for the whole quota is rented again.
 #[test]
 fn quota_capacity_is_scaled_out_again_with_work() {
-    let mut script = after_a_job(spec("red", 1.0, 1));
+    let mut script = after_job(spec("red", 1.0, 1));
     idle_for(&mut script, 40);
-    assert_eq!(deletions(&mut script), 1);
+    assert_eq!(script.deletions(), 1);
     script.actions.clear();
     script.submit("run-2", spec("red", 1.0, 1));
     script.advance(Duration::from_secs(1));
@@ -80,11 +74,7 @@
     run_commands(&mut script, "vm-1");
     script.shard.job_finished("run-1", Some(Stage::Cancelled));
     idle_for(&mut script, 100);
-    assert_eq!(
-        deletions(&mut script),
-        0,
-        "one came less than two minutes ago"
-    );
+    assert_eq!(script.deletions(), 0, "one came less than two minutes ago");
     idle_for(&mut script, 40);
-    assert_eq!(deletions(&mut script), 1);
+    assert_eq!(script.deletions(), 1);
 }
--- a/src/coordination/shard/tests/scripted_shard.rs
+++ b/src/coordination/shard/tests/scripted_shard.rs
@@ -4,18 +4,16 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use super::fixtures::{machine_types, policy, record, spec};
+use super::fixtures::{machine_types, policy, record};
 use crate::coordination::shard::{
-    Action, CommandOutcome, HeartbeatOutcome, Machine, Policy, RecoveredMachine, RecoveredState,
-    Shard, ShardWrite,
+    Action, CommandOutcome, HeartbeatOutcome, Machine, Policy, RecoveredState, Shard, ShardWrite,
 };
 use crate::protocol::cloud::Rental;
 use crate::protocol::kv::Mutation;
 use crate::protocol::users::JobSpec;
-use crate::protocol::workers::{AttemptOutcome, Command, TaskState, TaskStatus, WorkerHeartbeat};
-use crate::protocol::{FencingToken, MachineId, TaskId};
+use crate::protocol::workers::{Command, TaskStatus, WorkerHeartbeat};
+use crate::protocol::{FencingToken, MachineId};
 use crate::storage::keys;
-use crate::storage::records::RosterRecord;
 
 /// The fencing token of the shard's leader.
 pub(super) const TOKEN: u64 = 100;
@@ -239,6 +237,14 @@
         batches
     }
 
+    /// How many deletions of machines were decided since the last call.
+    pub(super) fn deletions(&mut self) -> usize {
+        let before = self.actions.len();
+        self.actions
+            .retain(|action| !matches!(action, Action::Delete(_)));
+        before - self.actions.len()
+    }
+
     /// The scale-out requests decided since the last call.
     pub(super) fn rentals(&mut self) -> Vec<Rental> {
         let mut rentals = Vec::new();
@@ -253,44 +259,6 @@
     }
 }
 
-/// A machine of the recovered roster.
-pub(super) fn roster_machine(id: &str) -> RecoveredMachine {
-    RecoveredMachine {
-        id: id.to_owned(),
-        page: 0,
-        record: RosterRecord {
-            addr: "10.0.0.1:9000".into(),
-            machine_type: "m8".into(),
-            zone: "north".into(),
-            spot: false,
-            deleting: false,
-        },
-    }
-}
-
-/// A job of an earlier leader and a roster, as a new leader recovers them.
-pub(super) fn recovered_job(tasks: u32, machines: &[&str]) -> RecoveredState {
-    RecoveredState {
-        jobs: vec![("run-1".into(), 5, record(spec("red", 1.0, tasks)))],
-        roster: machines.iter().map(|id| roster_machine(id)).collect(),
-        ..RecoveredState::default()
-    }
-}
-
-pub(super) fn task_status(
-    task: &str,
-    attempt: u64,
-    state: TaskState,
-    outcome: Option<AttemptOutcome>,
-) -> TaskStatus {
-    TaskStatus {
-        task: TaskId::parse(task).expect("task id"),
-        attempt,
-        state,
-        outcome,
-    }
-}
-
 /// The attempt number of the first launch.
 pub(super) fn launched_attempt(commands: &[Command]) -> u64 {
     commands
--- a/src/coordination/shard/tests/scripted_workers.rs
+++ b/src/coordination/shard/tests/scripted_workers.rs
@@ -1,7 +1,8 @@
 //! Workers that do what the shard expects of them: they execute all commands, and their
 //! heartbeats list the attempts that the shard has on record for their machines.
 
-use super::scripted_shard::{ScriptedShard, TOKEN, task_status};
+use super::fixtures::task_status;
+use super::scripted_shard::{CommandBatch, ScriptedShard, TOKEN};
 use crate::coordination::shard::{Attempt, CommandOutcome, Phase};
 use crate::protocol::AttemptId;
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState, WorkerHeartbeat};
@@ -150,16 +151,22 @@
     }
 }
 
-/// Executes all commands decided since the last call: every launched task runs. Returns
-/// the commands to one of the machines.
-pub(super) fn run_commands(script: &mut ScriptedShard, id: &str) -> Vec<Command> {
-    let mut commands = Vec::new();
-    for batch in script.batches() {
-        if *batch.machine == *id {
-            commands.extend(batch.commands.iter().cloned());
-        }
+/// Executes all commands decided since the last call: every launched task runs.
+pub(super) fn run_batches(script: &mut ScriptedShard) -> Vec<CommandBatch> {
+    let batches = script.batches();
+    for batch in &batches {
         let heartbeat = script.running_heartbeat(&batch.machine);
-        script.answer(&batch, CommandOutcome::Executed(heartbeat));
+        script.answer(batch, CommandOutcome::Executed(heartbeat));
     }
-    commands
+    batches
+}
+
+/// The same; returns the commands to one of the machines.
+pub(super) fn run_commands(script: &mut ScriptedShard, id: &str) -> Vec<Command> {
+    let mut batches = run_batches(script);
+    batches.retain(|batch| *batch.machine == *id);
+    batches
+        .into_iter()
+        .flat_map(|batch| batch.commands)
+        .collect()
 }
--- a/src/coordination/shard/tests/slow_boots.rs
+++ b/src/coordination/shard/tests/slow_boots.rs
@@ -4,22 +4,29 @@
 
 use super::fixtures::spec;
 use super::scripted_shard::{ScriptedShard, TOKEN};
-use crate::coordination::shard::{Action, RentalOutcome};
+use crate::coordination::shard::RentalOutcome;
 use crate::protocol::cloud::Rental;
 use crate::protocol::users::{JobSpec, Priority};
 
-/// The usual boot of these machines takes 10 s.
-const USUAL_S: u64 = 10;
+/// How long these machines usually take to boot.
+const USUAL_BOOT_S: u64 = 10;
 
-struct Rented {
+/// A machine that was rented, and may not be booted yet.
+struct RentedMachine {
+    name: String,
+    rental: Rental,
+}
+
+/// A shard in a cloud that grants all rentals, and whose machines boot when a test says.
+struct BootingCluster {
     script: ScriptedShard,
-    machines: Vec<(String, Rental)>,
+    machines: Vec<RentedMachine>,
     deleted: usize,
 }
 
-impl Rented {
+impl BootingCluster {
     /// Tasks for ten machines, none of which is booted.
-    fn for_work() -> Self {
+    fn with_job() -> Self {
         let mut script = ScriptedShard::without_quotas();
         let urgent = JobSpec {
             spot: false,
@@ -34,17 +41,13 @@
     }
 
     /// Lets time pass, in which the cloud rents all machines that are asked for.
-    fn pass(&mut self, seconds: u64) {
+    fn advance(&mut self, seconds: u64) {
         for _ in 0..seconds {
             self.script.advance(Duration::from_secs(1));
             for rental in self.script.rentals() {
                 self.grant(rental);
             }
-            let all = self.script.actions.len();
-            self.script
-                .actions
-                .retain(|a| !matches!(a, Action::Delete(_)));
-            self.deleted += all - self.script.actions.len();
+            self.deleted += self.script.deletions();
         }
     }
 
@@ -54,7 +57,10 @@
             .map(|n| format!("vm-{n:03}"))
             .collect();
         for name in &names {
-            self.machines.push((name.clone(), rental.clone()));
+            self.machines.push(RentedMachine {
+                name: name.clone(),
+                rental: rental.clone(),
+            });
         }
         let rented = RentalOutcome::Rented(names);
         self.script
@@ -65,82 +71,81 @@
 
     /// A machine boots; its worker sends a heartbeat.
     fn boot(&mut self, name: &str) {
-        let (_, rental) = self
-            .machines
-            .iter()
-            .find(|(id, _)| id == name)
-            .expect("rented");
-        let (zone, spot) = (rental.zone.clone(), rental.spot);
+        let mut machines = self.machines.iter();
+        let machine = machines.find(|machine| machine.name == name);
+        let rental = &machine.expect("a rented machine").rental;
         let mut heartbeat = self.script.heartbeat_of(name, TOKEN, Vec::new());
-        heartbeat.zone = zone;
-        heartbeat.spot = spot;
-        self.script.shard.heartbeat(&heartbeat, self.script.now);
-        self.script.reconcile();
+        heartbeat.zone = rental.zone.clone();
+        heartbeat.spot = rental.spot;
+        self.script.receive(&heartbeat);
     }
 }
 
 /// Before, each machine was deleted after 70 s, and none ever booted.
 #[test]
 fn machines_that_all_boot_twenty_times_slower_are_awaited_in_the_end() {
-    let mut rented = Rented::for_work();
+    let mut cluster = BootingCluster::with_job();
     let mut booted = std::collections::BTreeSet::new();
     let mut most_rented = 0;
-    for _ in 0..60 * USUAL_S {
-        rented.pass(1);
-        let machines = rented.script.shard.machines().values();
-        let due = |rented: std::time::Instant| rented + Duration::from_secs(20 * USUAL_S);
-        let now = rented.script.now;
+    for _ in 0..60 * USUAL_BOOT_S {
+        cluster.advance(1);
+        let machines = cluster.script.shard.machines().values();
+        let due = |rented: std::time::Instant| rented + Duration::from_secs(20 * USUAL_BOOT_S);
+        let now = cluster.script.now;
         let present: Vec<_> = machines.filter(|m| !m.deleting).collect();
         most_rented = most_rented.max(present.len());
         let ready = present.into_iter().filter(|m| due(m.rented) <= now);
         let ready: Vec<String> = ready.map(|m| m.id.to_string()).collect();
         for name in ready {
-            rented.boot(&name);
+            cluster.boot(&name);
             booted.insert(name);
         }
     }
-    assert_eq!(rented.script.shard.jobs()["run-1"].live().len(), 10);
+    assert_eq!(cluster.script.shard.jobs()["run-1"].live().len(), 10);
     // Ten are wanted, in either of two zones, and as many again at the most.
     assert!(most_rented <= 40, "{most_rented} at a time");
     assert!(
-        rented.machines.len() <= 80,
+        cluster.machines.len() <= 80,
         "{} in all",
-        rented.machines.len()
+        cluster.machines.len()
     );
 }
 
 #[test]
 fn machines_that_never_boot_are_deleted() {
-    let mut rented = Rented::for_work();
-    rented.pass(1200);
-    assert!(rented.deleted > 0);
+    let mut cluster = BootingCluster::with_job();
+    cluster.advance(1200);
+    assert!(cluster.deleted > 0);
 }
 
 #[test]
 fn a_single_machine_that_does_not_boot_is_replaced_and_deleted() {
-    let mut rented = Rented::for_work();
-    rented.pass(1);
-    let names: Vec<String> = rented
+    let mut cluster = BootingCluster::with_job();
+    cluster.advance(1);
+    let names: Vec<String> = cluster
         .machines
         .iter()
-        .map(|(name, _)| name.clone())
+        .map(|machine| machine.name.clone())
         .collect();
-    rented.pass(USUAL_S);
+    cluster.advance(USUAL_BOOT_S);
     for name in &names[1..] {
-        rented.boot(name);
+        cluster.boot(name);
     }
-    rented.pass(2 * USUAL_S);
-    assert_eq!(rented.machines.len(), 11, "one in its place");
-    assert!(rented.script.machine(&names[0]).last_contact.is_none());
+    cluster.advance(2 * USUAL_BOOT_S);
+    assert_eq!(cluster.machines.len(), 11, "one in its place");
+    assert!(cluster.script.machine(&names[0]).last_contact.is_none());
     // The others send heartbeats, so that only the one is unreachable.
-    for _ in 0..5 * USUAL_S {
+    for _ in 0..5 * USUAL_BOOT_S {
         for name in &names[1..] {
-            let heartbeat = rented.script.running_heartbeat(name);
-            rented.script.shard.heartbeat(&heartbeat, rented.script.now);
+            let heartbeat = cluster.script.running_heartbeat(name);
+            cluster
+                .script
+                .shard
+                .heartbeat(&heartbeat, cluster.script.now);
         }
-        rented.pass(1);
+        cluster.advance(1);
     }
-    let first = rented.script.shard.machines().get(&names[0]);
+    let first = cluster.script.shard.machines().get(&names[0]);
     assert!(first.is_none_or(|machine| machine.deleting));
 }
 
@@ -184,32 +189,39 @@
 /// long others take.
 #[test]
 fn machines_booting_in_an_unreachable_zone_do_not_count_as_slow_boots() {
-    let mut rented = Rented::for_work();
-    rented.pass(1);
-    let first: Vec<String> = rented.machines.iter().map(|(n, _)| n.clone()).collect();
+    let mut cluster = BootingCluster::with_job();
+    cluster.advance(1);
+    let first: Vec<String> = cluster
+        .machines
+        .iter()
+        .map(|machine| machine.name.clone())
+        .collect();
     for name in &first {
-        rented.boot(name);
+        cluster.boot(name);
     }
-    let zone = rented.script.machine(&first[0]).zone.clone();
+    let zone = cluster.script.machine(&first[0]).zone.clone();
     let more = JobSpec {
         spot: false,
         ..spec("blue", 8.0, 10)
     };
-    rented.script.submit("run-2", more);
+    cluster.script.submit("run-2", more);
     // Longer than machines take to boot, and shorter than these are awaited.
     for _ in 0..65 {
-        rented.pass(1);
-        let machines = rented.script.shard.machines().values();
+        cluster.advance(1);
+        let machines = cluster.script.shard.machines().values();
         let reachable = machines.filter(|machine| machine.zone != zone);
         let reachable: Vec<String> = reachable.map(|machine| machine.id.to_string()).collect();
         for name in reachable {
-            let mut heartbeat = rented.script.running_heartbeat(&name);
-            heartbeat.zone = rented.script.machine(&name).zone.to_string();
-            rented.script.shard.heartbeat(&heartbeat, rented.script.now);
+            let mut heartbeat = cluster.script.running_heartbeat(&name);
+            heartbeat.zone = cluster.script.machine(&name).zone.to_string();
+            cluster
+                .script
+                .shard
+                .heartbeat(&heartbeat, cluster.script.now);
         }
     }
-    let now = rented.script.now;
-    let shard = &rented.script.shard;
+    let now = cluster.script.now;
+    let shard = &cluster.script.shard;
     let awaited = shard.machines().values();
     let awaited = awaited.filter(|m| m.zone == zone && m.last_contact.is_none());
     assert!(awaited.count() >= 3);
--- a/src/coordination/shard/tests/snapshots.rs
+++ b/src/coordination/shard/tests/snapshots.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use super::fixtures::{record, spec};
-use super::scripted_shard::{ScriptedShard, TOKEN, launched_attempt, task_status};
+use super::fixtures::{ended_task, record, running_task, spec};
+use super::scripted_shard::{ScriptedShard, TOKEN, launched_attempt};
 use crate::coordination::shard::{Action, CommandOutcome, HeartbeatOutcome, ShardWrite};
-use crate::protocol::workers::{AttemptOutcome, Command, TaskState};
+use crate::protocol::workers::{AttemptOutcome, Command};
 
 /// What the snapshot does not record, the next leader would have to find out.
 #[test]
@@ -44,22 +44,10 @@
     script.submit("run-1", spec("blue", 1.0, 2));
     let batch = script.launches().remove(0);
     let attempt_number = launched_attempt(&batch.commands);
-    let running = |n: u64| {
-        task_status(
-            &format!("run-1/{n}"),
-            attempt_number + n,
-            TaskState::Running,
-            None,
-        )
-    };
+    let running = |n: u64| running_task(&format!("run-1/{n}"), attempt_number + n);
     let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![running(0), running(1)]);
     script.answer(&batch, CommandOutcome::Executed(heartbeat));
-    let done = task_status(
-        "run-1/0",
-        attempt_number,
-        TaskState::Ended,
-        Some(AttemptOutcome::Done),
-    );
+    let done = ended_task("run-1/0", attempt_number, AttemptOutcome::Done);
     let clears = |commands: &[Command]| {
         commands
             .iter()
@@ -70,23 +58,25 @@
     let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![done.clone(), running(1)]);
     script.shard.heartbeat(&heartbeat, script.now);
     script.shard.tick(script.now);
-    let write: ShardWrite = script
-        .shard
-        .take_actions()
-        .into_iter()
-        .find_map(|action| match action {
-            Action::Write(write) => Some(write),
-            _ => None,
-        })
-        .expect("a snapshot is due");
+    let snapshot = next_write(&mut script);
     let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![done.clone(), running(1)]);
     match script.shard.heartbeat(&heartbeat, script.now) {
         HeartbeatOutcome::Answer(commands) => assert!(!clears(&commands)),
         HeartbeatOutcome::Refuse => panic!("refused"),
     }
-    script.shard.shard_written(&write, script.now);
+    script.shard.shard_written(&snapshot, script.now);
     script.reconcile();
     script.advance(Duration::from_secs(4));
     let commands = script.heartbeat("vm-1", vec![done, running(1)]);
     assert!(clears(&commands));
 }
+
+fn next_write(script: &mut ScriptedShard) -> ShardWrite {
+    let mut actions = script.shard.take_actions().into_iter();
+    actions
+        .find_map(|action| match action {
+            Action::Write(write) => Some(write),
+            _ => None,
+        })
+        .expect("a snapshot is due")
+}
--- a/src/coordination/shard/tests/store_limits.rs
+++ b/src/coordination/shard/tests/store_limits.rs
@@ -5,12 +5,12 @@
 
 use serde_json::Value;
 
-use super::fixtures::{policy, record, spec};
-use super::scripted_shard::{ScriptedShard, TOKEN, roster_machine, task_status};
+use super::fixtures::{ended_task, policy, record, roster_machine, running_task, spec};
+use super::scripted_shard::{ScriptedShard, TOKEN};
 use super::scripted_workers::run_commands;
 use crate::coordination::shard::{Action, Policy, RecoveredMachine, RecoveredState, ShardWrite};
 use crate::protocol::kv::Mutation;
-use crate::protocol::workers::{AttemptOutcome, TaskState};
+use crate::protocol::workers::AttemptOutcome;
 
 /// The limits before, and after.
 const BEFORE: usize = 16_384;
@@ -85,7 +85,8 @@
     panic!("the writes do not end");
 }
 
-fn many(value_bytes: usize, txn_ops: usize) -> ScriptedShard {
+/// A recovered shard of 150 machines and 120 jobs.
+fn recovered_shard(value_bytes: usize, txn_ops: usize) -> ScriptedShard {
     let policy = Policy {
         value_bytes,
         txn_ops,
@@ -109,30 +110,34 @@
     ScriptedShard::with_policy(policy, recovered)
 }
 
-/// Fills machines with tasks, some of which are done, so that the snapshot is large.
-fn busy(script: &mut ScriptedShard) {
+/// Machines list tasks, some of which are done, so that the snapshot is large.
+fn list_tasks(script: &mut ScriptedShard, done: impl Fn(u64) -> bool) {
     for n in 0..120 {
-        let id = format!("vm-{n:06}");
         let tasks = (0..40)
             .map(|index| {
                 let task = format!("run-{n:06}/{index}");
-                let done = (index % 3 == 0).then_some(AttemptOutcome::Done);
-                let state = done.map_or(TaskState::Running, |_| TaskState::Ended);
-                task_status(&task, 7, state, done)
+                match done(index) {
+                    true => ended_task(&task, 7, AttemptOutcome::Done),
+                    false => running_task(&task, 7),
+                }
             })
             .collect();
-        let heartbeat = script.heartbeat_of(&id, TOKEN, tasks);
+        let heartbeat = script.heartbeat_of(&format!("vm-{n:06}"), TOKEN, tasks);
         script.shard.heartbeat(&heartbeat, script.now);
     }
 }
 
+fn every_third(index: u64) -> bool {
+    index.is_multiple_of(3)
+}
+
 /// When the shard knows the lower limits, no write is refused, although the roster that it recovered
 /// is a page eight times too large: each write is within the old and the new limits.
 #[test]
 fn records_written_under_larger_limits_are_rewritten_within_lower_ones() {
-    let mut script = many(AFTER, 4);
+    let mut script = recovered_shard(AFTER, 4);
     let mut store = Store::lowered();
-    busy(&mut script);
+    list_tasks(&mut script, every_third);
     let deleted = "vm-000140".into();
     script
         .shard
@@ -159,26 +164,17 @@
 /// rented for 76 s.
 #[test]
 fn a_large_snapshot_does_not_starve_durable_records() {
-    let mut script = many(AFTER, 4);
+    let mut script = recovered_shard(AFTER, 4);
     script.shard.policy.snapshot_writes_per_s = 7.5;
     script.shard.policy.record_writes_per_s = 4.5;
     let mut store = Store::lowered();
-    busy(&mut script);
+    list_tasks(&mut script, every_third);
     // Every few seconds the whole snapshot differs, and a durable record waits every second.
     for step in 0..300_u64 {
         script.now += Duration::from_millis(100);
-        for n in (0..120).filter(|_| step % 20 == 0) {
-            let tasks = (0..40)
-                .map(|index| {
-                    let task = format!("run-{n:06}/{index}");
-                    let ended = index % 3 == 0 || (index % 20) < step / 20;
-                    let done = ended.then_some(AttemptOutcome::Done);
-                    let state = done.map_or(TaskState::Running, |_| TaskState::Ended);
-                    task_status(&task, 7, state, done)
-                })
-                .collect();
-            let heartbeat = script.heartbeat_of(&format!("vm-{n:06}"), TOKEN, tasks);
-            script.shard.heartbeat(&heartbeat, script.now);
+        if step % 20 == 0 {
+            let done = |index| every_third(index) || index % 20 < step / 20;
+            list_tasks(&mut script, done);
         }
         if step % 10 == 0 {
             script.shard.delegate(&format!("peer-{step}"), script.now);
@@ -195,9 +191,9 @@
 /// smaller ones follow, and in the end the store holds everything.
 #[test]
 fn a_write_that_became_too_large_is_split() {
-    let mut script = many(BEFORE, 16);
+    let mut script = recovered_shard(BEFORE, 16);
     let mut store = Store::lowered();
-    busy(&mut script);
+    list_tasks(&mut script, every_third);
     script.submit("run-900000", spec("blue", 1.0, 1));
     script.reconcile();
     run_commands(&mut script, "vm-000050");
--- a/src/coordination/shard/tests/zones.rs
+++ b/src/coordination/shard/tests/zones.rs
@@ -3,19 +3,12 @@
 use std::time::Duration;
 
 use super::fixtures::spec;
-use super::scripted_shard::ScriptedShard;
+use super::scripted_shard::{ScriptedShard, TOKEN};
 use super::scripted_workers::run_commands;
-use crate::coordination::shard::RentalOutcome;
+use crate::coordination::shard::{CommandOutcome, HeartbeatOutcome, RentalOutcome};
 use crate::protocol::cloud::Rental;
 use crate::protocol::users::JobSpec;
-
-/// A machine of eight cores that is up.
-fn machine(script: &mut ScriptedShard, id: &str, zone: &str) {
-    let mut heartbeat = script.heartbeat_of(id, super::scripted_shard::TOKEN, Vec::new());
-    heartbeat.zone = zone.into();
-    script.receive(&heartbeat);
-    script.reconcile();
-}
+use crate::protocol::workers::WorkerHeartbeat;
 
 fn bound(tasks: u32, cores: f64) -> JobSpec {
     JobSpec {
@@ -52,11 +45,11 @@
 #[test]
 fn free_capacity_in_another_zone_does_not_serve_a_started_one_zone_array() {
     let mut script = ScriptedShard::without_quotas();
-    machine(&mut script, "vm-1", "north");
+    script.add_machine("vm-1", "north");
     script.submit("run-1", bound(3, 4.0));
     run_commands(&mut script, "vm-1");
     assert_eq!(script.shard.jobs()["run-1"].live().len(), 2);
-    machine(&mut script, "vm-2", "south");
+    script.add_machine("vm-2", "south");
     let rentals = rentals(&mut script);
     assert!(
         !rentals.is_empty(),
@@ -71,8 +64,8 @@
 #[test]
 fn a_one_zone_array_is_planned_in_the_zone_with_most_free_capacity() {
     let mut script = ScriptedShard::without_quotas();
-    machine(&mut script, "vm-1", "north");
-    machine(&mut script, "vm-2", "south");
+    script.add_machine("vm-1", "north");
+    script.add_machine("vm-2", "south");
     script.submit("run-1", spec("blue", 4.0, 1));
     script.submit("run-2", bound(4, 4.0));
     for id in ["vm-1", "vm-2"] {
@@ -85,3 +78,52 @@
     let zone = script.machine(&host).zone.to_string();
     assert_eq!(zones.into_iter().collect::<Vec<_>>(), [zone]);
 }
+
+/// A job bound to one zone loses the machine for which the zone was chosen, while others of its tasks
+/// run: lost tasks restart in that zone and no other.
+#[test]
+fn lost_tasks_of_a_one_zone_job_restart_in_its_zone_only() {
+    let mut script = ScriptedShard::empty();
+    script.heartbeat("vm-1", Vec::new());
+    script.heartbeat("vm-2", Vec::new());
+    script.submit("run-1", bound(3, 4.0));
+    run_commands(&mut script, "vm-1");
+    let tasks_on = |script: &ScriptedShard, id: &str| script.machine(id).attempts.len();
+    let (lost, other) = match tasks_on(&script, "vm-1") {
+        1 => ("vm-1", "vm-2"),
+        _ => ("vm-2", "vm-1"),
+    };
+    assert_eq!((tasks_on(&script, lost), tasks_on(&script, other)), (1, 2));
+    // There is free capacity in the south.
+    let mut south = script.heartbeat_of("vm-9", TOKEN, Vec::new());
+    south.zone = "south".into();
+    heartbeat_again(&mut script, &south);
+    let tasks = script.running_heartbeat(other).tasks;
+    script.heartbeat(other, tasks);
+    // The machine with one task begins a new agent epoch.
+    let mut restarted = script.heartbeat_of(lost, TOKEN, Vec::new());
+    restarted.agent_epoch = 2;
+    script.receive(&restarted);
+    let launches = script.launches();
+    assert!(
+        launches.iter().all(|batch| &*batch.machine != "vm-9"),
+        "two of its tasks run in the north"
+    );
+    for batch in &launches {
+        let heartbeat = script.heartbeat_of(&batch.machine, TOKEN, Vec::new());
+        script.answer(batch, CommandOutcome::Refused(heartbeat));
+    }
+    script.advance(Duration::from_secs(1));
+    heartbeat_again(&mut script, &south);
+    assert_eq!(tasks_on(&script, "vm-9"), 0);
+}
+
+/// The machine of a heartbeat sends the same with the next sequence number.
+fn heartbeat_again(script: &mut ScriptedShard, heartbeat: &WorkerHeartbeat) {
+    let mut heartbeat = heartbeat.clone();
+    script.sequence += 1;
+    heartbeat.sequence = script.sequence;
+    let outcome = script.shard.heartbeat(&heartbeat, script.now);
+    assert!(matches!(outcome, HeartbeatOutcome::Answer(_)));
+    script.reconcile();
+}
--- a/src/coordination/tests/cancellation_freshness.rs
+++ b/src/coordination/tests/cancellation_freshness.rs
@@ -1,22 +1,20 @@
-//! Cancellations that a leader isn't told of by the key-value store.
+//! Cancellations of which a leader cannot learn from the key-value store.
 
-use crate::protocol::FencingToken;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use serde_json::json;
 
+use super::peering::lead_recovered;
 use super::{heartbeat, node, peer};
 use crate::clock::FakeClock;
 use crate::coordination::leadership::lease::ShardLease;
-use crate::coordination::node::state::Leadership;
 use crate::coordination::node::{KV_DEADLINE, Node};
 use crate::coordination::peering::cancellations::{
     confirmed_cancellations, record_peer_cancellations,
 };
-use crate::coordination::shard::{RecoveredState, Shard};
+use crate::coordination::shard::RecoveredState;
 use crate::coordination::worker_heartbeats::{HeartbeatDecision, handle_heartbeat};
-use crate::coordination::worker_leases::advance_delegation::AdvanceGrants;
 use crate::coordination::worker_leases::cancellation_freshness::{CancellationFreshness, bound};
 use crate::protocol::TaskId;
 use crate::protocol::kv::WatchEvent;
@@ -27,9 +25,9 @@
 use crate::storage::records::{FORMAT_VERSION, FinalRecord, JobRecord};
 
 const TOKEN: u64 = 9;
-/// The revisions at which the job was accepted, looked at, and cancelled.
+/// The revisions of the job's acceptance, of the last catch-up read, and of the cancellation.
 const ACCEPTED: u64 = 10;
-const LOOKED: u64 = 12;
+const CAUGHT_UP: u64 = 12;
 const CANCELLED: u64 = 13;
 
 fn second(n: u64) -> Duration {
@@ -45,10 +43,10 @@
     spec
 }
 
-/// A leader whose shard runs one job, and its peer, which began at the same time.
-/// The key-value store has just let the leader look at the jobs; it answers nobody
-/// any more, and the peer votes all along.
-struct Gap {
+/// A leader whose shard runs one job, and its peer, both started at the same time. The leader has just
+/// caught up with the key-value store, which answers nobody any more; the peer votes for lease
+/// extensions all along.
+struct Outage {
     clock: Arc<FakeClock>,
     leader: Arc<Node>,
     peer: Arc<Node>,
@@ -56,7 +54,7 @@
     sequence: u64,
 }
 
-impl Gap {
+impl Outage {
     async fn new() -> Self {
         let clock = Arc::new(FakeClock::new());
         let (leader, peer) = (node(clock.clone()), peer(clock.clone()));
@@ -71,36 +69,16 @@
             jobs: vec![("run-000001".into(), ACCEPTED, record.clone())],
             ..RecoveredState::default()
         };
-        let lease = Arc::new(ShardLease::new(
-            1,
-            FencingToken::new(TOKEN),
-            now,
-            now + second(3),
-            now,
-        ));
-        let shard = Shard::recover(
-            leader.policy.clone(),
-            FencingToken::new(TOKEN),
-            recovered,
-            now,
-            0,
-        );
         let opened = WatchEvent::Put {
             key: keys::job("run-000001"),
             value: serde_json::to_value(&record).expect("a record"),
             mod_revision: ACCEPTED,
         };
         for node in [&leader, &peer] {
-            node.job_index.apply(vec![opened.clone()], LOOKED);
+            node.job_index.apply(vec![opened.clone()], CAUGHT_UP);
             node.lock().cancellations.caught_up(now);
         }
-        leader.lock().leadership = Some(Leadership {
-            lease: lease.clone(),
-            shard,
-            advance_grants: AdvanceGrants::default(),
-            finished_notified: None,
-            activities: Default::default(),
-        });
+        let lease = lead_recovered(&leader, TOKEN, recovered);
         let _ = leader.clients.kv.get("o/0/owner", KV_DEADLINE).await;
         Self {
             clock,
@@ -111,8 +89,8 @@
         }
     }
 
-    /// The key-value store refuses the leader alone, and serves the peer, which
-    /// cancels the job and tells its user.
+    /// The key-value store refuses the leader only, and serves the peer, which cancels the
+    /// job and confirms that to its user.
     fn peer_cancels(&self) {
         let last = FinalRecord::new(Stage::Cancelled, spec());
         self.peer
@@ -120,27 +98,32 @@
             .record_final("run-000001", &last, CANCELLED);
     }
 
-    /// Time passes in an outage; the leader goes on by votes.
-    fn pass(&self, time: Duration) {
+    /// Lets time pass in the outage; the leader extends its lease by votes.
+    fn advance(&self, time: Duration) {
         self.clock.advance(time);
         self.lease.extend(self.leader.now() + second(1));
     }
 
-    fn told_by(&self, peer: &Node) -> ConfirmedCancellations {
-        let after = self.leader.job_index.revision().expect("a look");
-        let asked = CancellationsRequest { after }.encode();
-        let asked = CancellationsRequest::decode(&asked).expect("a frame");
-        let told = confirmed_cancellations(peer, &asked).encode();
-        ConfirmedCancellations::decode(&told).expect("a frame")
+    fn confirmations_of(&self, peer: &Node) -> ConfirmedCancellations {
+        let after = self.leader.job_index.revision().expect("a catch-up read");
+        let request = CancellationsRequest { after }.encode();
+        let request = CancellationsRequest::decode(&request).expect("a frame");
+        let answer = confirmed_cancellations(peer, &request).encode();
+        ConfirmedCancellations::decode(&answer).expect("a frame")
     }
 
-    /// The leader asks a controller what it told.
-    fn ask(&self, peer: &Node) {
-        record_peer_cancellations(&self.leader, "n1", self.leader.now(), self.told_by(peer));
+    /// The leader asks a controller for the cancellations that it has confirmed.
+    fn exchange_confirmations(&self, peer: &Node) {
+        record_peer_cancellations(
+            &self.leader,
+            "n1",
+            self.leader.now(),
+            self.confirmations_of(peer),
+        );
     }
 
-    /// The worker that runs the job's task heartbeats to the leader: the commands
-    /// that it is answered, if its lease goes on.
+    /// The worker that runs the job's task sends a heartbeat to the leader; returns the
+    /// commands of the answer, if its lease is renewed.
     fn heartbeat(&mut self) -> Option<Vec<Command>> {
         self.sequence += 1;
         let mut heartbeat = heartbeat(TOKEN);
@@ -163,135 +146,145 @@
     commands.iter().any(|c| matches!(c, Command::Stop { .. }))
 }
 
-/// The refusal of the leader alone, a cancellation through another controller, and
-/// an outage for all: the leader learns of the cancellation from that controller,
-/// and no worker loses its lease however long the outage takes.
+/// The key-value store refuses only the leader, a job is cancelled through another controller, and then
+/// the store fails for all: the leader learns of the cancellation from that controller, and no worker
+/// loses its lease, however long the outage lasts.
 #[tokio::test]
 async fn a_leader_learns_from_its_peers_what_they_cancelled_before_an_outage() {
-    let mut gap = Gap::new().await;
-    assert!(!stops(gap.heartbeat()));
-    gap.pass(second(1));
-    gap.peer_cancels();
-    gap.pass(second(1));
-    assert!(!stops(gap.heartbeat()), "nobody has told it yet");
-    gap.ask(&gap.peer.clone());
+    let mut outage = Outage::new().await;
+    assert!(!stops(outage.heartbeat()));
+    outage.advance(second(1));
+    outage.peer_cancels();
+    outage.advance(second(1));
+    assert!(!stops(outage.heartbeat()), "no peer has reported it yet");
+    outage.exchange_confirmations(&outage.peer.clone());
     assert!(
-        stops(gap.heartbeat()),
+        stops(outage.heartbeat()),
         "the task is stopped within a heartbeat"
     );
     for _ in 0..100 {
-        gap.pass(second(1));
-        gap.ask(&gap.peer.clone());
+        outage.advance(second(1));
+        outage.exchange_confirmations(&outage.peer.clone());
         assert!(
-            gap.heartbeat().is_some(),
-            "a word a second keeps all leases"
+            outage.heartbeat().is_some(),
+            "a confirmation a second keeps all leases renewed"
         );
     }
 }
 
-/// The same beside a controller that says nothing of what it told: an older
-/// version, or one that can't be reached. The vote alone must not be enough.
+/// The same beside a controller that confirms nothing, because it is an older version or unreachable.
+/// Votes alone must not be enough to renew leases.
 #[tokio::test]
-async fn a_leader_that_can_not_know_of_cancellations_lets_leases_end() {
-    let mut gap = Gap::new().await;
-    let bound = bound(&gap.leader.settings);
-    let workers = &gap.leader.settings.platform.settings.workers;
-    let latest = gap.leader.now() + workers.cancel() - workers.lease();
-    gap.peer_cancels();
-    gap.pass(bound - second(1));
-    assert!(gap.heartbeat().is_some());
-    gap.pass(second(1));
-    assert!(gap.leader.now() < latest);
-    assert!(gap.lease.live(gap.leader.now()), "the promises still come");
-    assert_eq!(gap.heartbeat(), None);
-    // The key-value store answers again: a look, and all is as before.
-    gap.leader.lock().cancellations.caught_up(gap.leader.now());
-    assert!(gap.heartbeat().is_some());
+async fn a_leader_without_fresh_cancellations_suspends_lease_renewals() {
+    let mut outage = Outage::new().await;
+    let bound = bound(&outage.leader.settings);
+    let workers = &outage.leader.settings.platform.settings.workers;
+    let latest = outage.leader.now() + workers.cancel() - workers.lease();
+    outage.peer_cancels();
+    outage.advance(bound - second(1));
+    assert!(outage.heartbeat().is_some());
+    outage.advance(second(1));
+    assert!(outage.leader.now() < latest);
+    assert!(
+        outage.lease.live(outage.leader.now()),
+        "the lease is still extended by votes"
+    );
+    assert_eq!(outage.heartbeat(), None);
+    // The key-value store answers again: a catch-up read resumes the renewals.
+    outage
+        .leader
+        .lock()
+        .cancellations
+        .caught_up(outage.leader.now());
+    assert!(outage.heartbeat().is_some());
 }
 
-/// The controller that cancelled has ended since: its next run remembers nothing,
-/// so that its word doesn't count, however willingly it gives it.
+/// The controller that cancelled has crashed: its next incarnation does not remember the cancellation,
+/// so that its confirmation does not count.
 #[tokio::test]
-async fn the_word_of_a_controller_that_began_later_does_not_count() {
-    let mut gap = Gap::new().await;
-    gap.peer_cancels();
-    gap.pass(second(2));
-    let restarted = peer(gap.clock.clone());
-    restarted.job_index.apply(Vec::new(), LOOKED);
+async fn confirmations_of_a_later_incarnation_do_not_count() {
+    let mut outage = Outage::new().await;
+    outage.peer_cancels();
+    outage.advance(second(2));
+    let restarted = peer(outage.clock.clone());
+    restarted.job_index.apply(Vec::new(), CAUGHT_UP);
     for _ in 0..40 {
-        gap.pass(second(1));
-        gap.ask(&restarted);
+        outage.advance(second(1));
+        outage.exchange_confirmations(&restarted);
     }
-    assert_eq!(gap.heartbeat(), None);
+    assert_eq!(outage.heartbeat(), None);
 }
 
-/// Neither does the word of one that doesn't remember all.
+/// A controller that does not remember all of its cancellations confirms none.
 #[tokio::test]
-async fn a_word_is_exact_or_absent() {
-    let mut gap = Gap::new().await;
+async fn confirmed_cancellations_are_complete_or_absent() {
+    let mut outage = Outage::new().await;
     let last = FinalRecord::new(Stage::Cancelled, spec());
     for n in 0..3_000 {
         let id = format!("run-1{n:05}");
-        gap.peer.job_index.record_final(&id, &last, CANCELLED + n);
+        outage
+            .peer
+            .job_index
+            .record_final(&id, &last, CANCELLED + n);
     }
-    assert_eq!(gap.told_by(&gap.peer).jobs, None);
+    assert_eq!(outage.confirmations_of(&outage.peer).jobs, None);
     for _ in 0..40 {
-        gap.pass(second(1));
-        gap.ask(&gap.peer.clone());
+        outage.advance(second(1));
+        outage.exchange_confirmations(&outage.peer.clone());
     }
-    assert_eq!(gap.heartbeat(), None);
+    assert_eq!(outage.heartbeat(), None);
 }
 
-/// What a look tells the job index, the shard is told as well: its own watch may
-/// hang in a refusal.
+/// The shard learns at once what a catch-up read shows: its own watch may hang.
 #[tokio::test]
-async fn what_a_look_shows_to_be_over_is_stopped_without_the_watch() {
-    let mut gap = Gap::new().await;
-    let gone = WatchEvent::Delete {
+async fn a_job_that_a_catch_up_read_shows_finished_is_stopped_without_the_watch() {
+    let mut outage = Outage::new().await;
+    let deleted = WatchEvent::Delete {
         key: keys::job("run-000001"),
         mod_revision: CANCELLED,
     };
-    gap.leader.job_index.apply(vec![gone], CANCELLED);
-    gap.leader.notify_finished_jobs();
-    assert!(stops(gap.heartbeat()));
-    // The watch, far behind, still tells of its acceptance.
-    let lease = gap.lease.clone();
+    outage.leader.job_index.apply(vec![deleted], CANCELLED);
+    outage.leader.notify_finished_jobs();
+    assert!(stops(outage.heartbeat()));
+    // The watch, far behind, still delivers its acceptance.
+    let lease = outage.lease.clone();
     let record = JobRecord {
         format_version: FORMAT_VERSION,
         accepted_at_ms: 0,
         spec: spec(),
     };
-    let known = gap.leader.with_shard(&lease, "jobs", |shard, now| {
-        gap.leader
+    let known = outage.leader.with_shard(&lease, "jobs", |shard, now| {
+        outage
+            .leader
             .notify_job_accepted(shard, "run-000001", ACCEPTED, record, now);
         let job = shard.jobs().get("run-000001");
         job.is_some_and(|job| job.final_stage.is_none())
     });
-    assert_eq!(known, Some(false), "it is not taken for an open job again");
+    assert_eq!(known, Some(false), "it does not become an open job again");
 }
 
 #[test]
-fn what_is_known_is_as_old_as_the_oldest_word() {
+fn freshness_is_that_of_the_oldest_confirmation() {
     let start = Instant::now();
     let at = |s: u64| start + second(s);
     let others = || ["b", "c"].into_iter();
-    let mut awareness = CancellationFreshness::default();
+    let mut freshness = CancellationFreshness::default();
     assert!(
-        !awareness.peer_answered("b", at(1), start),
-        "no look to add to"
+        !freshness.peer_answered("b", at(1), start),
+        "no catch-up read to extend"
     );
-    assert_eq!(awareness.known_up_to(others(), at(1)), None);
-    awareness.caught_up(at(2));
-    assert!(awareness.peer_answered("b", at(9), start));
-    assert_eq!(awareness.known_up_to(others(), at(9)), Some(at(2)), "c");
-    assert!(awareness.peer_answered("c", at(8), at(1)));
-    assert_eq!(awareness.known_up_to(others(), at(9)), Some(at(8)));
-    // It began after what was last known of it: it may have told more before.
-    assert!(!awareness.peer_answered("c", at(12), at(8)));
-    assert!(awareness.peer_answered("b", at(12), start));
-    assert_eq!(awareness.known_up_to(others(), at(12)), Some(at(8)));
-    awareness.caught_up(at(13));
-    assert_eq!(awareness.known_up_to(others(), at(14)), Some(at(13)));
+    assert_eq!(freshness.known_up_to(others(), at(1)), None);
+    freshness.caught_up(at(2));
+    assert!(freshness.peer_answered("b", at(9), start));
+    assert_eq!(freshness.known_up_to(others(), at(9)), Some(at(2)), "c");
+    assert!(freshness.peer_answered("c", at(8), at(1)));
+    assert_eq!(freshness.known_up_to(others(), at(9)), Some(at(8)));
+    // It started after its last confirmation: an earlier incarnation may have confirmed more.
+    assert!(!freshness.peer_answered("c", at(12), at(8)));
+    assert!(freshness.peer_answered("b", at(12), start));
+    assert_eq!(freshness.known_up_to(others(), at(12)), Some(at(8)));
+    freshness.caught_up(at(13));
+    assert_eq!(freshness.known_up_to(others(), at(14)), Some(at(13)));
     let none = std::iter::empty();
-    assert_eq!(awareness.known_up_to(none, at(20)), Some(at(20)));
+    assert_eq!(freshness.known_up_to(none, at(20)), Some(at(20)));
 }
--- a/src/coordination/tests/mod.rs
+++ b/src/coordination/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Whole controllers on a fake clock, without anything around them.
+//! Controllers on a fake clock, without workers, and with a key-value store that never answers.
 
 mod cancellation_freshness;
 mod peering;
--- a/src/coordination/tests/peering.rs
+++ b/src/coordination/tests/peering.rs
@@ -1,5 +1,4 @@
-//! Promises and delegations, among controllers that don't all hear one
-//! another.
+//! Lease extension votes and advance delegations among partitioned controllers.
 
 use crate::protocol::FencingToken;
 use std::sync::Arc;
@@ -21,8 +20,17 @@
 use crate::protocol::peer_messages::{RevivalVote, ReviveLease};
 use crate::protocol::peers::PeerHeartbeat;
 
-/// Has a controller own an empty shard.
-pub(super) fn own(node: &Node, fencing_token: u64) -> Arc<ShardLease> {
+/// Makes a controller the leader of an empty shard.
+pub(super) fn lead(node: &Node, fencing_token: u64) -> Arc<ShardLease> {
+    lead_recovered(node, fencing_token, RecoveredState::default())
+}
+
+/// Makes a controller the leader of a recovered shard, with a lease of three seconds.
+pub(super) fn lead_recovered(
+    node: &Node,
+    fencing_token: u64,
+    recovered: RecoveredState,
+) -> Arc<ShardLease> {
     let now = node.now();
     let lease = Arc::new(ShardLease::new(
         1,
@@ -34,7 +42,7 @@
     let shard = Shard::recover(
         node.policy.clone(),
         FencingToken::new(fencing_token),
-        RecoveredState::default(),
+        recovered,
         now,
         0,
     );
@@ -48,8 +56,16 @@
     lease
 }
 
+fn peer_heartbeat(node_id: &str, fencing_token: Option<u64>) -> PeerHeartbeat {
+    PeerHeartbeat {
+        node_id: node_id.into(),
+        fencing_token: fencing_token.map(FencingToken::new),
+        ..PeerHeartbeat::default()
+    }
+}
+
 #[tokio::test]
-async fn a_promise_needs_an_outage_and_is_kept() {
+async fn a_lease_extension_vote_needs_an_outage_and_blocks_campaigns() {
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
     let time = Duration::from_secs(1);
@@ -58,64 +74,63 @@
     assert!(grant_extension(&node, time));
     assert!(
         !grant_extension(&node, time * 10),
-        "longer than any leader may ask"
+        "longer than any leader may request"
     );
     assert!(node.campaign_blocked_until().is_some());
     clock.advance(Duration::from_millis(999));
-    assert!(node.campaign_blocked_until().is_some(), "kept to its end");
+    assert!(
+        node.campaign_blocked_until().is_some(),
+        "until the extension ends"
+    );
     clock.advance(Duration::from_millis(10));
-    // A process that has just started also waits out its earlier run's.
+    // A process that has just started also waits out the votes of its earlier incarnation.
     assert!(node.campaign_blocked_until().is_none());
     node.lock().candidacy.acquiring = true;
     assert!(
         !grant_extension(&node, time),
-        "an attempt of its own is under way"
+        "a campaign of its own is under way"
     );
 }
 
-/// A controller that loses the key-value store and all others, but not its
-/// workers: it answers neither users nor workers, and leaves the balancer.
+/// A controller that reaches neither the key-value store nor any peer, but its workers: it answers
+/// neither users nor workers, and the load balancer removes it.
 #[tokio::test]
-async fn a_controller_cut_off_from_all_is_unready_and_says_so_at_once() {
+async fn a_fully_partitioned_controller_is_unready_and_answers_503() {
     use crate::coordination::requests::{RequestOrigin, UserRequest, answer};
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
     node.lock().types = Some(Vec::new());
     let _ = node.clients.kv.get("o/0/owner", KV_DEADLINE).await;
-    let peer = PeerHeartbeat {
-        node_id: "beta".into(),
-        ..PeerHeartbeat::default()
-    };
+    let peer = peer_heartbeat("beta", None);
     record_heartbeat(&node, peer.clone());
-    assert!(node.ready(), "an outage for all: nobody is served anyway");
+    assert!(
+        node.ready(),
+        "an outage of the store affects all controllers alike"
+    );
     clock.advance(Duration::from_secs(3));
     assert!(!node.ready());
-    let reply = answer(
+    let response = answer(
         &node,
         UserRequest::Poll("run-1".into()),
         RequestOrigin::User,
     )
     .await;
-    assert_eq!(reply.status, 503);
+    assert_eq!(response.status, 503);
     assert!(node.live_lease().is_none() && node.leader_id().is_none());
     record_heartbeat(&node, peer);
     assert!(node.ready());
 }
 
-/// Cut off with its workers, a controller goes on answering them by the
-/// leader's last word, for as long as a cancelled job's tasks have and no more.
+/// A controller that reaches neither the store nor the leader renews workers' leases under the leader's
+/// last fencing token, within the time for which a cancelled job's tasks may run, and no longer.
 #[tokio::test]
-async fn a_controller_cut_from_store_and_leader_keeps_workers_for_a_while() {
+async fn a_partitioned_controller_renews_leases_under_an_advance_delegation() {
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
+    let leader_token = Some(FencingToken::new(7));
     let mut heartbeat = heartbeat(5);
     node.lock().cancellations.caught_up(node.now());
-    let leader = PeerHeartbeat {
-        node_id: "beta".into(),
-        fencing_token: Some(FencingToken::new(7)),
-        ..PeerHeartbeat::default()
-    };
-    handle_heartbeat_answer(&node, leader, node.now(), None);
+    handle_heartbeat_answer(&node, peer_heartbeat("beta", Some(7)), node.now(), None);
     clock.advance(advance_delegation::LEADER_UNREACHABLE_AFTER);
     assert_eq!(
         node.delegated_fencing_token(&heartbeat),
@@ -123,10 +138,7 @@
         "the key-value store may answer"
     );
     let _ = node.clients.kv.get("o/0/owner", KV_DEADLINE).await;
-    assert_eq!(
-        node.delegated_fencing_token(&heartbeat),
-        Some(FencingToken::new(7))
-    );
+    assert_eq!(node.delegated_fencing_token(&heartbeat), leader_token);
     assert_eq!(
         own_heartbeat(&node).answered_by_advance_delegation_ago_ms,
         0
@@ -135,28 +147,16 @@
     assert_eq!(
         node.delegated_fencing_token(&heartbeat),
         None,
-        "the worker obeys another"
+        "the worker follows a later leader"
     );
     heartbeat.fencing_token = FencingToken::new(7);
-    // The leader heard again, even by an old message: it answers, not we.
-    let from_leader = PeerHeartbeat {
-        node_id: "beta".into(),
-        fencing_token: Some(FencingToken::new(7)),
-        ..PeerHeartbeat::default()
-    };
-    record_heartbeat(&node, from_leader);
-    // An older one without a fencing token, which comes late, takes nothing back.
-    let before = PeerHeartbeat {
-        node_id: "beta".into(),
-        ..PeerHeartbeat::default()
-    };
-    record_heartbeat(&node, before);
+    // The leader is reachable again, even by an old message: it renews the leases itself.
+    record_heartbeat(&node, peer_heartbeat("beta", Some(7)));
+    // A late heartbeat without a fencing token, from before it led, changes nothing.
+    record_heartbeat(&node, peer_heartbeat("beta", None));
     assert_eq!(node.delegated_fencing_token(&heartbeat), None);
     clock.advance(advance_delegation::LEADER_UNREACHABLE_AFTER);
-    assert_eq!(
-        node.delegated_fencing_token(&heartbeat),
-        Some(FencingToken::new(7))
-    );
+    assert_eq!(node.delegated_fencing_token(&heartbeat), leader_token);
     let workers = &node.settings.platform.settings.workers;
     clock.advance(
         workers.cancel() - workers.lease() - advance_delegation::LEADER_UNREACHABLE_AFTER * 2,
@@ -168,32 +168,27 @@
     );
 }
 
-/// Refused by the key-value store alone, a leader is replaced, and the service then
-/// falls out for all: the new leader needs the vote of the old, which was never
-/// told that its lease has ended. Its fencing token in the new leader's heartbeat tells it.
+/// Refused by the key-value store alone, a leader is replaced, and then the store fails for all: the new
+/// leader needs the vote of the old one, which does not know that its lease has ended. The fencing
+/// token in the new leader's heartbeat shows it.
 #[tokio::test]
-async fn a_leader_that_hears_of_a_later_one_gives_up_and_promises() {
+async fn a_superseded_leader_steps_down_and_votes_for_its_successor() {
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
     let now = node.now();
-    let lease = own(&node, 9);
+    let lease = lead(&node, 9);
     let _ = node.clients.kv.get("o/0/owner", KV_DEADLINE).await;
     clock.advance(Duration::from_secs(4));
-    let heartbeat = |fencing_token| PeerHeartbeat {
-        node_id: "n1".into(),
-        fencing_token: Some(fencing_token),
-        ..PeerHeartbeat::default()
-    };
-    record_heartbeat(&node, heartbeat(FencingToken::new(8)));
+    record_heartbeat(&node, peer_heartbeat("n1", Some(8)));
     assert!(
         !lease.ended(),
         "an older leader's late heartbeat proves nothing"
     );
     assert!(
         !grant_extension(&node, Duration::from_secs(1)),
-        "it may go on yet"
+        "it may still extend its lease"
     );
-    record_heartbeat(&node, heartbeat(FencingToken::new(10)));
+    record_heartbeat(&node, peer_heartbeat("n1", Some(10)));
     assert!(lease.ended());
     lease.record_renewal(now, now + Duration::from_secs(60));
     assert!(!lease.live(node.now()));
@@ -201,58 +196,58 @@
     assert!(grant_extension(&node, Duration::from_secs(1)));
 }
 
-/// Refused by the key-value store alone, a leader passes its deadline just before the
-/// service falls out for all. It may go on if all others stand aside, and none of
-/// them, nor an earlier run of theirs, can have taken the shard in between.
+/// Refused by the key-value store alone, a leader passes its lease deadline just before the store fails
+/// for all. It may continue if all peers abstain from campaigning, and none of them, nor an earlier
+/// incarnation of theirs, can have led the shard since.
 #[tokio::test]
-async fn who_has_taken_the_shard_since_does_not_stand_aside() {
+async fn a_later_leader_does_not_vote_for_lease_revival() {
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
     clock.advance(Duration::from_secs(2));
     let renewed = node.now();
     clock.advance(Duration::from_secs(4));
-    let asked = |fencing_token| {
+    let vote = |fencing_token| {
         let frame = ReviveLease {
             fencing_token: FencingToken::new(fencing_token),
             millis: 1000,
         }
         .encode();
-        let asked = ReviveLease::decode(&frame).expect("a frame");
-        let answer = vote_on_revival(&node, &asked).encode();
+        let request = ReviveLease::decode(&frame).expect("a frame");
+        let answer = vote_on_revival(&node, &request).encode();
         RevivalVote::decode(&answer).expect("a frame")
     };
     assert!(
-        !asked(9).granted,
-        "it is served, and seeks the shard itself"
+        !vote(9).granted,
+        "the store serves it, and it campaigns itself"
     );
     let _ = node.clients.kv.get("o/0/owner", KV_DEADLINE).await;
-    let answer = asked(9);
+    let answer = vote(9);
     assert!(proves_no_successor(&answer, node.now(), renewed));
     assert!(node.campaign_blocked_until().is_some());
-    // Its run began after that renewal: an earlier one may have been the leader.
+    // Its incarnation started after that renewal: an earlier one may have led the shard.
     let before = renewed - Duration::from_secs(3);
     assert!(!proves_no_successor(&answer, node.now(), before));
     node.lock().candidacy.latest_fencing_token = FencingToken::new(10);
-    assert!(!asked(9).granted, "it has owned the shard since");
-    assert!(asked(10).granted);
+    assert!(!vote(9).granted, "it has led the shard since");
+    assert!(vote(10).granted);
     node.lock().candidacy.acquiring = true;
-    assert!(!asked(10).granted);
-    // Two leaders in turn, both past their deadlines: the later one's question tells
-    // the earlier that its record is gone.
+    assert!(!vote(10).granted);
+    // Two leaders, both past their deadlines: the later one's request shows the earlier one
+    // that it has been superseded.
     node.lock().candidacy.acquiring = false;
-    let earlier = own(&node, 10);
-    assert!(!asked(9).granted && !asked(10).granted && !earlier.ended());
-    asked(11);
+    let earlier = lead(&node, 10);
+    assert!(!vote(9).granted && !vote(10).granted && !earlier.ended());
+    vote(11);
     assert!(earlier.ended());
 }
 
-/// A leader that a cut has taken from the key-value store and all others.
+/// A leader that is partitioned from the key-value store and all peers.
 #[tokio::test]
-async fn a_leader_past_its_deadline_keeps_its_workers_and_gives_no_commands() {
+async fn a_leader_past_its_lease_deadline_renews_worker_leases_and_sends_no_commands() {
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
     node.lock().cancellations.caught_up(node.now());
-    let lease = own(&node, 9);
+    let lease = lead(&node, 9);
     let _ = node.clients.kv.get("o/0/owner", KV_DEADLINE).await;
     clock.advance(Duration::from_secs(4));
     let heartbeat = heartbeat(9);
--- a/src/coordination/tests/reach.rs
+++ b/src/coordination/tests/reach.rs
@@ -1,4 +1,4 @@
-//! A leader that heard too few workers, and whether it reaches them again.
+//! Eligibility of a leader that received heartbeats from too few workers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use axum::routing::get;
 use tokio::net::TcpListener;
 
-use super::peering::own;
+use super::peering::lead;
 use super::{heartbeat, node};
 use crate::clock::FakeClock;
 use crate::coordination::node::Node;
@@ -17,9 +17,9 @@
 
 const TOKEN: u64 = 7;
 
-/// A leader that has heard one worker, some time ago.
-fn leader_of_a_silent_worker(clock: &FakeClock, node: &Arc<Node>, addr: SocketAddr) {
-    let lease = own(node, TOKEN);
+/// Makes the controller a leader that has received no heartbeat from its only worker for a while.
+fn leader_of_an_unreachable_worker(clock: &FakeClock, node: &Arc<Node>, addr: SocketAddr) {
+    let lease = lead(node, TOKEN);
     let mut heartbeat = heartbeat(TOKEN);
     heartbeat.addr = addr.to_string();
     node.with_shard(&lease, "reports", |shard, now| {
@@ -30,20 +30,20 @@
     node.lock().leadership = None;
 }
 
-/// Found by reading: after 30 s a leader that still heard nobody counted as fit, and was
-/// handed the shard again for being nearer to the machines.
+/// Found in review: after 30 s a leader that still received no heartbeat was eligible, and was elected
+/// again because it was in the same zone as the machines.
 #[tokio::test]
-async fn a_leader_that_heard_too_few_stays_unfit_while_they_do_not_answer() {
+async fn a_leader_with_too_few_heartbeats_stays_ineligible_while_workers_do_not_answer() {
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
     // Nothing listens on port 1.
-    leader_of_a_silent_worker(&clock, &node, ([127, 0, 0, 1], 1).into());
+    leader_of_an_unreachable_worker(&clock, &node, ([127, 0, 0, 1], 1).into());
     for _ in 0..20 {
         clock.advance(Duration::from_secs(5));
         probe_unreachable_workers(&node).await;
         assert!(own_heartbeat(&node).ineligible);
     }
-    // The machines may be gone: it doesn't wait for them for ever.
+    // The machines may be lost: the leader does not wait for them for ever.
     clock.advance(Duration::from_secs(600));
     probe_unreachable_workers(&node).await;
     clock.advance(Duration::from_secs(60));
@@ -52,14 +52,14 @@
 }
 
 #[tokio::test]
-async fn a_leader_that_heard_too_few_is_fit_again_some_time_after_they_answer() {
+async fn a_leader_with_too_few_heartbeats_is_eligible_again_some_time_after_workers_answer() {
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
     let addr = listener.local_addr().expect("its address");
     let worker = Router::new().route("/status", get(async || "{}"));
     tokio::spawn(async move { axum::serve(listener, worker).await });
-    leader_of_a_silent_worker(&clock, &node, addr);
+    leader_of_an_unreachable_worker(&clock, &node, addr);
     clock.advance(Duration::from_secs(5));
     probe_unreachable_workers(&node).await;
     assert!(
--- a/src/coordination/tests/scale.rs
+++ b/src/coordination/tests/scale.rs
@@ -1,4 +1,4 @@
-//! What controllers say to one another of very many jobs.
+//! Heartbeats between controllers about very many jobs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use hyper::{Method, StatusCode};
 use tokio::net::TcpListener;
 
-use super::peering::own;
+use super::peering::lead;
 use super::{heartbeat, node, peer};
 use crate::api;
 use crate::clock::FakeClock;
@@ -21,8 +21,9 @@
 
 const TOKEN: u64 = 7;
 const JOBS: u32 = 100_000;
-const BEGUN: u32 = 40_000;
-const TASKS_ON_ONE: usize = 200;
+/// The jobs of which a task runs.
+const STARTED: u32 = 40_000;
+const TASKS_PER_MACHINE: usize = 200;
 
 const SUBMISSION: &str = r#"{"NameId":"run-1","Repertoire":"sums","Section":"red","Form":"batch",
     "Tempo":"standard","Voices":1,"Cores":0.25,"Accelerators":0.0,"MemGb":0.5,"Score":"img-0",
@@ -31,7 +32,7 @@
 
 /// A leader of very many jobs of one task, some of which run.
 fn leader_of_many_jobs(node: &Arc<Node>) {
-    let lease = own(node, TOKEN);
+    let lease = lead(node, TOKEN);
     let parsed = crate::protocol::users::parse_submission(SUBMISSION.as_bytes());
     let (_, spec) = parsed.expect("a submission");
     node.with_shard(&lease, "jobs", |shard, now| {
@@ -43,10 +44,10 @@
             };
             shard.job_accepted(&format!("run-{n:06}"), TOKEN + 1, record, now);
         }
-        for first in (0..BEGUN).step_by(TASKS_ON_ONE) {
+        for first in (0..STARTED).step_by(TASKS_PER_MACHINE) {
             let mut running = heartbeat(TOKEN);
             running.machine = format!("vm-{first:06}");
-            running.tasks = (first..first + TASKS_ON_ONE as u32)
+            running.tasks = (first..first + TASKS_PER_MACHINE as u32)
                 .map(|n| TaskStatus {
                     task: TaskId::parse(&format!("run-{n:06}/0")).expect("a task"),
                     attempt: 9,
@@ -60,17 +61,17 @@
     });
 }
 
-/// A heartbeat told of every unfinished job: at 75,000 it was larger than what its receiver
-/// reads, and its sender seemed to be gone.
+/// Found in a large deployment: a heartbeat listed every unfinished job, and at 75,000 jobs it was larger
+/// than what its receiver reads, so that its sender seemed to have crashed.
 #[tokio::test]
 async fn the_heartbeat_of_a_leader_of_a_hundred_thousand_jobs_is_read() {
     let clock = Arc::new(FakeClock::new());
     let (sender, receiver) = (node(clock.clone()), peer(clock.clone()));
     leader_of_many_jobs(&sender);
     let heartbeat = leader_heartbeat(&sender);
-    assert_eq!(heartbeat.progress.len(), BEGUN as usize);
+    assert_eq!(heartbeat.progress.len(), STARTED as usize);
     let frame = encode_request(&PeerRequest::Heartbeat(heartbeat.clone()));
-    // What versions read that know no larger frames.
+    // The largest frame that older versions read.
     assert!(frame.len() < 2 << 20, "{} bytes", frame.len());
 
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
@@ -87,15 +88,15 @@
         running: 1,
     };
     assert_eq!(counts("run-000007"), Some(running));
-    assert_eq!(counts("run-099999"), None, "nothing of it has begun");
+    assert_eq!(counts("run-099999"), None, "no task of it has started");
 }
 
-/// When nothing runs any more, that is said as well.
+/// A heartbeat also reports that nothing runs any more.
 #[test]
-fn counts_of_jobs_that_run_no_more_are_not_kept() {
+fn counts_of_jobs_that_no_longer_run_are_dropped() {
     let clock = Arc::new(FakeClock::new());
     let (sender, receiver) = (node(clock.clone()), peer(clock.clone()));
-    let lease = own(&sender, TOKEN);
+    let lease = lead(&sender, TOKEN);
     let parsed = crate::protocol::users::parse_submission(SUBMISSION.as_bytes());
     let (id, spec) = parsed.expect("a submission");
     let record = JobRecord {
--- /dev/null
+++ b/tests/trial/late_transactions.rs
@@ -0,0 +1,110 @@
+//! A key-value store that commits transactions late, after their sender has given up on them.
+
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use crate::nodes::{DEADLINE, cancel, finish, poll, stage, submission, submit, two_nodes};
+use serde_json::{Value, json};
+use valegap::coordination::executor::execute;
+use valegap::coordination::leadership::lease::ShardLease;
+use valegap::coordination::shard::{Action, ShardWrite};
+use valegap::protocol::FencingToken;
+use valegap::protocol::kv::{Mutation, Transaction};
+use valegap::storage::kv_client::TransactionOutcome;
+use valegap::storage::keys;
+
+/// A submission is committed late: after its retry was accepted and the job cancelled. It must not
+/// open the job again.
+#[tokio::test]
+async fn a_late_submission_reopens_no_finished_job() {
+    let (store, first, second) = two_nodes().await;
+    let body = submission("run-000001", 1.0);
+    store.delay_next_write(&keys::job("run-000001"));
+    assert_eq!(submit(&first, &body).await.status, 503);
+    assert_eq!(store.delayed(), 1);
+    assert_eq!(submit(&second, &body).await.status, 201);
+    assert_eq!(submit(&first, &body).await.status, 200, "known already");
+    assert_eq!(stage(&cancel(&first, "run-000001").await), "cancelled");
+    assert_eq!(store.commit_delayed(), [false]);
+    for node in [&first, &second] {
+        assert_eq!(stage(&poll(node, "run-000001").await), "cancelled");
+        let again = submit(node, &body).await;
+        assert_eq!((again.status, stage(&again).as_str()), (200, "cancelled"));
+    }
+    assert_eq!(store.value(&keys::job("run-000001")), None);
+}
+
+/// A cancellation that nobody confirmed is committed late, after the job is done; and one that is
+/// committed before the job is done is confirmed on its retry, by whichever controller.
+#[tokio::test]
+async fn a_late_cancellation_changes_no_final_stage_and_its_retry_is_confirmed() {
+    let (store, first, second) = two_nodes().await;
+    for id in ["run-000001", "run-000002"] {
+        assert_eq!(submit(&first, &submission(id, 1.0)).await.status, 201);
+    }
+    store.delay_next_write(&keys::final_job("run-000001"));
+    assert_eq!(cancel(&first, "run-000001").await.status, 503);
+    assert!(finish(&second, "run-000001").await);
+    assert_eq!(store.commit_delayed(), [false]);
+    for node in [&first, &second] {
+        assert_eq!(stage(&poll(node, "run-000001").await), "done");
+        assert_eq!(stage(&cancel(node, "run-000001").await), "done");
+    }
+    store.delay_next_write(&keys::final_job("run-000002"));
+    assert_eq!(cancel(&first, "run-000002").await.status, 503);
+    assert_eq!(store.commit_delayed(), [true]);
+    assert_eq!(stage(&cancel(&second, "run-000002").await), "cancelled");
+    // Who confirmed it reports it to other controllers, though another one had written it.
+    let confirmed = second.job_index.cancelled_after(0).expect("all are known");
+    assert_eq!(confirmed.len(), 1);
+    assert!(!finish(&second, "run-000002").await);
+    assert_eq!(stage(&poll(&first, "run-000002").await), "cancelled");
+}
+
+/// A shard write gets no answer, is retried, and is committed a second time after newer writes of the
+/// same leader.
+#[tokio::test]
+async fn a_late_shard_write_undoes_no_newer_one() {
+    let (store, node, _) = two_nodes().await;
+    let lease_id = node.clients.kv.grant_lease(Duration::from_secs(60), DEADLINE).await;
+    let lease_id = lease_id.expect("a lease");
+    let leader = Mutation::Put {
+        key: keys::leader(),
+        value: json!({ "v": 2, "label": "n0", "hold": lease_id, "run": 1 }),
+        lease: Some(lease_id),
+    };
+    let txn = Transaction::default().change(leader);
+    let Ok(TransactionOutcome::Committed { revision }) = node.clients.kv.txn(&txn, DEADLINE).await else {
+        panic!("the shard has no leader");
+    };
+    let now = Instant::now();
+    let until = now + Duration::from_secs(60);
+    let lease = Arc::new(ShardLease::new(
+        lease_id,
+        FencingToken::new(revision),
+        now,
+        until,
+        now,
+    ));
+    let key = keys::roster_page(0);
+    let write = |value: Value| {
+        let mutations = vec![Mutation::put(key.clone(), value)];
+        let purposes = Vec::new();
+        let action = Action::Write(ShardWrite {
+            purposes,
+            mutations,
+        });
+        execute(node.clone(), lease.clone(), action)
+    };
+    store.delay_next_write(&key);
+    write(json!("first")).await;
+    assert_eq!(store.delayed(), 1, "the first try got no answer");
+    assert_eq!(store.value(&key), Some(json!("first")));
+    write(json!("second")).await;
+    assert_eq!(store.commit_delayed(), [false]);
+    assert_eq!(store.value(&key), Some(json!("second")));
+    // The next write of the leader finds the sequence number that it expects.
+    write(json!("third")).await;
+    assert_eq!(store.value(&key), Some(json!("third")));
+    assert!(!lease.ended());
+}
--- /dev/null
+++ b/tests/trial/nodes.rs
@@ -0,0 +1,111 @@
+//! Controllers inside the test process, without background tasks, and users that call them directly.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use crate::settings::{ControllerSettings, Peer};
+use crate::support::kv::{KvStore, routes};
+use serde_json::{Value, json};
+use valegap::clock::SteadyClock;
+use valegap::coordination::node::Node;
+use valegap::coordination::requests::{RequestOrigin, UserRequest, UserResponse, answer};
+use valegap::protocol::cloud::MachineType;
+use valegap::protocol::users::{Stage, parse_submission};
+use valegap::settings::{Operator, Platform, Settings};
+use valegap::storage::kv_client::TransactionOutcome;
+use valegap::storage::records::FinalRecord;
+use valegap::storage::{job_transition, keys};
+
+/// The deadline of a request to the key-value store.
+pub const DEADLINE: Duration = Duration::from_secs(2);
+/// A controller that knows the machine types, without background tasks and peers.
+pub fn node(node_id: &str, kv: SocketAddr) -> Arc<Node> {
+    node_among(node_id, kv, Vec::new())
+}
+
+/// The same with peers.
+pub fn node_among(node_id: &str, kv: SocketAddr, peers: Vec<Peer>) -> Arc<Node> {
+    let settings = ControllerSettings {
+        kv,
+        peers,
+        cores_max: 8,
+        accelerators_max: 3,
+        ..ControllerSettings::new(node_id)
+    };
+    let settings = Settings {
+        platform: Platform::parse("test", &settings.to_json().to_string()).expect("valid settings"),
+        operator: Operator::default(),
+    };
+    let node = Node::new(settings, Arc::new(SteadyClock));
+    node.lock().types = Some(vec![MachineType {
+        name: "m8".into(),
+        cores: 8.0,
+        accelerators: 2.0,
+        mem_gb: 32.0,
+        cache_gb: 50.0,
+        fetch_gb_per_s: 1.0,
+        price: 1.0,
+        spot_price: None,
+        startup_s: 10.0,
+        zones: vec!["north".into()],
+    }]);
+    node
+}
+
+/// A key-value store and two controllers.
+pub async fn two_nodes() -> (KvStore, Arc<Node>, Arc<Node>) {
+    let store = KvStore::default();
+    let kv = crate::support::serve(routes(store.clone())).await;
+    (store, node("n0", kv), node("n1", kv))
+}
+
+pub fn submission(id: &str, cores: f64) -> Value {
+    json!({ "NameId": id, "Repertoire": "sums", "Section": "red", "Form": "batch",
+        "Tempo": "standard", "Voices": 2, "Cores": cores, "Accelerators": 0.0, "MemGb": 1.0,
+        "Score": "img", "ImageGb": 0.1, "OneZone": false, "Scatter": false, "Borrowed": false,
+        "DurationS": 1.5, "BreathS": 0.0, "FermataS": 0.0 })
+}
+
+pub async fn submit(node: &Arc<Node>, body: &Value) -> UserResponse {
+    answer(
+        node,
+        UserRequest::Submit(body.to_string().into_bytes()),
+        RequestOrigin::User,
+    )
+    .await
+}
+
+pub async fn cancel(node: &Arc<Node>, id: &str) -> UserResponse {
+    answer(
+        node,
+        UserRequest::Cancel(id.to_owned()),
+        RequestOrigin::User,
+    )
+    .await
+}
+
+pub async fn poll(node: &Arc<Node>, id: &str) -> UserResponse {
+    answer(node, UserRequest::Poll(id.to_owned()), RequestOrigin::User).await
+}
+
+pub fn stage(reply: &UserResponse) -> String {
+    let body: Value = serde_json::from_slice(&reply.body).expect("JSON");
+    body["Stage"].as_str().unwrap_or_default().to_owned()
+}
+
+/// Writes that a job is done, as its leader does; false if it is finished already.
+pub async fn finish(node: &Arc<Node>, id: &str) -> bool {
+    let Some(item) = node.clients.kv.get(&keys::job(id), DEADLINE).await.expect("served") else {
+        return false;
+    };
+    let body = submission(id, 1.0).to_string();
+    let (_, spec) = parse_submission(body.as_bytes()).expect("a submission");
+    let last = FinalRecord::new(Stage::Done, spec);
+    let txn = job_transition::finish_job(id, item.mod_revision, &last).expect("a transaction");
+    matches!(
+        node.clients.kv.txn(&txn, DEADLINE).await,
+        Ok(TransactionOutcome::Committed { .. })
+    )
+}
+
