--- a/tests/support/settings.rs
+++ b/tests/support/settings.rs
@@ -5,10 +5,7 @@
 use serde_json::{Value, json};
 
 /// An address at which nothing listens.
-const NOBODY: SocketAddr = SocketAddr::new(
-    std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST),
-    1,
-);
+const NOBODY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
 
 /// Another controller, as this one's settings name it.
 #[derive(Clone)]
@@ -52,9 +49,7 @@
     }
 
     pub fn to_json(&self) -> Value {
-        let peer = |peer: &Peer| {
-            json!({ "label": peer.node_id, "area": "north", "address": peer.internal })
-        };
+        let peer = |peer: &Peer| json!({ "label": peer.node_id, "area": "north", "address": peer.internal });
         json!({
             "label": self.node_id, "area": "north", "front": self.front,
             "internal_addr": self.internal,
--- a/tests/trial/late_transactions.rs
+++ b/tests/trial/late_transactions.rs
@@ -7,11 +7,12 @@
 use serde_json::{Value, json};
 use valegap::coordination::executor::execute;
 use valegap::coordination::leadership::lease::ShardLease;
+use valegap::coordination::node::Node;
 use valegap::coordination::shard::{Action, ShardWrite};
 use valegap::protocol::FencingToken;
 use valegap::protocol::kv::{Mutation, Transaction};
-use valegap::storage::kv_client::TransactionOutcome;
 use valegap::storage::keys;
+use valegap::storage::kv_client::TransactionOutcome;
 
 /// A submission is committed late: after its retry was accepted and the job cancelled. It must not
 /// open the job again.
@@ -66,26 +67,7 @@
 #[tokio::test]
 async fn a_late_shard_write_undoes_no_newer_one() {
     let (store, node, _) = two_nodes().await;
-    let lease_id = node.clients.kv.grant_lease(Duration::from_secs(60), DEADLINE).await;
-    let lease_id = lease_id.expect("a lease");
-    let leader = Mutation::Put {
-        key: keys::leader(),
-        value: json!({ "v": 2, "label": "n0", "hold": lease_id, "run": 1 }),
-        lease: Some(lease_id),
-    };
-    let txn = Transaction::default().change(leader);
-    let Ok(TransactionOutcome::Committed { revision }) = node.clients.kv.txn(&txn, DEADLINE).await else {
-        panic!("the shard has no leader");
-    };
-    let now = Instant::now();
-    let until = now + Duration::from_secs(60);
-    let lease = Arc::new(ShardLease::new(
-        lease_id,
-        FencingToken::new(revision),
-        now,
-        until,
-        now,
-    ));
+    let lease = acquire_leadership(&node).await;
     let key = keys::roster_page(0);
     let write = |value: Value| {
         let mutations = vec![Mutation::put(key.clone(), value)];
@@ -108,3 +90,32 @@
     assert_eq!(store.value(&key), Some(json!("third")));
     assert!(!lease.ended());
 }
+
+/// Makes a controller the leader of the shard.
+async fn acquire_leadership(node: &Node) -> Arc<ShardLease> {
+    let lease_id = node
+        .clients
+        .kv
+        .grant_lease(Duration::from_secs(60), DEADLINE)
+        .await;
+    let lease_id = lease_id.expect("a lease");
+    let leader = Mutation::Put {
+        key: keys::leader(),
+        value: json!({ "v": 2, "label": "n0", "hold": lease_id, "run": 1 }),
+        lease: Some(lease_id),
+    };
+    let txn = Transaction::default().change(leader);
+    let Ok(TransactionOutcome::Committed { revision }) = node.clients.kv.txn(&txn, DEADLINE).await
+    else {
+        panic!("the shard has no leader");
+    };
+    let now = Instant::now();
+    let until = now + Duration::from_secs(60);
+    Arc::new(ShardLease::new(
+        lease_id,
+        FencingToken::new(revision),
+        now,
+        until,
+        now,
+    ))
+}
--- a/tests/trial/nodes.rs
+++ b/tests/trial/nodes.rs
@@ -96,7 +96,13 @@
 
 /// Writes that a job is done, as its leader does; false if it is finished already.
 pub async fn finish(node: &Arc<Node>, id: &str) -> bool {
-    let Some(item) = node.clients.kv.get(&keys::job(id), DEADLINE).await.expect("served") else {
+    let Some(item) = node
+        .clients
+        .kv
+        .get(&keys::job(id), DEADLINE)
+        .await
+        .expect("served")
+    else {
         return false;
     };
     let body = submission(id, 1.0).to_string();
@@ -108,4 +114,3 @@
         Ok(TransactionOutcome::Committed { .. })
     )
 }
-
--- a/tests/trial/older_controller.rs
+++ b/tests/trial/older_controller.rs
@@ -6,7 +6,7 @@
 use crate::nodes::{DEADLINE, node_among};
 use crate::settings::Peer;
 use valegap::coordination::leadership::lease::ShardLease;
-use valegap::coordination::peering::cancellations::ask_for_cancellations;
+use valegap::coordination::peering::cancellations::query_cancellations;
 use valegap::coordination::peering::lease_votes::{all_grant_extension, all_vote_for_revival};
 use valegap::coordination::worker_leases::cancellation_freshness;
 use valegap::protocol::FencingToken;
@@ -44,7 +44,7 @@
     // It renews workers' leases until the staleness bound after its own last catch-up read.
     let bound = cancellation_freshness::bound(&node.settings);
     node.lock().cancellations.caught_up(now);
-    ask_for_cancellations(node.clone(), node.settings.platform.others[0].clone(), 0).await;
+    query_cancellations(node.clone(), node.settings.platform.others[0].clone(), 0).await;
     assert!(
         node.lock().peers.older.contains_key("n1"),
         "logged, and not asked again for a while"
--- a/tests/trial/support/cloud.rs
+++ b/tests/trial/support/cloud.rs
@@ -1,4 +1,4 @@
-//! A cloud that rents machines; each comes up with a worker after a moment.
+//! A cloud that rents machines; each boots with a worker after a moment.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,14 +25,20 @@
     state: Arc<Mutex<Rented>>,
 }
 
+struct RentedMachine {
+    zone: String,
+    worker: JoinHandle<()>,
+}
+
 #[derive(Default)]
 struct Rented {
     next: u64,
-    machines: BTreeMap<String, (String, JoinHandle<()>)>,
+    machines: BTreeMap<String, RentedMachine>,
+    /// The machines rented under each request's name, which makes it idempotent.
     answers: BTreeMap<String, Vec<String>>,
 }
 
-/// The stand-in's routes; its machines heartbeat to these controllers.
+/// The routes of a cloud whose machines send heartbeats to these controllers.
 pub fn router(controllers: Vec<(String, SocketAddr)>) -> Router {
     let cloud = Cloud {
         controllers: Arc::new(controllers),
@@ -57,20 +63,24 @@
     if let Some(names) = state.answers.get(&rental.request) {
         return Json(json!({ "Stands": names })).into_response();
     }
-    let room = CAPACITY.saturating_sub(state.machines.len());
+    let free = CAPACITY.saturating_sub(state.machines.len());
     let mut names = Vec::new();
-    for _ in 0..room.min(rental.count as usize) {
+    for _ in 0..free.min(rental.count as usize) {
         state.next += 1;
         let name = format!("vm-{:06}", state.next);
         let controllers = cloud.controllers.clone();
         let (id, spot) = (name.clone(), rental.spot);
-        let task = tokio::spawn(async move {
+        let worker = tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(300)).await;
             worker::run(id, spot, controllers).await;
         });
-        state
-            .machines
-            .insert(name.clone(), (rental.zone.clone(), task));
+        state.machines.insert(
+            name.clone(),
+            RentedMachine {
+                zone: rental.zone.clone(),
+                worker,
+            },
+        );
         names.push(name);
     }
     if names.is_empty() {
@@ -86,8 +96,8 @@
     let machines: Vec<Value> = state
         .machines
         .iter()
-        .map(|(name, (zone, _))| {
-            json!({ "NameId": name, "Addr": "", "Instrument": "m4", "Hall": zone,
+        .map(|(name, machine)| {
+            json!({ "NameId": name, "Addr": "", "Instrument": "m4", "Hall": machine.zone,
                     "Borrowed": false, "Stage": "running", "HeldS": 5.0 })
         })
         .collect();
@@ -97,8 +107,8 @@
 async fn delete(State(cloud): State<Cloud>, Json(names): Json<MachineNames>) -> Json<Value> {
     let mut state = cloud.state.lock().expect("cloud");
     for name in names.machines {
-        if let Some((_, task)) = state.machines.remove(&name) {
-            task.abort();
+        if let Some(machine) = state.machines.remove(&name) {
+            machine.worker.abort();
         }
     }
     Json(json!({}))
--- a/tests/trial/support/cluster.rs
+++ b/tests/trial/support/cluster.rs
@@ -200,8 +200,7 @@
 
     /// Submits a job to one controller until it is accepted, or was before.
     pub async fn submit(&self, at: usize, job: &Value) -> Value {
-        let accepted =
-            |answer: &Answer, _: &Value| answer.status == 201 || answer.status == 200;
+        let accepted = |answer: &Answer, _: &Value| answer.status == 201 || answer.status == 200;
         self.retry(at, Method::POST, "/v1/jobs", Some(job), accepted)
             .await
     }
--- a/tests/trial/support/kv.rs
+++ b/tests/trial/support/kv.rs
@@ -1,4 +1,4 @@
-//! A key-value store: keys with versions, transactions, leases and watches.
+//! A key-value store: keys with revisions, compare-and-swap transactions, leases and watches.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex};
@@ -11,35 +11,84 @@
 use axum::routing::{delete, get, post};
 use serde_json::{Value, json};
 use tokio::sync::Notify;
-use valegap::protocol::kv::{KeyValue, LeaseRequest, Mutation, Transaction};
+use valegap::protocol::kv::{KeyValue, LeaseRequest, Mutation, Precondition, Transaction};
+
+struct StoredKey {
+    value: Value,
+    mod_revision: u64,
+    lease: Option<u64>,
+}
+
+struct Lease {
+    time_to_live: Duration,
+    expires_at: Instant,
+}
+
+/// An event of a watch, at the revision of its change.
+struct LoggedEvent {
+    key: String,
+    revision: u64,
+    event: Value,
+}
 
 #[derive(Default)]
 struct Store {
-    keys: BTreeMap<String, (Value, u64, Option<u64>)>,
+    keys: BTreeMap<String, StoredKey>,
     revision: u64,
-    /// Time to live and end of each lease.
-    leases: HashMap<u64, (Duration, Instant)>,
+    leases: HashMap<u64, Lease>,
     next_lease: u64,
-    log: Vec<(String, u64, Value)>,
+    log: Vec<LoggedEvent>,
 }
 
 impl Store {
+    fn log(&mut self, key: String, event: Value) {
+        let revision = self.revision;
+        self.log.push(LoggedEvent {
+            key,
+            revision,
+            event,
+        });
+    }
+
     fn drop_key(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
             let event = json!({ "Drop": key, "Mark": self.revision });
-            self.log.push((key.to_owned(), self.revision, event));
+            self.log(key.to_owned(), event);
+        }
+    }
+
+    /// Whether a mutation attaches its key to a lease that does not exist.
+    fn lacks_lease(&self, mutation: &Mutation) -> bool {
+        match mutation {
+            Mutation::Put { lease, .. } => lease.is_some_and(|id| !self.leases.contains_key(&id)),
+            Mutation::Delete { .. } => false,
         }
     }
 
+    /// The keys whose preconditions do not hold.
+    fn failed_preconditions(&self, txn: &Transaction) -> Vec<String> {
+        let holds = |precondition: &&Precondition| {
+            let stored = self.keys.get(&precondition.key);
+            stored.map_or(0, |stored| stored.mod_revision) == precondition.mod_revision
+        };
+        let failed = txn
+            .preconditions
+            .iter()
+            .filter(|precondition| !holds(precondition));
+        failed
+            .map(|precondition| precondition.key.clone())
+            .collect()
+    }
+
     fn expire(&mut self) {
         let now = Instant::now();
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, (_, end))| *end <= now)
+            .filter(|(_, lease)| lease.expires_at <= now)
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
+        for id in expired {
             self.revoke_lease(id);
         }
     }
@@ -51,7 +100,7 @@
         let attached: Vec<String> = self
             .keys
             .iter()
-            .filter(|(_, (_, _, lease))| *lease == Some(id))
+            .filter(|(_, stored)| stored.lease == Some(id))
             .map(|(key, _)| key.clone())
             .collect();
         if !attached.is_empty() {
@@ -63,81 +112,88 @@
     }
 }
 
-/// Transactions that get no answer and are carried out late.
+/// Transactions that get no answer and are committed late.
 #[derive(Default)]
-struct Late {
-    /// The next one that writes this key is held up.
-    hold: Option<String>,
-    held: Vec<Transaction>,
+struct Delayed {
+    /// The next transaction that writes this key is delayed.
+    key: Option<String>,
+    transactions: Vec<Transaction>,
 }
 
-/// The stand-in.
+/// The simulated store.
 #[derive(Clone, Default)]
-pub struct Service {
+pub struct KvStore {
     store: Arc<Mutex<Store>>,
     changed: Arc<Notify>,
-    late: Arc<Mutex<Late>>,
+    delayed: Arc<Mutex<Delayed>>,
 }
 
-impl Service {
-    /// Takes in keys as another service held them, with their versions; whose lease
-    /// has ended since is not among them.
+impl KvStore {
+    /// Restores recorded keys with their revisions, except those whose lease has
+    /// expired since.
     pub fn restore(&self, items: &[KeyValue]) {
         let mut store = self.store.lock().expect("store");
         for item in items.iter().filter(|item| item.lease.is_none()) {
-            let entry = (item.value.clone(), item.mod_revision, None);
-            store.keys.insert(item.key.clone(), entry);
+            let stored = StoredKey {
+                value: item.value.clone(),
+                mod_revision: item.mod_revision,
+                lease: None,
+            };
+            store.keys.insert(item.key.clone(), stored);
             store.revision = store.revision.max(item.mod_revision);
         }
     }
 
-    /// Carries out a transaction that comes from nowhere; false if it fails.
+    /// Commits a transaction without a sender; false if a precondition fails.
     pub fn apply(&self, txn: Transaction) -> bool {
         self.execute(txn).status() == StatusCode::OK
     }
 
-    /// The next transaction that writes this key gets no answer, and isn't
-    /// carried out before it is released.
-    pub fn hold_up(&self, key: &str) {
-        self.late.lock().expect("late").hold = Some(key.to_owned());
+    /// The next transaction that writes this key gets no answer, and is committed only
+    /// by [`Self::commit_delayed`].
+    pub fn delay_next_write(&self, key: &str) {
+        self.delayed.lock().expect("delayed").key = Some(key.to_owned());
     }
 
-    /// How many transactions are held up.
-    pub fn held(&self) -> usize {
-        self.late.lock().expect("late").held.len()
+    /// How many transactions are delayed.
+    pub fn delayed(&self) -> usize {
+        self.delayed.lock().expect("delayed").transactions.len()
     }
 
-    /// Carries out what was held up: for each whether it changed anything.
-    pub fn release(&self) -> Vec<bool> {
-        let held = std::mem::take(&mut self.late.lock().expect("late").held);
-        let carried_out = |txn| self.execute(txn).status() == StatusCode::OK;
-        held.into_iter().map(carried_out).collect()
+    /// Commits the delayed transactions; for each, whether its preconditions held.
+    pub fn commit_delayed(&self) -> Vec<bool> {
+        let mut delayed = self.delayed.lock().expect("delayed");
+        let transactions = std::mem::take(&mut delayed.transactions);
+        drop(delayed);
+        let committed = |txn| self.execute(txn).status() == StatusCode::OK;
+        transactions.into_iter().map(committed).collect()
     }
 
     /// The value of a key.
     pub fn value(&self, key: &str) -> Option<Value> {
         let store = self.store.lock().expect("store");
-        store.keys.get(key).map(|(value, ..)| value.clone())
+        store.keys.get(key).map(|stored| stored.value.clone())
     }
 
-    fn holds_up(&self, txn: &Transaction) -> bool {
-        let mut late = self.late.lock().expect("late");
+    /// Whether a transaction is delayed.
+    fn delays(&self, txn: &Transaction) -> bool {
+        let mut delayed = self.delayed.lock().expect("delayed");
         let writes = |key: &str| {
             txn.mutations.iter().any(|change| match change {
                 Mutation::Put { key: put, .. } => put == key,
-                Mutation::Delete { key: gone } => gone == key,
+                Mutation::Delete { key: deleted } => deleted == key,
             })
         };
-        let held = late.hold.as_deref().is_some_and(writes);
-        if held {
-            late.hold = None;
-            late.held.push(txn.clone());
+        let matches = delayed.key.as_deref().is_some_and(writes);
+        if matches {
+            delayed.key = None;
+            delayed.transactions.push(txn.clone());
         }
-        held
+        matches
     }
 }
 
-type Asked = Query<HashMap<String, String>>;
+type Parameters = Query<HashMap<String, String>>;
 
 fn number(query: &HashMap<String, String>, name: &str) -> u64 {
     query
@@ -146,8 +202,8 @@
         .unwrap_or(0)
 }
 
-/// The routes of a stand-in whose answers a test holds up.
-pub fn routes(service: Service) -> Router {
+/// The routes of a store.
+pub fn routes(service: KvStore) -> Router {
     let ticking = service.clone();
     tokio::spawn(async move {
         loop {
@@ -162,18 +218,20 @@
         .route("/txn", post(txn))
         .route("/holds", post(grant))
         .route("/holds/{id}/renew", post(renew))
-        .route("/holds/{id}", delete(end))
-        .route("/follow", get(follow))
+        .route("/holds/{id}", delete(revoke))
+        .route("/follow", get(watch))
         .with_state(service)
 }
 
-async fn read(State(service): State<Service>, Path(key): Path<String>) -> Response {
+async fn read(State(service): State<KvStore>, Path(key): Path<String>) -> Response {
     let store = service.store.lock().expect("store");
     match store.keys.get(&key) {
-        Some((value, mod_revision, lease)) => {
-            Json(json!({ "Path": key, "V": value, "Mark": mod_revision, "Tenure": lease }))
-                .into_response()
-        }
+        Some(StoredKey {
+            value,
+            mod_revision,
+            lease,
+        }) => Json(json!({ "Path": key, "V": value, "Mark": mod_revision, "Tenure": lease }))
+            .into_response(),
         None => {
             let body = Json(json!({ "Edition": store.revision }));
             (StatusCode::NOT_FOUND, body).into_response()
@@ -181,7 +239,7 @@
     }
 }
 
-async fn list(State(service): State<Service>, Query(query): Asked) -> Json<Value> {
+async fn list(State(service): State<KvStore>, Query(query): Parameters) -> Json<Value> {
     let prefix = query.get("Prefix").cloned().unwrap_or_default();
     let after = query.get("After").cloned().unwrap_or_default();
     let most = number(&query, "Most").clamp(1, 1000) as usize;
@@ -190,42 +248,34 @@
         .keys
         .range(prefix.clone()..)
         .filter(|(key, _)| key.starts_with(&prefix) && **key > after)
-        .map(|(key, (value, mod_revision, _))| json!({ "Path": key, "V": value, "Mark": mod_revision }));
+        .map(
+            |(key, stored)| json!({ "Path": key, "V": stored.value, "Mark": stored.mod_revision }),
+        );
     let items: Vec<Value> = found.by_ref().take(most).collect();
     let more = found.next().is_some();
     Json(json!({ "Pairs": items, "HasNext": more, "Edition": store.revision }))
 }
 
-async fn txn(State(service): State<Service>, Json(txn): Json<Transaction>) -> Response {
-    if service.holds_up(&txn) {
+async fn txn(State(service): State<KvStore>, Json(txn): Json<Transaction>) -> Response {
+    if service.delays(&txn) {
         std::future::pending::<()>().await;
     }
     service.execute(txn)
 }
 
-impl Service {
+impl KvStore {
     fn execute(&self, txn: Transaction) -> Response {
         let mut store = self.store.lock().expect("store");
         store.expire();
-        for change in &txn.mutations {
-            if let Mutation::Put {
-                lease: Some(id), ..
-            } = change
-                && !store.leases.contains_key(id)
-            {
-                let body = Json(json!({ "error": "no such lease" }));
-                return (StatusCode::BAD_REQUEST, body).into_response();
-            }
-        }
-        let failed: Vec<&String> = txn
-            .preconditions
+        if txn
+            .mutations
             .iter()
-            .filter(|guard| {
-                let mod_revision = store.keys.get(&guard.key).map_or(0, |entry| entry.1);
-                mod_revision != guard.mod_revision
-            })
-            .map(|guard| &guard.key)
-            .collect();
+            .any(|mutation| store.lacks_lease(mutation))
+        {
+            let body = Json(json!({ "error": "no such lease" }));
+            return (StatusCode::BAD_REQUEST, body).into_response();
+        }
+        let failed = store.failed_preconditions(&txn);
         if !failed.is_empty() {
             let body = Json(json!({ "failed": failed, "Edition": store.revision }));
             return (StatusCode::CONFLICT, body).into_response();
@@ -238,8 +288,13 @@
             match change {
                 Mutation::Put { key, value, lease } => {
                     let event = json!({ "Write": key, "V": value, "Mark": revision });
-                    store.log.push((key.clone(), revision, event));
-                    store.keys.insert(key, (value, revision, lease));
+                    store.log(key.clone(), event);
+                    let stored = StoredKey {
+                        value,
+                        mod_revision: revision,
+                        lease,
+                    };
+                    store.keys.insert(key, stored);
                 }
                 Mutation::Delete { key } => store.drop_key(&key),
             }
@@ -250,34 +305,38 @@
     }
 }
 
-async fn grant(State(service): State<Service>, Json(request): Json<LeaseRequest>) -> Json<Value> {
+async fn grant(State(service): State<KvStore>, Json(request): Json<LeaseRequest>) -> Json<Value> {
     let mut store = service.store.lock().expect("store");
     store.next_lease += 1;
     let id = store.next_lease;
-    let ttl = Duration::from_millis(request.ttl_ms);
-    store.leases.insert(id, (ttl, Instant::now() + ttl));
+    let time_to_live = Duration::from_millis(request.ttl_ms);
+    let lease = Lease {
+        time_to_live,
+        expires_at: Instant::now() + time_to_live,
+    };
+    store.leases.insert(id, lease);
     Json(json!({ "Tenure": id }))
 }
 
-async fn renew(State(service): State<Service>, Path(id): Path<u64>) -> StatusCode {
+async fn renew(State(service): State<KvStore>, Path(id): Path<u64>) -> StatusCode {
     let mut store = service.store.lock().expect("store");
     store.expire();
     match store.leases.get_mut(&id) {
-        Some((ttl, end)) => {
-            *end = Instant::now() + *ttl;
+        Some(lease) => {
+            lease.expires_at = Instant::now() + lease.time_to_live;
             StatusCode::OK
         }
         None => StatusCode::NOT_FOUND,
     }
 }
 
-async fn end(State(service): State<Service>, Path(id): Path<u64>) -> StatusCode {
+async fn revoke(State(service): State<KvStore>, Path(id): Path<u64>) -> StatusCode {
     service.store.lock().expect("store").revoke_lease(id);
     service.changed.notify_waiters();
     StatusCode::OK
 }
 
-async fn follow(State(service): State<Service>, Query(query): Asked) -> Json<Value> {
+async fn watch(State(service): State<KvStore>, Query(query): Parameters) -> Json<Value> {
     let prefix = query.get("Prefix").cloned().unwrap_or_default();
     let after = number(&query, "After");
     let end = Instant::now() + Duration::from_millis(number(&query, "HoldMs"));
@@ -288,8 +347,8 @@
             let events: Vec<&Value> = store
                 .log
                 .iter()
-                .filter(|(key, revision, _)| *revision > after && key.starts_with(&prefix))
-                .map(|(_, _, event)| event)
+                .filter(|logged| logged.revision > after && logged.key.starts_with(&prefix))
+                .map(|logged| &logged.event)
                 .collect();
             if !events.is_empty() || Instant::now() >= end {
                 return Json(json!({ "Edition": store.revision, "News": events }));
--- a/tests/trial/support/mod.rs
+++ b/tests/trial/support/mod.rs
@@ -1,6 +1,7 @@
-//! Stand-ins for what surrounds the controllers, on loopback.
+//! What surrounds the controllers, simulated on loopback, and the controllers themselves.
 
 pub mod cloud;
+pub mod cluster;
 pub mod kv;
 pub mod worker;
 
@@ -9,7 +10,7 @@
 use axum::Router;
 use tokio::net::TcpListener;
 
-/// Serves a stand-in on a free port.
+/// Serves a simulated service on a free port.
 pub async fn serve(router: Router) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let addr = listener.local_addr().expect("an address");
--- a/tests/trial/support/worker.rs
+++ b/tests/trial/support/worker.rs
@@ -1,4 +1,4 @@
-//! A worker: heartbeats to one controller at a time, runs tasks by the clock.
+//! A worker: it sends heartbeats to one controller at a time, and runs tasks by the clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -21,20 +21,20 @@
 use valegap::transport::client::HttpClient;
 
 const HEARTBEAT: Duration = Duration::from_millis(500);
-/// How long every task runs; services in the trial are cancelled.
+/// How long every task runs; services are cancelled before.
 const RUN: Duration = Duration::from_millis(1500);
 
-/// A gang's attempt: which of its tasks wait, and when all did.
+/// A gang's attempt: which of its tasks wait, and when the last of them did.
 #[derive(Default)]
-struct Together {
+struct GangAttempt {
     waiting: BTreeSet<u32>,
     started: Option<Instant>,
 }
 
-/// The gangs that workers know of, as users would have uploaded them, with their
-/// numbers of tasks; and their attempts, by which the tasks find one another.
+/// The numbers of tasks of the gangs that users have uploaded, and the attempts to run them,
+/// by which the tasks find one another.
 static GANGS: Mutex<BTreeMap<String, u32>> = Mutex::new(BTreeMap::new());
-static ATTEMPTS: Mutex<BTreeMap<(String, u64), Together>> = Mutex::new(BTreeMap::new());
+static ATTEMPTS: Mutex<BTreeMap<(String, u64), GangAttempt>> = Mutex::new(BTreeMap::new());
 
 /// Uploads the description of a gang.
 pub fn upload_gang(job: &str, tasks: u32) {
@@ -47,19 +47,27 @@
     if let Some(size) = size {
         let mut attempts = ATTEMPTS.lock().expect("attempts");
         let key = (task.job.to_string(), attempt);
-        let together = attempts.entry(key).or_default();
-        together.waiting.insert(task.index);
-        if together.waiting.len() as u32 == size {
-            together.started.get_or_insert(Instant::now());
+        let gang = attempts.entry(key).or_default();
+        gang.waiting.insert(task.index);
+        if gang.waiting.len() as u32 == size {
+            gang.started.get_or_insert(Instant::now());
         }
     }
 }
 
-/// If a task is one of a gang, when that started; None while it waits.
-fn gang_start(task: &TaskId, attempt: u64) -> Option<Option<Instant>> {
+/// Whether a task belongs to a gang, and when that has started.
+enum GangStart {
+    NotInGang,
+    Waiting,
+    At(Instant),
+}
+
+fn gang_start(task: &TaskId, attempt: u64) -> GangStart {
     let attempts = ATTEMPTS.lock().expect("attempts");
-    let together = attempts.get(&(task.job.to_string(), attempt))?;
-    Some(together.started)
+    match attempts.get(&(task.job.to_string(), attempt)) {
+        None => GangStart::NotInGang,
+        Some(gang) => gang.started.map_or(GangStart::Waiting, GangStart::At),
+    }
 }
 
 struct Machine {
@@ -68,16 +76,26 @@
     addr: String,
     sequence: u64,
     fencing_token: FencingToken,
-    tasks: BTreeMap<(TaskId, u64), (Instant, Option<AttemptOutcome>)>,
+    /// By task and attempt number.
+    tasks: BTreeMap<(TaskId, u64), RunningTask>,
+}
+
+struct RunningTask {
+    launched_at: Instant,
+    outcome: Option<AttemptOutcome>,
 }
 
 impl Machine {
     fn heartbeat(&mut self) -> WorkerHeartbeat {
         self.sequence += 1;
-        for ((task, attempt), (launched, outcome)) in &mut self.tasks {
-            let started = gang_start(task, *attempt).unwrap_or(Some(*launched));
-            if outcome.is_none() && started.is_some_and(|at| at.elapsed() >= RUN) {
-                *outcome = Some(AttemptOutcome::Done);
+        for ((task, attempt), running) in &mut self.tasks {
+            let started_at = match gang_start(task, *attempt) {
+                GangStart::NotInGang => running.launched_at,
+                GangStart::Waiting => continue,
+                GangStart::At(at) => at,
+            };
+            if running.outcome.is_none() && started_at.elapsed() >= RUN {
+                running.outcome = Some(AttemptOutcome::Done);
             }
         }
         WorkerHeartbeat {
@@ -93,15 +111,17 @@
             tasks: self
                 .tasks
                 .iter()
-                .map(|((task, attempt), (_, outcome))| TaskStatus {
+                .map(|((task, attempt), running)| TaskStatus {
                     task: task.clone(),
                     attempt: *attempt,
-                    state: match outcome {
+                    state: match running.outcome {
                         Some(_) => TaskState::Ended,
-                        None if gang_start(task, *attempt) == Some(None) => TaskState::Waiting,
+                        None if matches!(gang_start(task, *attempt), GangStart::Waiting) => {
+                            TaskState::Waiting
+                        }
                         None => TaskState::Running,
                     },
-                    outcome: *outcome,
+                    outcome: running.outcome,
                 })
                 .collect(),
         }
@@ -113,11 +133,14 @@
                 Command::Launch { task, attempt } => {
                     join(&task, attempt);
                     let entry = self.tasks.entry((task, attempt));
-                    entry.or_insert((Instant::now(), None));
+                    entry.or_insert(RunningTask {
+                        launched_at: Instant::now(),
+                        outcome: None,
+                    });
                 }
                 Command::Stop { task, attempt, .. } => {
-                    if let Some((_, outcome)) = self.tasks.get_mut(&(task, attempt)) {
-                        outcome.get_or_insert(AttemptOutcome::Stopped);
+                    if let Some(running) = self.tasks.get_mut(&(task, attempt)) {
+                        running.outcome.get_or_insert(AttemptOutcome::Stopped);
                     }
                 }
                 Command::Clear { task, attempt } => {
@@ -132,12 +155,12 @@
 
 async fn commands(State(machine): State<Shared>, Json(batch): Json<CommandBatch>) -> Response {
     let mut machine = machine.lock().expect("machine");
-    let taken = batch.fencing_token >= machine.fencing_token && batch.agent_epoch == 1;
-    if taken {
+    let accepted = batch.fencing_token >= machine.fencing_token && batch.agent_epoch == 1;
+    if accepted {
         machine.fencing_token = batch.fencing_token;
         machine.execute(batch.commands);
     }
-    let status = if taken {
+    let status = if accepted {
         StatusCode::OK
     } else {
         StatusCode::CONFLICT
@@ -160,14 +183,14 @@
     let router = Router::new()
         .route("/commands", post(commands))
         .with_state(machine.clone());
-    let heartbeats = heartbeat_for_ever(machine, controllers);
+    let heartbeats = send_heartbeats(machine, controllers);
     tokio::select! {
         served = async { axum::serve(listener, router).await } => served.expect("serving"),
         () = heartbeats => {}
     }
 }
 
-async fn heartbeat_for_ever(machine: Shared, controllers: Arc<Vec<(String, SocketAddr)>>) {
+async fn send_heartbeats(machine: Shared, controllers: Arc<Vec<(String, SocketAddr)>>) {
     let client = HttpClient::new();
     let mut at = 0;
     loop {
--- a/tests/upgrade/cluster.rs
+++ b/tests/upgrade/cluster.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use valegap::protocol::FencingToken;
 use serde_json::{Value, json};
 use valegap::coordination::leadership::stored_records::StoredRecords;
 use valegap::coordination::shard::{
     Action, CommandOutcome, HeartbeatOutcome, Policy, RentalOutcome, Shard, ShardWrite,
 };
+use valegap::protocol::FencingToken;
 use valegap::protocol::cloud::MachineType;
 use valegap::protocol::kv::{KeyValue, Mutation};
 use valegap::protocol::workers::{AttemptOutcome, Command, TaskState, TaskStatus, WorkerHeartbeat};
--- a/tests/upgrade/frames.rs
+++ b/tests/upgrade/frames.rs
@@ -14,12 +14,12 @@
 use valegap::storage::records::{InventoryRecord, RosterRecord};
 use valegap::storage::roster::{Roster, decode_page};
 
-const ASKED: &str = "6712000000000000";
-const TOLD: &str = "72756e2d31363734313972756e2d303030303033000000008a000000e8ffffff7012000000000000\
+const CANCELLATIONS_REQUEST: &str = "6712000000000000";
+const CONFIRMED_CANCELLATIONS: &str = "72756e2d31363734313972756e2d303030303033000000008a000000e8ffffff7012000000000000\
     8a000000e2ffffff7b12000000000000426c01000000000001000000d4ffffff0200000000000000";
-const FORGOTTEN: &str = "426c01000000000000000000000000000000000000000000";
-const ASIDE: &str = "5e03000000000000e803000000000000";
-const STOOD: &str = "0100000000000000426c010000000000";
+const INCOMPLETE_CANCELLATIONS: &str = "426c01000000000000000000000000000000000000000000";
+const REVIVE_LEASE_REQUEST: &str = "5e03000000000000e803000000000000";
+const REVIVAL_VOTE: &str = "0100000000000000426c010000000000";
 const INVENTORY: &str = r#"{"v":2,"term":862,"reports":[{"Stand":"vm-000231","Addr":"10.1.0.232:9000","Instrument":"lectern","Hall":"gdansk-loft","Borrowed":true,"Rehearsal":1,"Bar":88,"Baton":862,"CueS":null,"Voices":[{"Voice":"run-167419/3","Take":33554469,"Stage":"waiting"},{"Voice":"run-167419/4","Take":33554469,"Stage":"ended","Coda":"peers"}]}]}"#;
 const ROSTER_PAGE: &str = r#"{"machines":{"vm-000231":{"a":"10.1.0.232:9000","r":true,"s":true,"t":"lectern","z":"gdansk-loft"}},"v":2}"#;
 
@@ -33,24 +33,27 @@
     assert_eq!(CANCELLATIONS, "/peer/cancellations/1");
     assert_eq!(REVIVE_LEASE, "/peer/stand-aside/1");
 
-    let asked = CancellationsRequest { after: 4711 };
-    assert_eq!(asked.encode(), bytes(ASKED));
-    let read = CancellationsRequest::decode(&bytes(ASKED)).expect("a frame");
+    let request = CancellationsRequest { after: 4711 };
+    assert_eq!(request.encode(), bytes(CANCELLATIONS_REQUEST));
+    let read = CancellationsRequest::decode(&bytes(CANCELLATIONS_REQUEST)).expect("a frame");
     assert_eq!(read.after, 4711);
 
     let job = |job: &str, revision| CancelledJob {
         job: job.into(),
         revision,
     };
-    let told = ConfirmedCancellations {
+    let confirmed = ConfirmedCancellations {
         up_ms: 93_250,
         jobs: Some(vec![job("run-167419", 4720), job("run-000003", 4731)]),
     };
-    let forgotten = ConfirmedCancellations {
+    let incomplete = ConfirmedCancellations {
         up_ms: 93_250,
         jobs: None,
     };
-    for (frame, recorded) in [(told, TOLD), (forgotten, FORGOTTEN)] {
+    for (frame, recorded) in [
+        (confirmed, CONFIRMED_CANCELLATIONS),
+        (incomplete, INCOMPLETE_CANCELLATIONS),
+    ] {
         assert_eq!(frame.encode(), bytes(recorded));
         assert_eq!(
             ConfirmedCancellations::decode(&bytes(recorded)),
@@ -58,23 +61,26 @@
         );
     }
 
-    let aside = ReviveLease {
+    let revival = ReviveLease {
         fencing_token: FencingToken::new(862),
         millis: 1000,
     };
-    assert_eq!(aside.encode(), bytes(ASIDE));
-    assert_eq!(ReviveLease::decode(&bytes(ASIDE)), Some(aside));
+    assert_eq!(revival.encode(), bytes(REVIVE_LEASE_REQUEST));
+    assert_eq!(
+        ReviveLease::decode(&bytes(REVIVE_LEASE_REQUEST)),
+        Some(revival)
+    );
 
-    let stood = RevivalVote {
+    let vote = RevivalVote {
         granted: true,
         up_ms: 93_250,
     };
-    assert_eq!(stood.encode(), bytes(STOOD));
-    assert_eq!(RevivalVote::decode(&bytes(STOOD)), Some(stood));
+    assert_eq!(vote.encode(), bytes(REVIVAL_VOTE));
+    assert_eq!(RevivalVote::decode(&bytes(REVIVAL_VOTE)), Some(vote));
 }
 
 /// Reads a record and checks that it is written as it was.
-fn kept<T: Serialize + DeserializeOwned>(recorded: &str) -> T {
+fn round_trip<T: Serialize + DeserializeOwned>(recorded: &str) -> T {
     let record: T = serde_json::from_str(recorded).expect("a record");
     assert_eq!(serde_json::to_string(&record).expect("JSON"), recorded);
     record
@@ -83,7 +89,7 @@
 #[test]
 fn an_inventory_with_a_gang_is_that_of_the_version_in_production() {
     assert_eq!(keys::inventory("cellar-1", 3), "k/0/cellar-1/0003");
-    let inventory: InventoryRecord = kept(INVENTORY);
+    let inventory: InventoryRecord = round_trip(INVENTORY);
     let tasks = &inventory.heartbeats[0].tasks;
     assert_eq!(tasks[0].state, TaskState::Waiting);
     assert_eq!(tasks[1].outcome, Some(AttemptOutcome::GangPeerLost));
@@ -117,8 +123,8 @@
     let recorded = super::Recorded::with_gangs().values();
     let open: JobRecord = JobRecord::deserialize_from(&recorded["j/open/run-000006"]);
     assert_eq!((open.spec.kind, open.spec.tasks), (JobKind::Gang, 4));
-    let over: FinalRecord = FinalRecord::deserialize_from(&recorded["j/over/run-000007"]);
-    assert_eq!((over.spec.kind, over.tasks), (JobKind::Gang, 6));
+    let last: FinalRecord = FinalRecord::deserialize_from(&recorded["j/over/run-000007"]);
+    assert_eq!((last.spec.kind, last.tasks), (JobKind::Gang, 6));
 }
 
 /// Reads a stored value and checks that the same would be stored again.
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -1,13 +1,16 @@
-//! Versions side by side: each reads and goes on with what the other has written.
+//! Versions side by side: each reads the records of the other and continues with them.
 //!
-//! `recorded/` holds what controllers of two older commits had written to the state
-//! service, and what their workers had last reported, when all of them were killed
-//! in the midst of work: 5161cb0, which knows no gangs, and bee35ef, the version in
-//! production. The recordings were made by running these commits.
+//! `recorded/` holds what controllers of two older commits had written to the key-value
+//! store, and the last heartbeats of their workers, when all of them were killed while
+//! jobs ran: 5161cb0, which knows no gangs, and bee35ef, the version in production. The
+//! recordings were made by running these commits.
 
+mod cluster;
 mod failover;
 mod frames;
 mod older;
+#[path = "../support/settings.rs"]
+mod settings;
 
 use std::collections::BTreeMap;
 
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -20,7 +20,7 @@
     "5d0000000000000001000000000000005e03000000000000010000008b0000009fffffffacffffff",
     "01000000000000000410000000000000",
 ];
-const PROMISE: &[&str] = &[
+const LEASE_EXTENSION: &[&str] = &[
     "0100000000000000e803000000000000000000000000000000000000000000000000000000000000",
     "00000000000000000000000000000000000000000000000000000000000000000000000000000000",
     "0000000000000000",
@@ -36,7 +36,7 @@
     "5d0000000000000001000000000000005e03000000000000010000008b0000009fffffffacffffff",
     "01000000000000000410000000000000",
 ];
-const ANSWERED_PROMISE: &[&str] = &[
+const LEASE_EXTENSION_VOTE: &[&str] = &[
     "01010000000000000000000000000000000000000000000000000000000000000000000000000000",
     "00000000000000000000000000000000000000000000000000000000000000000000000000000000",
     "0000000000000000",
@@ -54,9 +54,9 @@
 const JOB_RECORD: &str = r#"{"v":2,"at_ms":17,"spec":{"class":"train","team":"vision","kind":"batch","priority":"high","tasks":16,"cores":8.0,"accelerators":1.0,"mem_gb":64.0,"image":"img-07","image_gb":6.2,"machine_types":["g8"],"zone":null,"one_zone":true,"scatter":false,"spot":true,"duration_s":240.0,"checkpoint_s":30.0,"save_s":4.0,"deadline_s":900.0}}"#;
 const FINAL_RECORD: &str = r#"{"v":2,"stage":"cancelled","tasks":16,"spec":{"class":"train","team":"vision","kind":"batch","priority":"high","tasks":16,"cores":8.0,"accelerators":1.0,"mem_gb":64.0,"image":"img-07","image_gb":6.2,"machine_types":["g8"],"zone":null,"one_zone":true,"scatter":false,"spot":true,"duration_s":240.0,"checkpoint_s":30.0,"save_s":4.0,"deadline_s":900.0}}"#;
 const LEADER_RECORD: &str = r#"{"v":2,"label":"cellar-1","hold":4,"run":99}"#;
-const KEEPER_RECORD: &str = r#"{"v":2,"term":862,"inventory":true}"#;
-const HEARING_RECORD: &str = r#"{"v":2,"workers":7,"at_ms":1}"#;
-const SEQ_RECORD: &str = r#"{"v":2,"term":862,"n":41}"#;
+const DELEGATE_RECORD: &str = r#"{"v":2,"term":862,"inventory":true}"#;
+const REACHABILITY_RECORD: &str = r#"{"v":2,"workers":7,"at_ms":1}"#;
+const SEQUENCE_RECORD: &str = r#"{"v":2,"term":862,"n":41}"#;
 const ROSTER_RECORD: &str = r#"{"a":"10.1.0.232:9000","t":"lectern","z":"gdansk-loft","s":true}"#;
 
 fn bytes(rows: &[&str]) -> Vec<u8> {
@@ -91,10 +91,10 @@
         path: "/v1/jobs/run-167419/cancel".into(),
         body: vec![1, 2, 3],
     };
-    let promise = PeerRequest::ExtendLease { millis: 1000 };
+    let extension = PeerRequest::ExtendLease { millis: 1000 };
     for (request, recorded) in [
         (PeerRequest::Heartbeat(heartbeat()), HEARTBEAT),
-        (promise, PROMISE),
+        (extension, LEASE_EXTENSION),
         (forward, FORWARD),
     ] {
         let recorded = bytes(recorded);
@@ -110,7 +110,7 @@
         (PeerAnswer::Heartbeat(heartbeat()), ANSWERED_HEARTBEAT),
         (
             PeerAnswer::LeaseExtension { granted: true },
-            ANSWERED_PROMISE,
+            LEASE_EXTENSION_VOTE,
         ),
         (answer, ANSWER),
         (PeerAnswer::Unreadable, UNREADABLE),
@@ -122,8 +122,8 @@
     }
 }
 
-/// Reads a record and writes it as it was.
-fn kept<T: Serialize + DeserializeOwned>(recorded: &str) -> T {
+/// Reads a record and checks that it is written as it was.
+fn round_trip<T: Serialize + DeserializeOwned>(recorded: &str) -> T {
     let record: T = serde_json::from_str(recorded).expect("a record");
     assert_eq!(serde_json::to_string(&record).expect("JSON"), recorded);
     record
@@ -131,25 +131,25 @@
 
 #[test]
 fn records_are_those_of_the_version_in_production() {
-    let job: JobRecord = kept(JOB_RECORD);
+    let job: JobRecord = round_trip(JOB_RECORD);
     assert_eq!((job.spec.kind, job.spec.tasks), (JobKind::Batch, 16));
-    let last: FinalRecord = kept(FINAL_RECORD);
+    let last: FinalRecord = round_trip(FINAL_RECORD);
     assert_eq!(last.stage, Stage::Cancelled);
-    assert_eq!(kept::<LeaderRecord>(LEADER_RECORD).lease, 4);
-    assert!(kept::<DelegateRecord>(KEEPER_RECORD).inventory);
+    assert_eq!(round_trip::<LeaderRecord>(LEADER_RECORD).lease, 4);
+    assert!(round_trip::<DelegateRecord>(DELEGATE_RECORD).inventory);
     assert_eq!(
-        kept::<ReachabilityRecord>(HEARING_RECORD).reachable_workers,
+        round_trip::<ReachabilityRecord>(REACHABILITY_RECORD).reachable_workers,
         7
     );
-    assert_eq!(kept::<SequenceRecord>(SEQ_RECORD).number, 41);
-    assert!(kept::<RosterRecord>(ROSTER_RECORD).spot);
+    assert_eq!(round_trip::<SequenceRecord>(SEQUENCE_RECORD).number, 41);
+    assert!(round_trip::<RosterRecord>(ROSTER_RECORD).spot);
 }
 
 /// A job whose description is longer than a lowered limit still ends: what its last
 /// tasks may use stays in its final record, which the older version reads as well.
 #[test]
 fn a_final_record_fits_a_lowered_limit() {
-    let mut job: JobRecord = kept(JOB_RECORD);
+    let mut job: JobRecord = round_trip(JOB_RECORD);
     job.spec.machine_types = Some((0..200).map(|n| format!("kind-{n:0100}")).collect());
     job.spec.image = "ä".repeat(100);
     let whole = FinalRecord::new(Stage::Done, job.spec);
@@ -164,6 +164,6 @@
     assert_eq!(
         whole.clone().within(1 << 20),
         whole,
-        "as it is where it fits"
+        "unchanged within the limit"
     );
 }
