--- a/src/coordination/shard/autoscaler/mod.rs
+++ b/src/coordination/shard/autoscaler/mod.rs
@@ -145,7 +145,7 @@
             return;
         }
         self.deleted_machines
-            .retain(|_, at| now.saturating_duration_since(*at) < DELETED_MACHINE_RETENTION);
+            .forget_older(DELETED_MACHINE_RETENTION, now);
         if self.types.is_empty() {
             return;
         }
--- a/src/coordination/shard/autoscaler/scale_out.rs
+++ b/src/coordination/shard/autoscaler/scale_out.rs
@@ -113,7 +113,7 @@
         rented: Instant,
     ) {
         let id: MachineId = name.into();
-        if self.deleted_machines.contains_key(&id) || self.machines.contains(&id) {
+        if self.deleted_machines.contains(&id) || self.machines.contains(&id) {
             return;
         }
         let mut machine = Machine::new(id.clone(), rented, rented);
@@ -171,7 +171,7 @@
     fn delete_failed(&mut self, list: &[Listed], now: Instant) {
         for entry in list {
             if entry.state == ListedState::Failed
-                && !self.deleted_machines.contains_key(entry.id.as_str())
+                && !self.deleted_machines.contains(entry.id.as_str())
             {
                 self.begin_deletion(
                     &MachineId::from(entry.id.as_str()),
--- a/src/coordination/shard/delegations/inventories.rs
+++ b/src/coordination/shard/delegations/inventories.rs
@@ -58,15 +58,10 @@
     /// Whether far more tasks wait for reconciliation than may be on unreconciled machines:
     /// then it is better to replace these machines than to wait for them.
     fn reconciliation_blocks_work(&self) -> bool {
-        if self.snapshot_placements.is_empty() {
+        let Some(placed) = self.unreconciled.snapshot_placements() else {
             // The last snapshot was too large to hold placements.
             return false;
-        }
-        let placed: u32 = self
-            .unreconciled
-            .iter()
-            .filter_map(|id| self.snapshot_placements.get(id))
-            .sum();
+        };
         let waiting: u32 = self.jobs.values().map(Job::unreconciled_tasks).sum();
         waiting > placed.saturating_mul(EXCESS_WAITING_TASKS)
     }
--- a/src/coordination/shard/dispatch/batch.rs
+++ b/src/coordination/shard/dispatch/batch.rs
@@ -28,14 +28,15 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        self.next_command += 1;
+        self.last_batch_number += 1;
+        let number = self.last_batch_number;
         let newest = machine.epochs.newest();
-        machine.commands.begin(self.next_command, newest);
+        machine.commands.begin(number, newest);
         self.out.push(Action::Command {
             machine: id.clone(),
             addr: machine.addr.clone(),
             agent_epoch,
-            number: self.next_command,
+            number,
             commands,
         });
     }
--- a/src/coordination/shard/dispatch/mod.rs
+++ b/src/coordination/shard/dispatch/mod.rs
@@ -14,6 +14,7 @@
 mod repeated;
 
 pub(super) use batch::stop_command;
+pub(super) use probes::FIRST_AGENT_EPOCH;
 pub(super) use repeated::commands_to_repeat;
 
 use std::time::Instant;
--- a/src/coordination/shard/dispatch/probes.rs
+++ b/src/coordination/shard/dispatch/probes.rs
@@ -11,8 +11,9 @@
 /// Time for a heartbeat's delivery; see [`LATE_HEARTBEAT_FACTOR`].
 const LATE_HEARTBEAT_MARGIN: Duration = Duration::from_millis(750);
 
-/// The agent epoch named to a worker that has sent no heartbeat: workers begin with it.
-const FIRST_AGENT_EPOCH: u64 = 1;
+/// The agent epoch in which a worker process begins: it is named to workers from which no
+/// heartbeat has arrived.
+pub(in crate::coordination::shard) const FIRST_AGENT_EPOCH: u64 = 1;
 
 impl Shard {
     /// Sends an empty batch: it raises the worker's fencing token to this leader's, and
--- a/src/coordination/shard/jobs/mod.rs
+++ b/src/coordination/shard/jobs/mod.rs
@@ -1,6 +1,9 @@
 //! Jobs as the leader keeps them.
 
 mod lifecycle;
+mod progress;
+
+pub use progress::{RunningTasks, TaskCounts};
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -14,15 +17,6 @@
 use crate::storage::records::JobRecord;
 use crate::storage::task_set::TaskSet;
 
-/// How many of a job's tasks are done and running, for display.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct TaskCounts {
-    /// Tasks that have completed.
-    pub done: u32,
-    /// Tasks that run.
-    pub running: u32,
-}
-
 /// A job and the progress of its tasks.
 #[derive(Debug)]
 pub struct Job {
--- /dev/null
+++ b/src/coordination/shard/jobs/progress.rs
@@ -0,0 +1,98 @@
+//! How many tasks of each job are completed and running, for display.
+
+use std::collections::HashMap;
+use std::time::{Duration, Instant};
+
+use super::Job;
+use crate::coordination::shard::{Machines, Phase, Shard};
+use crate::protocol::{AttemptId, JobId, MachineId};
+
+/// Pause between two counts of the running tasks: each goes through all attempts.
+const RECOUNT_PAUSE: Duration = Duration::from_secs(1);
+
+/// How many of a job's tasks are completed and running.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct TaskCounts {
+    /// Tasks that have completed.
+    pub done: u32,
+    /// Tasks that are running.
+    pub running: u32,
+}
+
+/// The running tasks by job, as last counted.
+#[derive(Debug, Default)]
+pub struct RunningTasks {
+    by_job: HashMap<JobId, u32>,
+    counted_at: Option<Instant>,
+}
+
+impl RunningTasks {
+    /// Running tasks of a job at the last count.
+    pub fn of(&self, job: &JobId) -> u32 {
+        self.by_job.get(job).copied().unwrap_or(0)
+    }
+
+    /// Counts again if the last count is old enough; returns whether it did.
+    pub fn recount_if_due(&mut self, machines: &Machines, now: Instant) -> bool {
+        let is_due = self
+            .counted_at
+            .is_none_or(|at| now.saturating_duration_since(at) >= RECOUNT_PAUSE);
+        if is_due {
+            self.counted_at = Some(now);
+            self.recount(machines);
+        }
+        is_due
+    }
+
+    fn recount(&mut self, machines: &Machines) {
+        self.by_job.clear();
+        for machine in machines.values() {
+            for (AttemptId { task, .. }, attempt) in &machine.attempts {
+                if attempt.phase != Phase::Running {
+                    continue;
+                }
+                // The job's id is cloned only for its first task.
+                match self.by_job.get_mut(&task.job) {
+                    Some(count) => *count += 1,
+                    None => {
+                        self.by_job.insert(task.job.clone(), 1);
+                    }
+                }
+            }
+        }
+    }
+}
+
+impl Shard {
+    /// All unfinished jobs with their task counts, as of the last count.
+    pub fn progress(&self) -> impl Iterator<Item = (&JobId, TaskCounts)> {
+        self.jobs
+            .values()
+            .filter(|job| job.final_stage.is_none())
+            .map(|job| {
+                let running = self.running.of(&job.id);
+                let done = job.done().len();
+                (&job.id, TaskCounts { done, running })
+            })
+    }
+
+    /// The present task counts of an unfinished job, for its user.
+    pub fn view(&self, id: &str) -> Option<TaskCounts> {
+        let job = self.jobs.get(id).filter(|job| job.final_stage.is_none())?;
+        let live = job.live().iter();
+        let running = live.filter(|(index, machine)| self.runs_on(job, **index, machine));
+        Some(TaskCounts {
+            done: job.done().len(),
+            running: running.count() as u32,
+        })
+    }
+
+    fn runs_on(&self, job: &Job, index: u32, machine: &MachineId) -> bool {
+        let Some(machine) = self.machines.get(machine) else {
+            return false;
+        };
+        machine
+            .attempts_of(&job.id)
+            .any(|(id, attempt)| id.task.index == index && attempt.phase == Phase::Running)
+    }
+}
--- a/src/coordination/shard/machines/mod.rs
+++ b/src/coordination/shard/machines/mod.rs
@@ -5,6 +5,7 @@
 mod amounts;
 mod attempt;
 mod command_channel;
+mod deleted;
 mod set;
 mod worker_lease;
 
@@ -12,6 +13,7 @@
 pub use amounts::Amounts;
 pub use attempt::{Attempt, Phase};
 pub use command_channel::CommandChannel;
+pub use deleted::DeletedMachines;
 pub use set::{MachineLoad, Machines};
 pub use worker_lease::WorkerLease;
 
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -1,8 +1,18 @@
-//! The leader's state machine: a pure function of (state, event, now).
+//! The state machine of a shard's leader: a pure function of (state, event, now).
 //!
-//! Events come in through the methods of [`Shard`]; what has to be done
-//! outside comes out as [`Action`]s. Nothing here waits or talks.
+//! [`Shard`] owns what the leader knows and decides about its machines and jobs. Its
+//! components own their parts: `jobs` and `machines` the state, `reconciler` what
+//! heartbeats say, `scheduler` placement and preemption, `dispatch` the commands to
+//! workers, `autoscaler` renting and deleting machines, `persistence` the shard's
+//! writes, `delegations` lease renewals by other controllers, `health` failing jobs and
+//! faulty machines.
+//!
+//! Three callers bring events: the leader loop (ticks, job changes, machine lists), the
+//! handlers of workers' heartbeats and users' requests, and the action executor (outcomes).
+//! After an event they call [`Shard::reconcile`] and hand what [`Shard::take_actions`]
+//! returns to the executor. Nothing here waits, sends or reads a clock.
 
+mod action;
 mod autoscaler;
 mod delegations;
 mod dispatch;
@@ -15,6 +25,7 @@
 mod scheduler;
 mod summary;
 
+pub use action::{Action, CommandOutcome};
 pub use autoscaler::RentalOutcome;
 pub use delegations::delegate_commands;
 pub use health::{FailureHistory, MachineHealth};
@@ -25,132 +36,76 @@
 pub use reconciler::{HeartbeatOutcome, RecoveredMachine, RecoveredState};
 pub use scheduler::GangAttempt;
 
-use crate::protocol::FencingToken;
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::BTreeMap;
 use std::sync::Arc;
-use std::time::{Duration, Instant};
-
-use crate::protocol::cloud::{MachineType, Rental};
-use crate::protocol::workers::{Command, WorkerHeartbeat};
-use crate::protocol::{AttemptId, JobId, MachineId};
+use std::time::Instant;
 
-/// What the leader wants done outside. Each is answered by an event.
-#[derive(Debug, Clone, PartialEq)]
-pub enum Action {
-    /// Send `/commands`; answered by [`Shard::command_answered`].
-    Command {
-        /// The machine that they are for.
-        machine: MachineId,
-        /// Its worker's address.
-        addr: String,
-        /// The agent epoch in which they are to be executed.
-        agent_epoch: u64,
-        /// Tells this batch from others of the machine.
-        number: u64,
-        /// What the worker is to do; none only asks for a heartbeat.
-        commands: Vec<Command>,
-    },
-    /// Write to the shard's keys; answered by [`Shard::shard_written`].
-    Write(ShardWrite),
-    /// Record that a job is done; answered by [`Shard::job_finished`].
-    Finish {
-        /// The job.
-        job: JobId,
-        /// The version of its record.
-        mod_revision: u64,
-    },
-    /// Read what a finished job was; answered by [`Shard::orphan_job_resolved`].
-    ReadFinal {
-        /// The job.
-        job: JobId,
-    },
-    /// Rent machines; answered by [`Shard::rental_answered`].
-    Rent(Rental),
-    /// Give machines back; answered by [`Shard::deletion_answered`].
-    Delete(Vec<MachineId>),
-    /// A worker has seen a higher fencing token: someone else may own the shard.
-    Fenced {
-        /// That fencing token.
-        seen: FencingToken,
-    },
-}
+use crate::protocol::cloud::MachineType;
+use crate::protocol::{FencingToken, JobId};
+use jobs::RunningTasks;
+use machines::DeletedMachines;
+use reconciler::UnreconciledMachines;
 
-/// How a batch of commands went.
-#[derive(Debug, Clone)]
-pub enum CommandOutcome {
-    /// 200: executed, with the heartbeat after it.
-    Executed(WorkerHeartbeat),
-    /// 409: not executed, with the heartbeat.
-    Refused(WorkerHeartbeat),
-    /// It surely never left.
-    NotSent,
-    /// It may have been executed, or may still be.
-    NoAnswer,
-}
-
-/// How many machines a leader hears.
+/// How many machines a leader receives heartbeats from.
 #[derive(Debug, Clone, Copy)]
 pub struct ReachableMachines {
-    /// Within the time of a heartbeat or two.
+    /// Machines whose last heartbeat is recent.
     pub reachable: usize,
-    /// All that should be heard.
+    /// All machines that are expected to send heartbeats.
     pub expected: usize,
 }
 
-/// Pause between two counts of what runs, for display and for comparing
-/// machines.
-const COUNT_EVERY: Duration = Duration::from_secs(1);
+/// A machine counts as reachable if its last heartbeat is younger than this multiple of the
+/// heartbeat interval: one heartbeat may be late, but none missing.
+const REACHABLE_WITHIN_INTERVALS: f64 = 1.6;
 
 /// One shard as its leader sees it.
 pub struct Shard {
-    /// What its decisions depend on besides its state.
+    /// The settings that its decisions depend on.
     pub policy: Policy,
-    /// The number that fences our commands and writes.
+    /// The fencing token of this leadership: it is on every command and write.
     pub fencing_token: FencingToken,
+    /// When this leadership began.
     acquired: Instant,
-    /// The time of day then, in milliseconds.
+    /// The time of day at that moment, in milliseconds since the Unix epoch.
     acquired_wall_ms: u64,
     types: BTreeMap<String, Arc<MachineType>>,
     jobs: BTreeMap<JobId, Job>,
     machines: Machines,
-    /// Machines that were deleted, and when.
-    deleted_machines: HashMap<MachineId, Instant>,
-    /// Machines of the roster that we loaded which may hold tasks that we
-    /// don't know of: neither synced under our fencing token, nor proven empty.
-    unreconciled: BTreeSet<MachineId>,
+    deleted_machines: DeletedMachines,
+    unreconciled: UnreconciledMachines,
     autoscaler: autoscaler::Autoscaler,
     writes: persistence::WriteQueue,
     delegations: delegations::Delegations,
-    /// By machine, the tasks that the last leader's snapshot had there.
-    snapshot_placements: HashMap<MachineId, u32>,
-    next_attempt_number: u64,
-    next_command: u64,
-    /// The zone of a controller that holds most machines: services are safest
-    /// there, since its controller hears them whatever zones are cut apart.
+    /// The number of the newest attempt. It never repeats, whatever a controller lost:
+    /// numbers begin with the fencing token.
+    last_attempt_number: u64,
+    /// The number of the newest batch of commands; it is unique within this leadership.
+    last_batch_number: u64,
+    /// The zone of the controller that most machines are near to. Services are safest
+    /// there: that controller receives their heartbeats in a partition between zones.
     pub main_zone: Option<String>,
-    /// Something changed that may allow or need new decisions.
+    /// Whether something changed that may allow or require new decisions.
     needs_pass: bool,
-    /// Running tasks by job, as last counted, and when that was.
-    running: HashMap<JobId, u32>,
-    counted: Option<Instant>,
+    running: RunningTasks,
+    /// Actions decided since the last [`Shard::take_actions`], in order. Each pass bounds
+    /// what it adds: by the machines, and by the scheduler's limits.
     out: Vec<Action>,
 }
 
 impl Shard {
-    /// The actions decided since the last call.
+    /// The actions decided since the last call, in the order in which they were decided.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.out)
     }
 
-    /// Periodic work: leases, snapshots, fleet. Every fraction of a second.
+    /// Periodic work: ends delegations and leases, probes, scales, and makes a pass. The
+    /// leader loop calls it several times a second.
     pub fn tick(&mut self, now: Instant) {
         self.machines.refresh();
         self.end_delegations(now);
         self.expire_leases(now);
-        let due = |at: Instant| now.saturating_duration_since(at) >= COUNT_EVERY;
-        if self.counted.is_none_or(due) {
-            self.counted = Some(now);
-            self.count_running();
+        if self.running.recount_if_due(&self.machines, now) {
             self.note_outliving_tasks(now);
             self.find_slow_machines(now);
         }
@@ -160,9 +115,12 @@
         self.reconcile(now);
     }
 
-    /// Works out the difference between what is wanted and what is.
+    /// Makes a pass if something changed: decides what to start and stop, and emits the
+    /// commands and writes that follow. Callers make it after they have applied events.
     pub fn reconcile(&mut self, now: Instant) {
         if std::mem::take(&mut self.needs_pass) {
+            // A stop of one gang task stops the gang: before placement, so that it sees
+            // what is released, and after it, for what preemption stopped.
             self.reconcile_gangs(now);
             self.withdraw_launches(now);
             self.schedule(now);
@@ -173,13 +131,19 @@
         self.flush_writes(now);
     }
 
-    /// The time of day, by the steady clock since the attempt_number-over.
+    /// The time of day in milliseconds, by the monotonic clock since the leadership began:
+    /// steps of the wall clock don't reach the shard's decisions.
     fn wall_ms(&self, now: Instant) -> u64 {
         let passed = now.saturating_duration_since(self.acquired).as_millis() as u64;
         self.acquired_wall_ms + passed
     }
 
-    /// New machine types (with the prices of the moment).
+    fn new_attempt_number(&mut self) -> u64 {
+        self.last_attempt_number += 1;
+        self.last_attempt_number
+    }
+
+    /// Sets the machine types that the cloud offers, with their present prices.
     pub fn set_types(&mut self, types: &[MachineType]) {
         self.types = types
             .iter()
@@ -188,57 +152,13 @@
         self.needs_pass = true;
     }
 
-    /// Counts the running tasks of each job, for display.
-    fn count_running(&mut self) {
-        self.running.clear();
-        for machine in self.machines.values() {
-            for (AttemptId { task, .. }, attempt) in &machine.attempts {
-                if attempt.phase != Phase::Running {
-                    continue;
-                }
-                match self.running.get_mut(&task.job) {
-                    Some(count) => *count += 1,
-                    None => {
-                        self.running.insert(task.job.clone(), 1);
-                    }
-                }
-            }
-        }
-    }
-
-    /// All unfinished jobs with the counts of their tasks.
-    pub fn progress(&self) -> impl Iterator<Item = (&JobId, TaskCounts)> {
-        self.jobs
-            .values()
-            .filter(|job| job.final_stage.is_none())
-            .map(|job| {
-                let running = self.running.get(&job.id).copied().unwrap_or(0);
-                let done = job.done().len();
-                (&job.id, TaskCounts { done, running })
-            })
-    }
-
-    /// The counts of a job's tasks, for its user.
-    pub fn view(&self, id: &str) -> Option<TaskCounts> {
-        let job = self.jobs.get(id).filter(|job| job.final_stage.is_none())?;
-        let runs = |(index, machine): &(&u32, &MachineId)| {
-            self.machines.get(machine).is_some_and(|machine| {
-                machine
-                    .attempts_of(&job.id)
-                    .any(|(AttemptId { task, .. }, attempt)| {
-                        task.index == **index && attempt.phase == Phase::Running
-                    })
-            })
-        };
-        let running = job.live().iter().filter(runs).count() as u32;
-        let done = job.done().len();
-        Some(TaskCounts { done, running })
-    }
-
-    /// How many machines are heard.
+    /// How many machines this leader receives heartbeats from.
     pub fn reachability(&self, now: Instant) -> ReachableMachines {
         let expected = self.machines.values().filter(|m| m.expects_heartbeats());
-        let recent = self.policy.heartbeat_interval.mul_f64(1.6);
+        let recent = self
+            .policy
+            .heartbeat_interval
+            .mul_f64(REACHABLE_WITHIN_INTERVALS);
         let reachable = expected
             .clone()
             .filter(|m| m.since_last_contact(now) < recent)
@@ -249,7 +169,7 @@
         }
     }
 
-    /// Whether work waits that may be placed, or machines are unaccounted for.
+    /// Whether tasks wait that may be placed, or machines are unreconciled.
     pub fn is_busy(&self) -> bool {
         let waits = |job: &Job| job.waiting() > 0 && !job.is_crash_looping();
         !self.unreconciled.is_empty() || self.jobs.values().any(waits)
--- a/src/coordination/shard/reconciler/mod.rs
+++ b/src/coordination/shard/reconciler/mod.rs
@@ -12,8 +12,10 @@
 mod recovery;
 mod removal;
 mod task_list;
+mod unreconciled;
 
 pub use recovery::{RecoveredMachine, RecoveredState};
+pub use unreconciled::UnreconciledMachines;
 
 use std::time::{Duration, Instant};
 
@@ -87,8 +89,7 @@
     }
 
     fn is_deleted(&self, heartbeat: &WorkerHeartbeat) -> bool {
-        self.deleted_machines
-            .contains_key(heartbeat.machine.as_str())
+        self.deleted_machines.contains(heartbeat.machine.as_str())
     }
 
     /// Whether the worker has seen a higher fencing token than this leader's. If so, the
--- a/src/coordination/shard/reconciler/recovery.rs
+++ b/src/coordination/shard/reconciler/recovery.rs
@@ -1,48 +1,54 @@
-//! Failover: from what is stored to a shard that can act.
+//! Failover: builds a shard that can act from what is stored.
 
-use crate::protocol::FencingToken;
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use serde_json::Value;
 
+use super::UnreconciledMachines;
 use crate::coordination::shard::autoscaler::{Autoscaler, DeletionReason};
-use crate::coordination::shard::{Job, Machine, Machines, Policy, Shard, persistence};
+use crate::coordination::shard::dispatch::FIRST_AGENT_EPOCH;
+use crate::coordination::shard::jobs::RunningTasks;
+use crate::coordination::shard::machines::DeletedMachines;
+use crate::coordination::shard::persistence::WriteQueue;
+use crate::coordination::shard::{Job, Machine, Machines, Policy, Shard};
 use crate::coordination::worker_leases::DELEGATION_TIME;
-use crate::protocol::MachineId;
+use crate::protocol::{FencingToken, JobId, MachineId};
 use crate::storage::records::{JobRecord, RentalRecord, RosterRecord};
 use crate::storage::snapshot;
 
-/// Bits of a task's attempt number below the fencing token's.
-const ATTEMPT_BITS: u32 = 24;
+/// Low bits of an attempt number, below those of the fencing token: they bound the attempts
+/// that one leader may start.
+const ATTEMPT_NUMBER_BITS: u32 = 24;
 
 /// A machine of the stored roster.
 #[derive(Debug, Clone)]
 pub struct RecoveredMachine {
     /// The machine's name.
     pub id: String,
-    /// The page that holds it.
+    /// The page of the roster that holds its entry.
     pub page: u32,
-    /// Its entry there.
+    /// Its entry.
     pub record: RosterRecord,
 }
 
-/// What was read after the fencing token was raised.
+/// What is stored of the shard, read after the fencing token was raised: no earlier leader
+/// can change it any more.
 #[derive(Debug, Default, Clone)]
 pub struct RecoveredState {
-    /// Unfinished jobs: id, version of the record, record.
+    /// Unfinished jobs: id, revision of the last modification, record.
     pub jobs: Vec<(String, u64, JobRecord)>,
-    /// The machines of all pages.
+    /// The machines of all pages of the roster.
     pub roster: Vec<RecoveredMachine>,
     /// The snapshot's chunks by key.
     pub chunks: BTreeMap<String, Value>,
-    /// Rentals that are not yet answered.
+    /// Rentals whose outcome is not recorded.
     pub pending_rentals: Vec<RentalRecord>,
 }
 
 impl Shard {
-    /// A shard just acquired. Everything loaded must have been read after the
-    /// leadership record was written.
+    /// The shard of a leader that was just elected. `recovered` must have been read after
+    /// the leader record was written.
     pub fn recover(
         policy: Policy,
         fencing_token: FencingToken,
@@ -50,7 +56,22 @@
         now: Instant,
         wall_ms: u64,
     ) -> Self {
-        let mut shard = Self {
+        let mut shard = Self::empty(policy, fencing_token, now, wall_ms);
+        shard.recover_jobs(recovered.jobs, now);
+        shard.recover_progress(&recovered.chunks);
+        shard.writes = WriteQueue::recovered(recovered.chunks);
+        shard.recover_roster(recovered.roster, now);
+        for pending_rental in recovered.pending_rentals {
+            shard.resume_rental(pending_rental.rental);
+        }
+        shard.finish_completed_jobs();
+        tracing::info!(%fencing_token, summary = shard.summary(), "shard recovered");
+        shard
+    }
+
+    /// A shard without jobs and machines.
+    fn empty(policy: Policy, fencing_token: FencingToken, now: Instant, wall_ms: u64) -> Self {
+        Self {
             policy,
             fencing_token,
             acquired: now,
@@ -58,55 +79,58 @@
             types: BTreeMap::new(),
             jobs: BTreeMap::new(),
             machines: Machines::default(),
-            deleted_machines: HashMap::new(),
-            unreconciled: BTreeSet::new(),
+            deleted_machines: DeletedMachines::default(),
+            unreconciled: UnreconciledMachines::default(),
             autoscaler: Autoscaler::default(),
-            writes: persistence::WriteQueue::default(),
+            writes: WriteQueue::default(),
             delegations: Default::default(),
-            snapshot_placements: HashMap::new(),
-            // A task's attempt number never repeats, whatever was lost: the
-            // fencing token is in it.
-            next_attempt_number: fencing_token.revision() << ATTEMPT_BITS,
-            next_command: 0,
+            last_attempt_number: fencing_token.revision() << ATTEMPT_NUMBER_BITS,
+            last_batch_number: 0,
             main_zone: None,
             needs_pass: true,
-            running: HashMap::new(),
-            counted: None,
+            running: RunningTasks::default(),
             out: Vec::new(),
-        };
-        for (id, mod_revision, record) in recovered.jobs {
-            let age = Duration::from_millis(wall_ms.saturating_sub(record.accepted_at_ms));
-            let at = now.checked_sub(age).unwrap_or(now);
-            shard.autoscaler.record_arrival(&record.spec, at, now);
-            let id = id.as_str().into();
-            shard.jobs.insert(
-                std::sync::Arc::clone(&id),
-                Job::new(id, mod_revision, record),
-            );
         }
-        for (id, progress) in snapshot::decode(recovered.chunks.values()) {
+    }
+
+    fn recover_jobs(&mut self, jobs: Vec<(String, u64, JobRecord)>, now: Instant) {
+        for (id, mod_revision, record) in jobs {
+            let age = self.acquired_wall_ms.saturating_sub(record.accepted_at_ms);
+            let accepted_at = now.checked_sub(Duration::from_millis(age)).unwrap_or(now);
+            self.autoscaler
+                .record_arrival(&record.spec, accepted_at, now);
+            let id: JobId = id.as_str().into();
+            let job = Job::new(id.clone(), mod_revision, record);
+            self.jobs.insert(id, job);
+        }
+    }
+
+    /// Takes over from the snapshot which tasks are completed. Its placements are a hint
+    /// only: where tasks are is known from heartbeats.
+    fn recover_progress(&mut self, chunks: &BTreeMap<String, Value>) {
+        for (id, progress) in snapshot::decode(chunks.values()) {
             for machine in progress.placements.values() {
-                *shard
-                    .snapshot_placements
-                    .entry(machine.as_str().into())
-                    .or_default() += 1;
+                self.unreconciled
+                    .note_snapshot_placement(machine.as_str().into());
             }
-            if let Some(job) = shard.jobs.get_mut(id.as_str()) {
+            if let Some(job) = self.jobs.get_mut(id.as_str()) {
                 let tasks = job.spec.tasks;
                 for index in progress.done.iter().take_while(|index| *index < tasks) {
                     job.complete(index);
                 }
             }
         }
-        shard.writes = persistence::WriteQueue::recovered(recovered.chunks);
-        // A delegate of the last leader may have answered workers until just now.
-        // Or one that was cut off goes on answering them by its advance delegation.
-        let kept = DELEGATION_TIME.max(shard.policy.advance_delegation);
-        let lease_expires_at = now + shard.policy.worker_lease_bound() + kept;
-        for RecoveredMachine { id, page, record } in recovered.roster {
+    }
+
+    /// Adds the machines of the roster, all unreconciled, and probes them.
+    fn recover_roster(&mut self, roster: Vec<RecoveredMachine>, now: Instant) {
+        // A delegate of the last leader may have renewed leases until just now, and a
+        // controller in a partition may go on renewing them by its advance delegation.
+        let renewed_for = DELEGATION_TIME.max(self.policy.advance_delegation);
+        let lease_expires_at = now + self.policy.worker_lease_bound() + renewed_for;
+        for RecoveredMachine { id, page, record } in roster {
             let id: MachineId = id.as_str().into();
-            shard
-                .writes
+            self.writes
                 .load_roster_entry(page, id.clone(), record.clone());
             let mut machine = Machine::new(id.clone(), now, lease_expires_at);
             machine.describe(
@@ -116,32 +140,26 @@
                 record.spot,
             );
             machine.set_admitted();
-            shard.unreconciled.insert(id.clone());
-            shard.machines.insert(machine);
+            self.unreconciled.insert(id.clone());
+            self.machines.insert(machine);
             if record.deleting {
-                shard.begin_deletion(&id, now, DeletionReason::RecordedEarlier);
+                self.begin_deletion(&id, now, DeletionReason::RecordedEarlier);
             } else {
-                shard.probe(&id, 1);
+                self.probe(&id, FIRST_AGENT_EPOCH);
             }
         }
-        for pending_rental in recovered.pending_rentals {
-            shard.resume_rental(pending_rental.rental);
-        }
-        let complete: Vec<_> = shard
+    }
+
+    /// Finishes the jobs whose tasks had all completed under the last leader.
+    fn finish_completed_jobs(&mut self) {
+        let completed: Vec<JobId> = self
             .jobs
             .values()
             .filter(|job| job.all_done())
             .map(|job| job.id.clone())
             .collect();
-        for id in complete {
-            shard.finish_if_done(&id);
+        for id in completed {
+            self.finish_if_done(&id);
         }
-        tracing::info!(%fencing_token, summary = shard.summary(), "shard taken over");
-        shard
-    }
-
-    pub(in crate::coordination::shard) fn new_attempt_number(&mut self) -> u64 {
-        self.next_attempt_number += 1;
-        self.next_attempt_number
     }
 }
--- a/src/coordination/shard/reconciler/removal.rs
+++ b/src/coordination/shard/reconciler/removal.rs
@@ -47,7 +47,7 @@
 
     /// What an earlier leader may have started on a machine is known now.
     pub(in crate::coordination::shard) fn reconcile_machine(&mut self, id: &MachineId) {
-        if self.unreconciled.remove(id) && self.unreconciled.is_empty() {
+        if self.unreconciled.remove(id) {
             tracing::info!(
                 fencing_token = %self.fencing_token,
                 "every machine of the roster is reconciled"
--- /dev/null
+++ b/src/coordination/shard/reconciler/unreconciled.rs
@@ -0,0 +1,68 @@
+//! Machines on which an earlier leader may have started tasks that this one doesn't know.
+
+use std::collections::{BTreeSet, HashMap};
+
+use crate::protocol::MachineId;
+
+/// The unreconciled machines, and what the last snapshot says about them.
+///
+/// A machine of the recovered roster is in the set until a heartbeat under this leader's
+/// fencing token lists its tasks, or until its lease expires or it is deleted. Invariant:
+/// no machine is added after failover.
+#[derive(Debug, Default)]
+pub struct UnreconciledMachines {
+    machines: BTreeSet<MachineId>,
+    /// By machine, the tasks that the last leader's snapshot placed there; empty if the
+    /// snapshot was too large to hold placements.
+    snapshot_placements: HashMap<MachineId, u32>,
+}
+
+impl UnreconciledMachines {
+    /// Whether a machine is unreconciled.
+    pub fn contains(&self, id: &str) -> bool {
+        self.machines.contains(id)
+    }
+
+    /// Whether every machine is reconciled.
+    pub fn is_empty(&self) -> bool {
+        self.machines.is_empty()
+    }
+
+    /// How many machines are unreconciled.
+    pub fn len(&self) -> usize {
+        self.machines.len()
+    }
+
+    /// The unreconciled machines, in the order of their names.
+    pub fn iter(&self) -> impl Iterator<Item = &MachineId> {
+        self.machines.iter()
+    }
+
+    /// Tasks that the last snapshot placed on machines that are unreconciled now; None if
+    /// it holds no placements.
+    pub fn snapshot_placements(&self) -> Option<u32> {
+        if self.snapshot_placements.is_empty() {
+            return None;
+        }
+        let placements = self
+            .machines
+            .iter()
+            .filter_map(|id| self.snapshot_placements.get(id));
+        Some(placements.sum())
+    }
+
+    /// Adds a machine of the recovered roster.
+    pub(super) fn insert(&mut self, id: MachineId) {
+        self.machines.insert(id);
+    }
+
+    /// Notes that the last snapshot placed a task on a machine.
+    pub(super) fn note_snapshot_placement(&mut self, machine: MachineId) {
+        *self.snapshot_placements.entry(machine).or_default() += 1;
+    }
+
+    /// A machine is reconciled. Returns true if it was the last that wasn't.
+    pub(super) fn remove(&mut self, id: &str) -> bool {
+        self.machines.remove(id) && self.machines.is_empty()
+    }
+}
--- a/src/coordination/shard/scheduler/view.rs
+++ b/src/coordination/shard/scheduler/view.rs
@@ -1,11 +1,12 @@
 //! The read-only view of the shard from which one scheduling decision is made.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::sync::Arc;
 
+use crate::coordination::shard::reconciler::UnreconciledMachines;
 use crate::coordination::shard::{Job, Machine, Machines, Policy, Shard};
 use crate::protocol::cloud::MachineType;
-use crate::protocol::{FencingToken, JobId, MachineId};
+use crate::protocol::{FencingToken, JobId};
 
 /// The part of the shard's state that scheduling decisions depend on.
 ///
@@ -20,7 +21,7 @@
     pub(super) machine_types: &'a BTreeMap<String, Arc<MachineType>>,
     pub(super) jobs: &'a BTreeMap<JobId, Job>,
     /// Machines that may run tasks this leader does not know of.
-    unreconciled: &'a BTreeSet<MachineId>,
+    unreconciled: &'a UnreconciledMachines,
     fencing_token: FencingToken,
     /// The zone with most machines among those that have a controller; services prefer it.
     pub(super) main_zone: Option<&'a str>,
