--- a/src/coordination/shard/autoscaler/demand.rs
+++ b/src/coordination/shard/autoscaler/demand.rs
@@ -56,28 +56,30 @@
     pub core_seconds: f64,
 }
 
+/// The demands of the waiting tasks.
+#[derive(Default)]
+struct QueuedDemands {
+    demands: Vec<Demand>,
+    /// Jobs that cannot wait for low-cost machines alone.
+    accepting_extra_cost: Vec<JobId>,
+}
+
 impl Shard {
     /// All demands, in the order in which they get capacity.
     pub(super) fn demands(&mut self, capacities: &[Capacity], now: Instant) -> Vec<Demand> {
         let used = self.usage();
-        let (mut demands, accepting_extra_cost) = self.queued_demands(capacities, &used, now);
+        let queued = self.queued_demands(capacities, &used, now);
+        let mut demands = queued.demands;
         demands.extend(self.foreseen_demands(now));
         self.record_work(now);
         demands.extend(self.quota_demands(&used, now));
-        self.mark_accepting_extra_cost(&accepting_extra_cost);
+        self.mark_accepting_extra_cost(&queued.accepting_extra_cost);
         demands
     }
 
-    /// The demands of the waiting tasks, and the jobs that cannot wait for low-cost machines
-    /// alone.
-    fn queued_demands(
-        &self,
-        capacities: &[Capacity],
-        used: &Usage,
-        now: Instant,
-    ) -> (Vec<Demand>, Vec<JobId>) {
-        let mut demands = Vec::new();
-        let mut accepting_extra_cost = Vec::new();
+    /// The demands of the waiting tasks.
+    fn queued_demands(&self, capacities: &[Capacity], used: &Usage, now: Instant) -> QueuedDemands {
+        let mut queued = QueuedDemands::default();
         let wall = self.wall_ms(now);
         let mut queue = Queue {
             usage: used.clone(),
@@ -89,7 +91,7 @@
             };
             let urgency = self.urgency(job, count, &queue, capacities, wall);
             if urgency.accepts_extra_cost {
-                accepting_extra_cost.push(job.id.clone());
+                queued.accepting_extra_cost.push(job.id.clone());
             }
             let patient = count - urgency.urgent;
             for (count, filter) in [
@@ -97,7 +99,7 @@
                 (patient, OfferFilter::SpotOnly),
             ] {
                 if count > 0 {
-                    demands.push(Demand {
+                    queued.demands.push(Demand {
                         spec: job.spec.clone(),
                         count,
                         job: Some(job.id.clone()),
@@ -107,7 +109,7 @@
                 }
             }
         }
-        (demands, accepting_extra_cost)
+        queued
     }
 
     /// The jobs with waiting tasks, in the order in which they get capacity.
--- a/src/coordination/shard/autoscaler/rentals.rs
+++ b/src/coordination/shard/autoscaler/rentals.rs
@@ -96,3 +96,6 @@
         self.pending.remove(request);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/coordination/shard/autoscaler/reserved_quota.rs
+++ b/src/coordination/shard/autoscaler/reserved_quota.rs
@@ -32,7 +32,7 @@
     /// ended before its term, so the start of the term counts as work.
     fn had_work_recently(&self, team: &str, now: Instant) -> bool {
         let last = self.autoscaler.last_work(team).unwrap_or(self.acquired);
-        now.saturating_duration_since(last) <= self.policy.guarantee_hold
+        now.saturating_duration_since(last) <= self.policy.quota_hold
     }
 
     /// The demands for the unused quota of the teams that had work recently: they need not
--- a/src/coordination/shard/autoscaler/scale_out.rs
+++ b/src/coordination/shard/autoscaler/scale_out.rs
@@ -99,7 +99,7 @@
 
     fn record_shortage(&mut self, rental: &Rental, now: Instant) {
         let kind = MachineKind::from(rental);
-        let pause = self.policy.refused;
+        let pause = self.policy.scale_out_retry;
         self.autoscaler.backoff.record_shortage(kind, pause, now);
     }
 
--- a/src/coordination/shard/scheduler/quota.rs
+++ b/src/coordination/shard/scheduler/quota.rs
@@ -80,7 +80,7 @@
 
     /// Where a team stands among those with waiting work, if this job is its next.
     pub(super) fn fair_share_rank(&self, policy: &Policy, spec: &JobSpec) -> FairShareRank {
-        let share = policy.share_of(&spec.team);
+        let share = policy.fair_share(&spec.team);
         let used = self.of(&spec.team);
         FairShareRank {
             beyond_guarantee: !self.within_guarantee(policy, spec),
--- a/src/coordination/shard/tests/delegations.rs
+++ b/src/coordination/shard/tests/delegations.rs
@@ -15,7 +15,7 @@
 fn a_lease_does_not_expire_while_a_delegate_may_renew_it() {
     let mut script = ScriptedShard::empty();
     // The other machine is held, for a task that may start again there.
-    script.shard.policy.guarantee_hold = Duration::from_secs(3600);
+    script.shard.policy.quota_hold = Duration::from_secs(3600);
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
     let batch = script.launches().remove(0);
--- a/src/coordination/shard/tests/fixtures.rs
+++ b/src/coordination/shard/tests/fixtures.rs
@@ -101,8 +101,8 @@
         dead_after: Duration::from_secs(7),
         headroom: 0.1,
         idle: Duration::from_secs(10),
-        guarantee_hold: Duration::from_secs(30),
-        refused: Duration::from_secs(15),
+        quota_hold: Duration::from_secs(30),
+        scale_out_retry: Duration::from_secs(15),
     }
 }
 
