--- a/src/coordination/shard/scheduler/candidates.rs
+++ b/src/coordination/shard/scheduler/candidates.rs
@@ -147,7 +147,7 @@
     }
 
     /// Accounts for a task that was placed on a candidate.
-    pub(super) fn place_task(&mut self, spec: &JobSpec, index: usize) {
+    pub(super) fn place_task(&mut self, index: usize, spec: &JobSpec) {
         self.candidates[index].free.take(spec);
         self.usage.add(spec, 1);
         if let Some(states) = self.image_states.get_mut(&spec.image) {
--- a/src/coordination/shard/scheduler/gang/placement.rs
+++ b/src/coordination/shard/scheduler/gang/placement.rs
@@ -81,7 +81,7 @@
             let Some(task) = job.and_then(|job| job.next_waiting(true)) else {
                 break;
             };
-            pass.place_task(&spec, *index);
+            pass.place_task(*index, &spec);
             let machine = pass.candidates()[*index].id.clone();
             self.launch(id, task, &machine, attempt_number, now);
         }
--- a/src/coordination/shard/scheduler/mod.rs
+++ b/src/coordination/shard/scheduler/mod.rs
@@ -162,7 +162,7 @@
             let Some(task) = job.and_then(|job| job.next_waiting(all_reconciled)) else {
                 break;
             };
-            pass.place_task(&spec, index);
+            pass.place_task(index, &spec);
             let machine = pass.candidates()[index].id.clone();
             let attempt_number = self.new_attempt_number();
             self.launch(id, task, &machine, attempt_number, now);
--- a/src/coordination/shard/scheduler/scoring.rs
+++ b/src/coordination/shard/scheduler/scoring.rs
@@ -11,6 +11,36 @@
 /// An image pull may take this multiple of the time that the machine type's rate gives.
 const IMAGE_PULL_MARGIN: f64 = 1.35;
 
+/// How tasks are distributed over the machines that fit.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum PlacementStrategy {
+    /// On as few machines as possible, so that scale-in finds empty ones.
+    BinPacking,
+    /// Over many machines, so that losing one stops few tasks and images are cached in many
+    /// places.
+    Spreading,
+}
+
+impl PlacementStrategy {
+    /// Machines whose capacity is held for quota guarantees are not released anyway.
+    fn of(policy: &Policy) -> Self {
+        if policy.holds_capacity() {
+            Self::Spreading
+        } else {
+            Self::BinPacking
+        }
+    }
+
+    /// The state from which on an image counts as present. When packing, the tasks that
+    /// follow the first join its image pull.
+    fn sufficient_image(self) -> ImageState {
+        match self {
+            Self::BinPacking => ImageState::Pulling,
+            Self::Spreading => ImageState::Cached,
+        }
+    }
+}
+
 /// How bad a candidate is for a task; the least is best. The fields stand in the order
 /// of their weight.
 struct Score {
@@ -46,29 +76,17 @@
 struct Scorer<'a> {
     view: SchedulerView<'a>,
     spec: &'a JobSpec,
-    /// The state in which an image counts as present.
-    sufficient_image: ImageState,
-    /// Whether tasks are spread over machines rather than packed.
-    spread: bool,
+    strategy: PlacementStrategy,
     preferred_zone: Option<&'a str>,
     start_objective: Option<Duration>,
 }
 
 impl<'a> Scorer<'a> {
     fn new(view: SchedulerView<'a>, spec: &'a JobSpec) -> Self {
-        // Where capacity is held for quota guarantees, tasks are spread: losing a machine
-        // stops few of them, and images are cached in many places. Elsewhere they are
-        // packed, so that scale-in finds empty machines.
-        let spread = view.policy.holds_capacity();
         Self {
             view,
             spec,
-            sufficient_image: if spread {
-                ImageState::Cached
-            } else {
-                ImageState::Pulling
-            },
-            spread,
+            strategy: PlacementStrategy::of(view.policy),
             // A network partition leaves services there in contact with a controller.
             preferred_zone: match spec.kind {
                 JobKind::Service => view.main_zone,
@@ -79,7 +97,7 @@
     }
 
     fn score(&self, candidate: &Candidate, image: Option<&ImageState>) -> Score {
-        let lacks_image = image.is_none_or(|state| *state < self.sufficient_image);
+        let lacks_image = image.is_none_or(|state| *state < self.strategy.sufficient_image());
         let pull_exceeds = |objective| self.view.pull_exceeds(self.spec, candidate, objective);
         Score {
             lacks_image,
@@ -89,11 +107,12 @@
                 .is_some_and(|zone| *zone != *candidate.zone),
             costs_extra: candidate.costs_extra,
             on_demand: !candidate.spot,
-            // An image is pulled where most of the tasks that follow will fit.
-            free_cores: if lacks_image || self.spread {
-                -candidate.free.cores
-            } else {
-                candidate.free.cores
+            free_cores: match self.strategy {
+                // An image is pulled where most of the tasks that follow will fit.
+                PlacementStrategy::BinPacking if !lacks_image => candidate.free.cores,
+                PlacementStrategy::BinPacking | PlacementStrategy::Spreading => {
+                    -candidate.free.cores
+                }
             },
         }
     }
