--- a/src/coordination/shard/jobs/lifecycle.rs
+++ b/src/coordination/shard/jobs/lifecycle.rs
@@ -1,4 +1,4 @@
-//! How jobs come and go: acceptance, completion and cancellation.
+//! Acceptance, completion and cancellation of jobs.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use crate::storage::records::{FinalRecord, JobRecord};
 
 impl Shard {
-    /// A job was accepted (or its record was read again).
+    /// A job was accepted, or its record was read again: a known job stays as it is.
     pub fn job_accepted(&mut self, id: &str, mod_revision: u64, record: JobRecord, now: Instant) {
         if self.jobs.contains_key(id) {
             return;
@@ -32,7 +32,8 @@
         self.needs_pass = true;
     }
 
-    /// All unfinished jobs, read again at a revision.
+    /// Applies a full read of the unfinished jobs at a revision, after a watch lost events.
+    /// A job that the read lacks is finished, unless it was accepted after that revision.
     pub fn resync_jobs(
         &mut self,
         jobs: Vec<(String, u64, JobRecord)>,
@@ -40,13 +41,13 @@
         now: Instant,
     ) {
         let present: BTreeSet<String> = jobs.iter().map(|(id, ..)| id.clone()).collect();
-        let gone: Vec<JobId> = self
+        let missing: Vec<JobId> = self
             .jobs
             .values()
             .filter(|job| job.mod_revision <= revision && !present.contains(&*job.id))
             .map(|job| job.id.clone())
             .collect();
-        for id in gone {
+        for id in missing {
             self.job_finished(&id, None);
         }
         for (id, mod_revision, record) in jobs {
@@ -54,14 +55,14 @@
         }
     }
 
-    /// A job's record is gone: it is done or cancelled.
+    /// A job's record was deleted: the job is done or cancelled. A watch reports only the
+    /// deletion (`None`); a controller that moved the record itself knows the stage.
     pub fn job_finished(&mut self, id: &str, stage: Option<Stage>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         if job.final_stage.is_none() {
             job.final_stage = Some(stage.unwrap_or(Stage::Cancelled));
-            // A watch tells only that the record is gone; who moved it knows why.
             let stage = stage.map_or("done or cancelled", |stage| match stage {
                 Stage::Done => "done",
                 _ => "cancelled",
@@ -71,7 +72,7 @@
                 job = id,
                 stage,
                 done = job.done.len(),
-                "job over"
+                "job finished"
             );
         }
         let id = job.id.clone();
@@ -81,9 +82,9 @@
         self.drop_job_if_empty(&id);
     }
 
-    /// Stops all that may exist of a finished job; its ends need no
-    /// snapshot any more. Launches not yet sent are taken back as the shard
-    /// settles.
+    /// Stops the attempts of a finished job, and lets workers forget those that have ended:
+    /// no snapshot needs to record them. Launches that were not sent are withdrawn in the
+    /// next pass.
     fn close_attempts_of(&mut self, id: &JobId) {
         for machine in self.machines.ids(|m| m.attempts_of(id).next().is_some()) {
             let Some(machine) = self.machines.get_mut(&machine) else {
@@ -99,12 +100,13 @@
         }
     }
 
-    /// What an orphan on a machine was: its job is over.
+    /// Answers [`Action::ReadFinal`]: what a machine's attempts of a job that finished under an
+    /// earlier leader use.
     pub fn orphan_job_resolved(&mut self, id: &str, record: Option<FinalRecord>) {
         let Some(record) = record else {
-            // Neither unfinished nor over: no controller has ever accepted it.
-            // Its tasks stay stopped, and their machine stays closed.
-            tracing::error!(job = id, "a machine holds tasks of an unknown job");
+            // Neither unfinished nor finished: no controller ever accepted it. Its attempts
+            // are stopped, and their machine gets no new tasks while they last.
+            tracing::error!(job = id, "worker holds tasks of an unknown job");
             return;
         };
         let spec = Arc::new(record.spec);
@@ -123,7 +125,7 @@
         self.needs_pass = true;
     }
 
-    /// Forgets a finished job once no attempt of it may exist.
+    /// Removes a finished job once no attempt of it may exist.
     pub(in crate::coordination::shard) fn drop_job_if_empty(&mut self, id: &str) {
         if self
             .jobs
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Asks for the final record once all tasks are done.
+    /// Requests the write of the final record once all tasks have completed.
     pub(in crate::coordination::shard) fn finish_if_done(&mut self, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
--- a/src/coordination/shard/jobs/mod.rs
+++ b/src/coordination/shard/jobs/mod.rs
@@ -1,4 +1,9 @@
-//! Jobs as the leader keeps them.
+//! Jobs and the progress of their tasks.
+//!
+//! This module owns which tasks of a job are completed, which may exist on a machine, and
+//! which wait. The scheduler reads it, the reconciler updates it from heartbeats, and the
+//! leader loop and the user API bring accepted and finished jobs. It never starts or stops
+//! anything itself.
 
 mod lifecycle;
 mod progress;
@@ -9,54 +14,56 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use super::FailureHistory;
-use super::GangAttempt;
 use super::health::RunTimes;
+use super::{FailureHistory, GangAttempt};
 use crate::protocol::users::{JobKind, JobSpec, Stage};
 use crate::protocol::{JobId, MachineId};
 use crate::storage::records::JobRecord;
 use crate::storage::task_set::TaskSet;
 
 /// A job and the progress of its tasks.
+///
+/// Invariant: a task in `live` may have an attempt on that machine and on no other that is
+/// known, and a task in `unplaced` is neither completed nor live.
 #[derive(Debug)]
 pub struct Job {
     /// The job's id.
     pub id: JobId,
     /// Its description.
     pub spec: Arc<JobSpec>,
-    /// The version of its record in the key-value store.
+    /// The revision at which its record was last modified in the key-value store.
     pub mod_revision: u64,
-    /// Time of day of its acceptance, in milliseconds.
+    /// When it was accepted, in milliseconds since the Unix epoch.
     pub at_ms: u64,
+    /// Completed tasks.
     done: TaskSet,
-    /// Tasks that may exist on a machine. Ended ones are not among them.
+    /// Tasks of which an attempt that has not ended may exist, with its machine.
     live: HashMap<u32, MachineId>,
-    /// Tasks that were on a machine we knew of and surely are on none now.
+    /// Tasks that were on a machine under this leader and surely are on none now.
     unplaced: BTreeSet<u32>,
-    /// Tasks that are both: they ended as done while another attempt of them
-    /// may still exist.
+    /// How many tasks are completed and live: another attempt may still exist.
     both: u32,
-    /// Its failed attempts.
+    /// Its failed attempts since its last success.
     pub failures: FailureHistory,
-    /// Until when none of its tasks is started.
+    /// None of its tasks is started before this moment.
     pub not_before: Option<Instant>,
-    /// Run times of its completed tasks, for comparing machines.
+    /// Run times of its completed tasks, to find machines that are slower.
     pub ran: RunTimes,
-    /// Its final state, if it is over.
+    /// Its final stage, once it is finished.
     pub final_stage: Option<Stage>,
-    /// Its final record has been asked for.
+    /// Whether the write of its final record was requested.
     pub finish_sent: bool,
     /// Some of its tasks would start too late on low-cost machines: they may also use those
     /// that cost extra.
     pub accepts_extra_cost: bool,
-    /// If it is a gang, its present attempt.
+    /// The present attempt of a gang.
     pub gang: GangAttempt,
-    /// Where to look first for a task that waits.
+    /// Where the search for the next waiting task begins: a hint that saves time.
     cursor: u32,
 }
 
 impl Job {
-    /// A job of which nothing is known but its record.
+    /// A job without any attempt.
     pub fn new(id: JobId, mod_revision: u64, record: JobRecord) -> Self {
         Self {
             id,
@@ -78,7 +85,7 @@
         }
     }
 
-    /// Tasks that are neither done nor possibly on a machine.
+    /// How many tasks wait: they are neither completed nor live.
     pub fn waiting(&self) -> u32 {
         if self.final_stage.is_some() {
             return 0;
@@ -86,7 +93,7 @@
         (self.spec.tasks + self.both).saturating_sub(self.done.len() + self.live.len() as u32)
     }
 
-    /// Waiting tasks that are surely nowhere, whatever an earlier leader did.
+    /// Waiting tasks that surely have no attempt, even while machines are unreconciled.
     pub fn known_unplaced(&self) -> u32 {
         match self.final_stage {
             Some(_) => 0,
@@ -94,12 +101,12 @@
         }
     }
 
-    /// Waiting tasks that an earlier leader may have started somewhere.
+    /// Waiting tasks that an earlier leader may have started on an unreconciled machine.
     pub fn unreconciled_tasks(&self) -> u32 {
         self.waiting().saturating_sub(self.known_unplaced())
     }
 
-    /// The waiting tasks, counted one by one.
+    /// The waiting tasks, counted one by one, to check [`Job::waiting`].
     #[cfg(test)]
     pub fn recount_waiting(&self) -> u32 {
         let waits = |n: &u32| !self.done.contains(*n) && !self.live.contains_key(n);
@@ -109,12 +116,12 @@
         }
     }
 
-    /// Its completed tasks.
+    /// The completed tasks.
     pub fn done(&self) -> &TaskSet {
         &self.done
     }
 
-    /// Tasks that may exist, and where.
+    /// The tasks of which an attempt may exist, with its machine.
     pub fn live(&self) -> &HashMap<u32, MachineId> {
         &self.live
     }
@@ -132,7 +139,8 @@
         }
     }
 
-    /// A task may be on a machine from now on, unless it may be on another.
+    /// A task may be on a machine from now on. If it may be on another already, that one
+    /// stays on record.
     pub fn put(&mut self, index: u32, machine: &MachineId) {
         if let std::collections::hash_map::Entry::Vacant(free) = self.live.entry(index) {
             free.insert(machine.clone());
@@ -141,7 +149,7 @@
         }
     }
 
-    /// A task can't be on that machine any more.
+    /// A task has no attempt on a machine any more.
     pub fn lift(&mut self, index: u32, machine: &MachineId) {
         if self.live.get(&index) == Some(machine) {
             self.live.remove(&index);
@@ -156,13 +164,13 @@
         }
     }
 
-    /// The next waiting task that is surely nowhere; all are once every machine
-    /// is reconciled.
+    /// The next waiting task that surely has no attempt. `all` says that this holds for
+    /// every waiting task, as it does once every machine is reconciled.
     pub fn next_waiting(&mut self, all: bool) -> Option<u32> {
         if !all {
             return self.unplaced.first().copied();
         }
-        // What was released lies before the cursor only if it was lifted since.
+        // Tasks before the cursor wait only if they were lifted since it passed them.
         let free = |n: &u32| !self.done.contains(*n) && !self.live.contains_key(n);
         let next = (self.cursor..self.spec.tasks)
             .find(free)
@@ -171,12 +179,12 @@
         next
     }
 
-    /// Whether every task has completed; a service never is.
+    /// Whether every task has completed; tasks of a service never do.
     pub fn all_done(&self) -> bool {
         self.spec.kind != JobKind::Service && self.done.len() >= self.spec.tasks
     }
 
-    /// When it should be complete, in time of day.
+    /// Its deadline in milliseconds since the Unix epoch; the latest time if it has none.
     pub fn due_ms(&self) -> u64 {
         match self.spec.deadline_s {
             Some(s) => self.at_ms.saturating_add((s * 1000.0) as u64),
--- a/src/coordination/shard/machines/amounts.rs
+++ b/src/coordination/shard/machines/amounts.rs
@@ -1,20 +1,27 @@
-//! Amounts of resources.
+//! Amounts of resources that machines offer and tasks use.
 
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::JobSpec;
 
-/// What sums of amounts may be off by.
+/// Rounding error that sums of amounts may have, in cores, accelerators or GB.
 const AMOUNT_ROUNDING: f64 = 1e-9;
 
-/// What a machine can hold or what is held on it.
+/// Most tasks that are said to fit, where a job uses next to nothing.
+const MOST_FITTING_TASKS: f64 = 1e6;
+
+/// Amounts of the resources that a machine offers, or that tasks use.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Amounts {
+    /// CPU cores.
     pub cores: f64,
+    /// Accelerators.
     pub accelerators: f64,
+    /// Memory in GB.
     pub mem_gb: f64,
 }
 
 impl Amounts {
+    /// What one task of a job uses.
     pub fn of(spec: &JobSpec) -> Self {
         Self {
             cores: spec.cores,
@@ -23,6 +30,7 @@
         }
     }
 
+    /// What an empty machine of a type offers.
     pub fn of_type(kind: &MachineType) -> Self {
         Self {
             cores: kind.cores,
@@ -31,12 +39,14 @@
         }
     }
 
+    /// Subtracts what one task of a job uses.
     pub fn take(&mut self, spec: &JobSpec) {
         self.cores -= spec.cores;
         self.accelerators -= spec.accelerators;
         self.mem_gb -= spec.mem_gb;
     }
 
+    /// Adds what several tasks of a job use.
     pub fn give_many(&mut self, spec: &JobSpec, tasks: u32) {
         let tasks = f64::from(tasks);
         self.cores += spec.cores * tasks;
@@ -44,13 +54,14 @@
         self.mem_gb += spec.mem_gb * tasks;
     }
 
+    /// Adds what one task of a job uses.
     pub fn give(&mut self, spec: &JobSpec) {
         self.cores += spec.cores;
         self.accelerators += spec.accelerators;
         self.mem_gb += spec.mem_gb;
     }
 
-    /// What is left when so much is taken.
+    /// The difference of two amounts.
     pub fn less(&self, taken: &Self) -> Self {
         Self {
             cores: self.cores - taken.cores,
@@ -59,7 +70,7 @@
         }
     }
 
-    /// Whether a task of a job fits.
+    /// Whether one task of a job fits.
     pub fn holds(&self, spec: &JobSpec) -> bool {
         let fits = |have: f64, need: f64| need <= 0.0 || have + AMOUNT_ROUNDING >= need;
         fits(self.cores, spec.cores)
@@ -79,6 +90,6 @@
         let n = ratio(self.cores, spec.cores)
             .min(ratio(self.accelerators, spec.accelerators))
             .min(ratio(self.mem_gb, spec.mem_gb));
-        n.clamp(0.0, 1e6) as u32
+        n.clamp(0.0, MOST_FITTING_TASKS) as u32
     }
 }
--- a/src/coordination/shard/machines/mod.rs
+++ b/src/coordination/shard/machines/mod.rs
@@ -1,4 +1,9 @@
 //! Machines and the attempts that may exist on them.
+//!
+//! This module owns the state of each machine: what is known of its worker, the attempts on
+//! it, and whether it may get new tasks. All components of the shard read and change it
+//! through [`Machines`]. It never decides: when a machine is drained, cordoned or deleted is
+//! up to the autoscaler and the health checks.
 
 mod admission;
 mod agent_epochs;
@@ -27,59 +32,60 @@
 use crate::protocol::cloud::MachineType;
 use crate::protocol::{AttemptId, JobId, MachineId, TaskId};
 
-/// A machine of the shard.
+/// A machine of the shard, and its worker as far as this leader knows it.
 #[derive(Debug)]
 pub struct Machine {
     /// Its name.
     pub id: MachineId,
-    /// Its worker's address; empty while it isn't known.
+    /// Its worker's address, `host:port`; empty while it isn't known.
     pub addr: String,
-    /// Its type.
+    /// The name of its machine type.
     pub machine_type: Arc<str>,
     /// Its zone.
     pub zone: Arc<str>,
-    /// Whether it is a spot machine.
+    /// Whether it is a spot instance.
     pub spot: bool,
     /// The agent epochs and newest heartbeats of its worker.
     pub epochs: AgentEpochs,
-    /// A heartbeat has carried our fencing token: no older command can land any more.
+    /// Whether a heartbeat has carried this leader's fencing token: the worker refuses all
+    /// older commands.
     pub token_acknowledged: bool,
     /// How far its entry in the stored roster is.
     admission: Admission,
-    /// Last message of its worker that reached us.
+    /// When the last new heartbeat of its worker arrived, as an answer or by itself.
     pub last_contact: Option<Instant>,
     /// The bound on its worker's lease.
     pub lease: WorkerLease,
-    /// When the cloud takes it away, as far as was said.
+    /// When the cloud will preempt it, by the last notice.
     pub preemption_notice: Option<Instant>,
-    /// All attempts that may exist on it, by task and attempt number.
+    /// All attempts that may exist on it.
     pub attempts: BTreeMap<AttemptId, Attempt>,
-    /// What they amount to, as last counted.
+    /// What the attempts amount to, as last counted by [`Machines::refresh`].
     pub load: MachineLoad,
-    /// Images it holds or fetches, most recently used last.
+    /// Images that it is assumed to cache, most recently used last.
     pub images: Vec<String>,
-    /// When its rental was asked for, as far as is known.
+    /// When it was rented, as far as is known.
     pub rented: Instant,
-    /// Since when nothing has run on it.
+    /// Since when no attempt may run on it.
     pub idle_since: Option<Instant>,
     /// What attempts on it have shown of it.
     pub health: MachineHealth,
-    /// Being emptied, so that it can be given back.
+    /// Whether it is being drained, to be deleted once it is empty.
     pub draining: bool,
-    /// A deletion is under way.
+    /// Whether its deletion was decided; it is never taken back.
     pub deleting: bool,
-    /// When a deletion without an answer is asked for again.
+    /// When a deletion that got no answer is requested again.
     pub deletion_retry: Option<Instant>,
-    /// It has been on the cloud's list.
+    /// Whether the cloud's machine list has held it.
     pub listed: bool,
-    /// It should be on the cloud's list, and isn't.
+    /// Whether the cloud's machine list lacks it though it should hold it.
     pub vanished: bool,
     /// The path of commands to its worker.
     pub commands: CommandChannel,
 }
 
 impl Machine {
-    /// A machine of which nothing is known but its name.
+    /// A machine of which only the name is known.
     pub fn new(id: MachineId, now: Instant, lease_expires_at: Instant) -> Self {
         Self {
             id,
@@ -108,7 +114,7 @@
         }
     }
 
-    /// What a heartbeat, the list or the roster says of it.
+    /// Updates how a heartbeat, the machine list or the roster describes it.
     pub fn describe(&mut self, addr: &str, machine_type: &str, zone: &str, spot: bool) {
         if self.addr != addr {
             addr.clone_into(&mut self.addr);
@@ -157,7 +163,7 @@
         !self.deleting && !self.is_booting()
     }
 
-    /// For how long its worker has not been heard in any way.
+    /// Time since a heartbeat of its worker arrived, as an answer or by itself.
     pub fn since_last_contact(&self, now: Instant) -> Duration {
         match self.last_contact {
             Some(last_contact) => now.saturating_duration_since(last_contact),
@@ -165,8 +171,8 @@
         }
     }
 
-    /// For how long its worker has not reported by itself. It may still answer
-    /// what it is asked, but only its heartbeats renew its lease.
+    /// Time since its worker sent a heartbeat by itself. It may still answer commands, but
+    /// only the answers to its own heartbeats renew its lease.
     pub fn since_own_heartbeat(&self, now: Instant) -> Duration {
         self.lease.since_renewal(now)
     }
@@ -193,14 +199,14 @@
         self.attempts.range(range_of(job))
     }
 
-    /// All attempts of one job, to change.
+    /// All attempts of one job, mutable.
     pub fn attempts_of_mut(&mut self, job: &JobId) -> impl Iterator<Item = &mut Attempt> {
         self.attempts
             .range_mut(range_of(job))
             .map(|(_, attempt)| attempt)
     }
 
-    /// What is left beside all that may be in use on it.
+    /// What is free on it, of the given type, beside all that may be in use.
     pub fn free(&self, kind: &MachineType) -> Amounts {
         if self.load.unknown > 0 {
             return Amounts::default();
@@ -208,12 +214,13 @@
         Amounts::of_type(kind).less(&self.load.used)
     }
 
-    /// Whether an attempt on it may not have ended.
+    /// Whether an attempt on it has not ended.
     pub fn busy(&self) -> bool {
         self.attempts.values().any(|a| !a.ended())
     }
 
-    /// Notes that an image is used, and forgets what the cache can't hold.
+    /// Notes that an image is used; of the others, it is assumed to cache the `most` last
+    /// used in all.
     pub fn use_image(&mut self, image: &str, most: usize) {
         self.images.retain(|held| held != image);
         self.images.push(image.to_owned());
@@ -222,13 +229,13 @@
         }
     }
 
-    /// Whether it holds an image, as far as is known.
+    /// Whether it is assumed to cache an image.
     pub fn has_image(&self, image: &str) -> bool {
         self.images.iter().any(|held| held == image)
     }
 }
 
-/// Where a job's attempts stand among a machine's.
+/// The range of a job's attempts in the order of all attempts.
 fn range_of(job: &JobId) -> std::ops::RangeInclusive<AttemptId> {
     let at = |index, number| {
         let job = job.clone();
--- a/src/coordination/shard/machines/set.rs
+++ b/src/coordination/shard/machines/set.rs
@@ -1,8 +1,8 @@
-//! The shard's machines, each with a load of what may run on it.
+//! The shard's machines, each with the load that may run on it.
 //!
-//! Decisions look at machines far more often than machines change. So every
-//! mutable access marks the machine, and [`Machines::refresh`] counts the
-//! marked ones again before the next look.
+//! Decisions read machines far more often than machines change. So every mutable access
+//! marks the machine as changed, and [`Machines::refresh`] recounts the loads of the marked
+//! machines before the next decision.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,17 +14,17 @@
 /// What may run on one machine, counted from its attempts.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct MachineLoad {
-    /// How many tasks of which jobs may be there.
+    /// How many tasks of which jobs may be on it.
     pub tasks: Vec<(Arc<JobSpec>, u32)>,
-    /// What they attempt_number together.
+    /// What they use together.
     pub used: Amounts,
-    /// Attempts of jobs that are not known: they may attempt_number all of it.
+    /// Attempts of unknown jobs: each may use the whole machine.
     pub unknown: u32,
-    /// Some attempt is to stop.
+    /// Whether an attempt is to stop.
     pub stopping: bool,
-    /// Some attempt has to be told to the worker.
+    /// Whether a command for an attempt has to be sent.
     pub has_pending_commands: bool,
-    /// Some launch was never sent and is not wanted any more.
+    /// Whether a launch was never sent and is no longer wanted.
     pub has_withdrawable_launch: bool,
 }
 
@@ -44,7 +44,7 @@
                 continue;
             };
             load.used.give(spec);
-            // Tasks of one job mostly stand together.
+            // Attempts are in the order of their jobs: the job's entry is mostly the last.
             match load
                 .tasks
                 .iter_mut()
@@ -58,19 +58,19 @@
         load
     }
 
-    /// Whether nothing may run there.
+    /// Whether nothing may run on the machine.
     pub fn idle(&self) -> bool {
         self.tasks.is_empty() && self.unknown == 0
     }
 
-    /// The services that may be there.
+    /// The services of which tasks may be on the machine.
     pub fn services(&self) -> impl Iterator<Item = &(Arc<JobSpec>, u32)> {
         self.tasks
             .iter()
             .filter(|(spec, _)| spec.kind == JobKind::Service)
     }
 
-    /// Whether some task there has a lower priority.
+    /// Whether a task on the machine has a lower priority.
     pub fn has_lower_priority(&self, priority: Priority) -> bool {
         self.tasks.iter().any(|(spec, _)| spec.priority < priority)
     }
@@ -89,7 +89,7 @@
         self.all.get(id)
     }
 
-    /// A machine to change; its load is counted again before the next look.
+    /// A machine to change; [`Machines::refresh`] will recount its load.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut Machine> {
         let machine = self.all.get_mut(id)?;
         if !self.changed.contains(id) {
@@ -109,7 +109,7 @@
         self.all.insert(machine.id.clone(), machine);
     }
 
-    /// Takes a machine out.
+    /// Removes a machine.
     pub fn remove(&mut self, id: &str) -> Option<Machine> {
         self.changed.remove(id);
         self.all.remove(id)
@@ -130,7 +130,7 @@
         self.all.is_empty()
     }
 
-    /// The names of the machines that fit a condition.
+    /// The names of the machines that meet a condition, in order.
     pub fn ids(&self, which: impl Fn(&Machine) -> bool) -> Vec<MachineId> {
         self.values()
             .filter(|machine| which(machine))
@@ -138,7 +138,7 @@
             .collect()
     }
 
-    /// Whether every load that is taken to hold does.
+    /// Whether the load of every machine that is not marked as changed is right.
     #[cfg(test)]
     pub fn loads_hold(&self) -> bool {
         self.all
@@ -147,7 +147,7 @@
             .all(|machine| machine.load == MachineLoad::of(machine))
     }
 
-    /// Counts the machines again that may have changed.
+    /// Recounts the loads of the machines that may have changed.
     pub fn refresh(&mut self) {
         for id in std::mem::take(&mut self.changed) {
             if let Some(machine) = self.all.get_mut(&id) {
--- a/src/coordination/shard/reconciler/outcomes.rs
+++ b/src/coordination/shard/reconciler/outcomes.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt means for its job and its machine.
+//! Outcomes of attempts, and what they mean for the job and the machine.
 
 use std::time::{Duration, Instant};
 
@@ -7,10 +7,11 @@
 use crate::protocol::workers::AttemptOutcome;
 use crate::protocol::{AttemptId, MachineId, TaskId};
 
-/// Pause before a job's tasks are started again after a worker refused one.
+/// Pause before tasks of a job are started again after a worker refused to start one.
 const REFUSED_START_PAUSE: Duration = Duration::from_millis(500);
 
 impl Shard {
+    /// A heartbeat lists an attempt as ended for the first time.
     pub(super) fn attempt_ended(
         &mut self,
         id: &MachineId,
@@ -29,20 +30,20 @@
             return;
         };
         let ended = AttemptSummary::of(attempt, now);
-        tracing::debug!(machine = %id, %task, ?outcome, asked = ended.asked, "attempt ended");
+        tracing::debug!(machine = %id, %task, ?outcome, was_stopped = ended.was_stopped, "attempt ended");
         let Some(job) = self.jobs.get(&task.job) else {
             attempt.clearable = true;
             return;
         };
-        // A finish stays listed until it is on record; anything else is only
-        // of interest to this leader.
+        // A worker must remember a completion until a snapshot records it, for the next
+        // leader. Any other outcome matters to this leader only.
         attempt.clearable = outcome != AttemptOutcome::Done || job.final_stage.is_some();
         self.apply_outcome(id, task, outcome, &ended, now);
         self.release(id, task);
         self.finish_if_done(&task.job.clone());
     }
 
-    /// What an attempt's end means for its job.
+    /// Applies an outcome to the attempt's job.
     fn apply_outcome(
         &mut self,
         id: &MachineId,
@@ -56,7 +57,7 @@
         };
         match outcome {
             AttemptOutcome::Done => self.task_done(task, ended, now),
-            AttemptOutcome::Error if !ended.asked && job.final_stage.is_none() => {
+            AttemptOutcome::Error if !ended.was_stopped && job.final_stage.is_none() => {
                 let failure = FailedAttempt {
                     job: &task.job,
                     machine: id,
@@ -76,18 +77,19 @@
         }
     }
 
+    /// A task has completed.
     fn task_done(&mut self, task: &TaskId, ended: &AttemptSummary, now: Instant) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         self.writes.progress_changed(now);
         if job.spec.is_gang() {
-            // All tasks of a gang complete together, also those of which nobody
-            // will hear again, since their machine was lost at that moment.
+            // The tasks of a gang complete together, also those on machines that are lost
+            // before they report it.
             self.gang_task_done(&task.job);
         } else {
             job.complete(task.index);
-            if let Some(ran) = ended.ran.filter(|_| ended.typical) {
+            if let Some(ran) = ended.ran.filter(|_| ended.is_comparable) {
                 job.ran.note(ran);
             }
         }
@@ -95,15 +97,15 @@
     }
 }
 
-/// What is known of an attempt that has ended.
+/// What an ended attempt leaves to be evaluated.
 struct AttemptSummary {
-    /// It was told to stop.
-    asked: bool,
-    /// Its run time may be compared with others.
-    typical: bool,
-    /// When it was decided, or first seen.
+    /// Whether a stop was decided for it: an error is then no failure.
+    was_stopped: bool,
+    /// Whether its run time may be compared with others of its job.
+    is_comparable: bool,
+    /// When it was decided, or first listed by a heartbeat.
     began: Instant,
-    /// How long it was seen running.
+    /// How long heartbeats listed it as running.
     ran: Option<Duration>,
 }
 
@@ -111,8 +113,8 @@
     fn of(attempt: &Attempt, now: Instant) -> Self {
         let since = attempt.running_since;
         Self {
-            asked: attempt.stop().is_some(),
-            typical: !attempt.overdue && !attempt.adopted,
+            was_stopped: attempt.stop().is_some(),
+            is_comparable: !attempt.overdue && !attempt.adopted,
             began: attempt.began,
             ran: since.map(|since| now.saturating_duration_since(since)),
         }
--- a/src/coordination/shard/reconciler/removal.rs
+++ b/src/coordination/shard/reconciler/removal.rs
@@ -1,4 +1,4 @@
-//! Removal of attempts that can't exist any more, and of machines from the unreconciled set.
+//! Removal of attempts that can't exist any more, and the end of a machine's reconciliation.
 
 use std::time::Instant;
 
@@ -6,7 +6,7 @@
 use crate::protocol::{AttemptId, MachineId, TaskId};
 
 impl Shard {
-    /// Takes an attempt that can't exist any more off the books.
+    /// Removes an attempt that can't exist any more, and releases its task.
     pub(in crate::coordination::shard) fn remove_attempt(
         &mut self,
         id: &MachineId,
@@ -28,7 +28,8 @@
         self.needs_pass = true;
     }
 
-    /// A task may start elsewhere: its attempt here has ended or is gone.
+    /// Releases a task, whose attempt on a machine has ended or was removed: it may start
+    /// elsewhere.
     pub(in crate::coordination::shard) fn release(&mut self, id: &MachineId, task: &TaskId) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.lift(task.index, id);
@@ -38,25 +39,26 @@
         self.needs_pass = true;
     }
 
-    /// The machine holds nothing any more: its lease has ended, or it is gone.
+    /// A machine holds no task any more, known or unknown: its worker's lease has expired, or
+    /// it was deleted.
     pub(in crate::coordination::shard) fn empty_machine(&mut self, id: &MachineId, now: Instant) {
         self.remove_attempts(id, now);
         self.reconcile_machine(id);
         self.needs_pass = true;
     }
 
-    /// What an earlier leader may have started on a machine is known now.
+    /// All tasks that an earlier leader started on a machine are known now.
     pub(in crate::coordination::shard) fn reconcile_machine(&mut self, id: &MachineId) {
         if self.unreconciled.remove(id) {
             tracing::info!(
                 fencing_token = %self.fencing_token,
-                "every machine of the roster is reconciled"
+                "every recovered machine is reconciled"
             );
         }
     }
 
-    /// Nothing that is on the books of a machine can exist any more. Something
-    /// else may be there, if it isn't reconciled.
+    /// Removes all attempts of a machine: none of them can exist any more. Unknown tasks may
+    /// still be there if the machine is unreconciled.
     pub(in crate::coordination::shard) fn remove_attempts(&mut self, id: &MachineId, now: Instant) {
         let keys: Vec<AttemptId> = match self.machines.get(id) {
             Some(machine) => machine.attempts.keys().cloned().collect(),
--- a/src/coordination/shard/summary.rs
+++ b/src/coordination/shard/summary.rs
@@ -1,4 +1,6 @@
-//! The shard in a few numbers for the log, and as text for operators.
+//! Overviews of the shard: a line for the log, and the text of the status page.
+//!
+//! The status page serves the text over HTTP, so its wording stays as it is.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -8,7 +10,7 @@
 use crate::protocol::users::JobKind;
 
 impl Shard {
-    /// A few numbers for the log.
+    /// The numbers of jobs, machines and attempts, as one line for the log.
     pub fn summary(&self) -> String {
         let attempts: usize = self.machines.values().map(|m| m.attempts.len()).sum();
         let waiting: u32 = self.jobs.values().map(Job::waiting).sum();
@@ -25,7 +27,7 @@
         )
     }
 
-    /// How the cores of ordinary or spot machines are used.
+    /// How the cores of on-demand machines, or of spot instances, are used.
     fn cores_of(&self, spot: bool) -> String {
         let (mut total, mut hosts, mut services, mut batch) = (0.0, 0.0, 0.0, 0.0);
         for machine in self.machines.values().filter(|m| m.spot == spot) {
@@ -48,7 +50,7 @@
         format!("{total} cores ({services} services on {hosts}, {batch} batch)")
     }
 
-    /// Machines and queues, as text for operators.
+    /// Queues, teams and machines, as text for the operators' status page.
     pub fn describe(&self, now: Instant) -> String {
         let mut text = format!("{}\n{}\n", self.summary(), self.writes.describe(now));
         let mut queues: BTreeMap<&str, (u32, usize)> = BTreeMap::new();
