--- a/src/coordination/leadership/job_watch.rs
+++ b/src/coordination/leadership/job_watch.rs
@@ -7,7 +7,7 @@
 use super::stored_records::parse_job;
 use crate::coordination::node::{KV_DEADLINE, Node};
 use crate::coordination::retry::Backoff;
-use crate::coordination::shard::Shard;
+use crate::coordination::shard::{Shard, UnfinishedJob};
 use crate::protocol::kv::{KeyValue, WatchEvent};
 use crate::storage::keys;
 use crate::storage::kv_client::KvError;
@@ -75,7 +75,12 @@
                 mod_revision,
                 lease: None,
             };
-            if let Some((id, mod_revision, record)) = parse_job(item) {
+            if let Some(UnfinishedJob {
+                id,
+                mod_revision,
+                record,
+            }) = parse_job(item)
+            {
                 node.notify_job_accepted(shard, &id, mod_revision, record, now);
             }
         }
@@ -94,7 +99,7 @@
     let jobs: Vec<_> = items
         .into_iter()
         .filter_map(parse_job)
-        .filter(|(id, mod_revision, _)| !node.job_index.has_ended(id, *mod_revision))
+        .filter(|job| !node.job_index.has_ended(&job.id, job.mod_revision))
         .collect();
     node.with_shard(lease, "jobs", |shard, now| {
         shard.resync_jobs(jobs, revision, now);
--- a/src/coordination/leadership/stored_records.rs
+++ b/src/coordination/leadership/stored_records.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 use super::lease::Sequence;
-use crate::coordination::shard::{RecoveredMachine, RecoveredState};
+use crate::coordination::shard::{RecoveredMachine, RecoveredState, UnfinishedJob};
 use crate::protocol::kv::KeyValue;
 use crate::storage::kv_client::{KvClient, KvError};
-use crate::storage::records::{JobRecord, SequenceRecord};
+use crate::storage::records::SequenceRecord;
 use crate::storage::{keys, roster};
 
 /// Deadline of each read of the shard's records.
@@ -87,10 +87,10 @@
 
 /// Parses the record of an unfinished job: the job's id, its modification revision and
 /// the record.
-pub(super) fn parse_job(item: KeyValue) -> Option<(String, u64, JobRecord)> {
+pub(super) fn parse_job(item: KeyValue) -> Option<UnfinishedJob> {
     let id = item.key.strip_prefix(keys::JOBS)?.to_owned();
     let record = parse(&item)?;
-    Some((id, item.mod_revision, record))
+    Some(UnfinishedJob::new(id, item.mod_revision, record))
 }
 
 fn parse<T: serde::de::DeserializeOwned>(item: &KeyValue) -> Option<T> {
--- a/src/coordination/shard/jobs/lifecycle.rs
+++ b/src/coordination/shard/jobs/lifecycle.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::Job;
+use super::{Job, UnfinishedJob};
 use crate::coordination::shard::{Action, Shard};
 use crate::protocol::JobId;
 use crate::protocol::users::Stage;
@@ -34,13 +34,8 @@
 
     /// Applies a full read of the unfinished jobs at a revision, after a watch lost events.
     /// A job that the read lacks is finished, unless it was accepted after that revision.
-    pub fn resync_jobs(
-        &mut self,
-        jobs: Vec<(String, u64, JobRecord)>,
-        revision: u64,
-        now: Instant,
-    ) {
-        let present: BTreeSet<String> = jobs.iter().map(|(id, ..)| id.clone()).collect();
+    pub fn resync_jobs(&mut self, jobs: Vec<UnfinishedJob>, revision: u64, now: Instant) {
+        let present: BTreeSet<String> = jobs.iter().map(|job| job.id.clone()).collect();
         let missing: Vec<JobId> = self
             .jobs
             .values()
@@ -50,8 +45,8 @@
         for id in missing {
             self.job_finished(&id, None);
         }
-        for (id, mod_revision, record) in jobs {
-            self.job_accepted(&id, mod_revision, record, now);
+        for job in jobs {
+            self.job_accepted(&job.id, job.mod_revision, job.record, now);
         }
     }
 
--- a/src/coordination/shard/jobs/mod.rs
+++ b/src/coordination/shard/jobs/mod.rs
@@ -7,8 +7,10 @@
 
 mod lifecycle;
 mod progress;
+mod unfinished;
 
 pub use progress::{RunningTasks, TaskCounts};
+pub use unfinished::UnfinishedJob;
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -29,7 +29,7 @@
 pub use autoscaler::RentalOutcome;
 pub use delegations::delegate_commands;
 pub use health::{FailureHistory, MachineHealth};
-pub use jobs::{Job, TaskCounts};
+pub use jobs::{Job, TaskCounts, UnfinishedJob};
 pub use machines::{Attempt, Machine, MachineLoad, Machines, Phase};
 pub use persistence::{ShardWrite, WritePurpose};
 pub use policy::{Policy, TeamPolicy};
--- a/src/coordination/shard/reconciler/recovery.rs
+++ b/src/coordination/shard/reconciler/recovery.rs
@@ -11,10 +11,10 @@
 use crate::coordination::shard::jobs::RunningTasks;
 use crate::coordination::shard::machines::DeletedMachines;
 use crate::coordination::shard::persistence::WriteQueue;
-use crate::coordination::shard::{Job, Machine, Machines, Policy, Shard};
+use crate::coordination::shard::{Job, Machine, Machines, Policy, Shard, UnfinishedJob};
 use crate::coordination::worker_leases::DELEGATION_TIME;
 use crate::protocol::{FencingToken, JobId, MachineId};
-use crate::storage::records::{JobRecord, RentalRecord, RosterRecord};
+use crate::storage::records::{RentalRecord, RosterRecord};
 use crate::storage::snapshot;
 
 /// Low bits of an attempt number, below those of the fencing token: they bound the attempts
@@ -36,8 +36,8 @@
 /// can change it any more.
 #[derive(Debug, Default, Clone)]
 pub struct RecoveredState {
-    /// Unfinished jobs: id, revision of the last modification, record.
-    pub jobs: Vec<(String, u64, JobRecord)>,
+    /// The unfinished jobs.
+    pub jobs: Vec<UnfinishedJob>,
     /// The machines of all pages of the roster.
     pub roster: Vec<RecoveredMachine>,
     /// The snapshot's chunks by key.
@@ -93,8 +93,13 @@
         }
     }
 
-    fn recover_jobs(&mut self, jobs: Vec<(String, u64, JobRecord)>, now: Instant) {
-        for (id, mod_revision, record) in jobs {
+    fn recover_jobs(&mut self, jobs: Vec<UnfinishedJob>, now: Instant) {
+        for UnfinishedJob {
+            id,
+            mod_revision,
+            record,
+        } in jobs
+        {
             let age = self.acquired_wall_ms.saturating_sub(record.accepted_at_ms);
             let accepted_at = now.checked_sub(Duration::from_millis(age)).unwrap_or(now);
             self.autoscaler
--- a/src/coordination/shard/tests/agent_epochs.rs
+++ b/src/coordination/shard/tests/agent_epochs.rs
@@ -4,7 +4,7 @@
 
 use super::fixtures::{record, recovered_job, roster_machine, running_task, spec};
 use super::scripted_shard::{ScriptedShard, TOKEN};
-use crate::coordination::shard::{CommandOutcome, RecoveredState};
+use crate::coordination::shard::{CommandOutcome, RecoveredState, UnfinishedJob};
 
 /// Found by the simulation: a machine that was unreachable at a failover came back in a new
 /// agent epoch, answered a probe only, and its tasks counted as lost when the lease of its
@@ -82,7 +82,11 @@
 #[test]
 fn a_new_agent_epoch_does_not_reconcile_what_an_earlier_leader_started_in_it() {
     let mut script = ScriptedShard::new(RecoveredState {
-        jobs: vec![("run-1".into(), TOKEN - 1, record(spec("blue", 1.0, 1)))],
+        jobs: vec![UnfinishedJob::new(
+            "run-1",
+            TOKEN - 1,
+            record(spec("blue", 1.0, 1)),
+        )],
         roster: vec![roster_machine("vm-1")],
         ..RecoveredState::default()
     });
--- a/src/coordination/shard/tests/combined_faults.rs
+++ b/src/coordination/shard/tests/combined_faults.rs
@@ -5,7 +5,7 @@
 use super::fixtures::{record, recovered_job, roster_machine, running_task, spec, task_status};
 use super::scripted_shard::{ScriptedShard, TOKEN, stops};
 use super::scripted_workers::run_commands;
-use crate::coordination::shard::{CommandOutcome, RecoveredState};
+use crate::coordination::shard::{CommandOutcome, RecoveredState, UnfinishedJob};
 use crate::protocol::cloud::{Listed, ListedState};
 use crate::protocol::users::Stage;
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState};
@@ -21,7 +21,7 @@
 fn a_cancelled_task_on_an_unreachable_machine_counts_until_its_lease_expires() {
     // The team's limit is 16 cores; its job may hold eight of them on vm-1.
     let mut script = ScriptedShard::new(RecoveredState {
-        jobs: vec![("run-1".into(), 5, record(spec("red", 8.0, 1)))],
+        jobs: vec![UnfinishedJob::new("run-1", 5, record(spec("red", 8.0, 1)))],
         roster: vec![roster_machine("vm-1")],
         ..RecoveredState::default()
     });
@@ -226,7 +226,11 @@
     };
     assert!(clears(&commands, 0) && !clears(&commands, 1));
     let mut next = ScriptedShard::new(RecoveredState {
-        jobs: vec![("run-1".into(), TOKEN + 2, record(spec("blue", 1.0, 3)))],
+        jobs: vec![UnfinishedJob::new(
+            "run-1",
+            TOKEN + 2,
+            record(spec("blue", 1.0, 3)),
+        )],
         roster: vec![roster_machine("vm-1")],
         chunks,
         ..RecoveredState::default()
--- a/src/coordination/shard/tests/delegations.rs
+++ b/src/coordination/shard/tests/delegations.rs
@@ -6,7 +6,9 @@
     ADVANCE_DELEGATION, ended_task, record, recovered_job, roster_machine, running_task, spec,
 };
 use super::scripted_shard::{ScriptedShard, TOKEN};
-use crate::coordination::shard::{CommandOutcome, RecoveredState, delegate_commands};
+use crate::coordination::shard::{
+    CommandOutcome, RecoveredState, UnfinishedJob, delegate_commands,
+};
 use crate::protocol::TaskId;
 use crate::protocol::workers::{AttemptOutcome, Command};
 
@@ -55,7 +57,11 @@
 #[test]
 fn a_delegates_inventory_reconciles_machines_without_opening_them() {
     let mut script = ScriptedShard::new(RecoveredState {
-        jobs: vec![("run-1".into(), TOKEN - 1, record(spec("blue", 1.0, 2)))],
+        jobs: vec![UnfinishedJob::new(
+            "run-1",
+            TOKEN - 1,
+            record(spec("blue", 1.0, 2)),
+        )],
         roster: vec![roster_machine("vm-1")],
         ..RecoveredState::default()
     });
--- a/src/coordination/shard/tests/failing_jobs.rs
+++ b/src/coordination/shard/tests/failing_jobs.rs
@@ -5,7 +5,7 @@
 
 use super::fixtures::{self, policy, record, task_status};
 use super::scripted_shard::{ScriptedShard, TOKEN, stops};
-use crate::coordination::shard::{CommandOutcome, Policy, RecoveredState};
+use crate::coordination::shard::{CommandOutcome, Policy, RecoveredState, UnfinishedJob};
 use crate::protocol::users::{JobKind, JobSpec, Stage};
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState, TaskStatus, WorkerHeartbeat};
 
@@ -257,7 +257,11 @@
 #[test]
 fn a_job_that_fails_everywhere_survives_a_failover() {
     let mut script = ScriptedShard::new(RecoveredState {
-        jobs: vec![("run-9".into(), 5, record(spec("blue", 1.0, 24)))],
+        jobs: vec![UnfinishedJob::new(
+            "run-9",
+            5,
+            record(spec("blue", 1.0, 24)),
+        )],
         ..RecoveredState::default()
     });
     for id in MACHINES.iter().chain(&MACHINES) {
--- a/src/coordination/shard/tests/failover.rs
+++ b/src/coordination/shard/tests/failover.rs
@@ -4,7 +4,7 @@
 
 use super::fixtures::{record, recovered_job, roster_machine, running_task, spec};
 use super::scripted_shard::{ScriptedShard, TOKEN};
-use crate::coordination::shard::{CommandOutcome, RecoveredState};
+use crate::coordination::shard::{CommandOutcome, RecoveredState, UnfinishedJob};
 use crate::protocol::workers::Command;
 
 /// Tasks of jobs that an earlier leader knew may run on any machine of the roster that is not
@@ -12,7 +12,11 @@
 #[test]
 fn old_jobs_wait_until_every_machine_is_reconciled() {
     let mut script = ScriptedShard::new(RecoveredState {
-        jobs: vec![("run-1".into(), 50, record(spec("blue", 1.0, 1)))],
+        jobs: vec![UnfinishedJob::new(
+            "run-1",
+            50,
+            record(spec("blue", 1.0, 1)),
+        )],
         roster: vec![roster_machine("vm-1"), roster_machine("vm-2")],
         ..RecoveredState::default()
     });
@@ -34,7 +38,11 @@
 #[test]
 fn a_heartbeat_under_an_older_fencing_token_reconciles_nothing() {
     let mut script = ScriptedShard::new(RecoveredState {
-        jobs: vec![("run-1".into(), 50, record(spec("blue", 1.0, 1)))],
+        jobs: vec![UnfinishedJob::new(
+            "run-1",
+            50,
+            record(spec("blue", 1.0, 1)),
+        )],
         roster: vec![roster_machine("vm-1")],
         ..RecoveredState::default()
     });
@@ -92,7 +100,11 @@
 #[test]
 fn no_idle_machine_is_deleted_while_machines_are_unreconciled() {
     let mut script = ScriptedShard::new(RecoveredState {
-        jobs: vec![("run-1".into(), TOKEN - 1, record(spec("red", 8.0, 2)))],
+        jobs: vec![UnfinishedJob::new(
+            "run-1",
+            TOKEN - 1,
+            record(spec("red", 8.0, 2)),
+        )],
         roster: ["vm-0", "vm-1", "vm-2", "vm-3"].map(roster_machine).into(),
         ..RecoveredState::default()
     });
@@ -135,7 +147,7 @@
 #[test]
 fn unseen_tasks_count_in_every_zone_where_they_may_run() {
     let mut recovered = recovered_job(4, &["vm-1", "vm-2"]);
-    recovered.jobs[0].2.spec.scatter = true;
+    recovered.jobs[0].record.spec.scatter = true;
     let mut script = ScriptedShard::new(recovered);
     let running = |n| running_task(&format!("run-1/{n}"), 7);
     let probe = script.probes().remove(0);
--- a/src/coordination/shard/tests/fixtures.rs
+++ b/src/coordination/shard/tests/fixtures.rs
@@ -3,7 +3,9 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::coordination::shard::{Policy, RecoveredMachine, RecoveredState, TeamPolicy};
+use crate::coordination::shard::{
+    Policy, RecoveredMachine, RecoveredState, TeamPolicy, UnfinishedJob,
+};
 use crate::protocol::TaskId;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::{JobKind, JobSpec, Priority};
@@ -124,7 +126,11 @@
 /// A job of an earlier leader and a roster, as a new leader recovers them.
 pub(super) fn recovered_job(tasks: u32, machines: &[&str]) -> RecoveredState {
     RecoveredState {
-        jobs: vec![("run-1".into(), 5, record(spec("red", 1.0, tasks)))],
+        jobs: vec![UnfinishedJob::new(
+            "run-1",
+            5,
+            record(spec("red", 1.0, tasks)),
+        )],
         roster: machines.iter().map(|id| roster_machine(id)).collect(),
         ..RecoveredState::default()
     }
--- a/src/coordination/shard/tests/gangs/failover.rs
+++ b/src/coordination/shard/tests/gangs/failover.rs
@@ -5,7 +5,7 @@
 use super::super::fixtures::{ended_task, record, roster_machine, running_task, task_status};
 use super::super::scripted_shard::ScriptedShard;
 use super::{gang, second};
-use crate::coordination::shard::{CommandOutcome, Phase, RecoveredState};
+use crate::coordination::shard::{CommandOutcome, Phase, RecoveredState, UnfinishedJob};
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState};
 
 /// A new leader finds half of a gang. The other half may run on an unreconciled machine: it is
@@ -55,7 +55,7 @@
 #[test]
 fn an_attempt_starts_only_when_no_task_of_an_earlier_one_can_run() {
     let mut script = ScriptedShard::new(RecoveredState {
-        jobs: vec![("run-1".into(), 5, record(gang(2, 8.0)))],
+        jobs: vec![UnfinishedJob::new("run-1", 5, record(gang(2, 8.0)))],
         roster: vec![roster_machine("vm-1")],
         ..RecoveredState::default()
     });
@@ -151,7 +151,7 @@
 /// A gang of an earlier leader, and two machines of the roster.
 fn recovered_gang_of_two() -> RecoveredState {
     RecoveredState {
-        jobs: vec![("run-1".into(), 5, record(gang(2, 8.0)))],
+        jobs: vec![UnfinishedJob::new("run-1", 5, record(gang(2, 8.0)))],
         roster: vec![roster_machine("vm-1"), roster_machine("vm-2")],
         ..RecoveredState::default()
     }
--- a/src/coordination/shard/tests/health.rs
+++ b/src/coordination/shard/tests/health.rs
@@ -4,7 +4,7 @@
 
 use super::fixtures::{record, roster_machine, spec, task_status};
 use super::scripted_shard::{CommandBatch, ScriptedShard, TOKEN, launched_attempt, stops};
-use crate::coordination::shard::{Action, CommandOutcome, RecoveredState};
+use crate::coordination::shard::{Action, CommandOutcome, RecoveredState, UnfinishedJob};
 use crate::protocol::MachineId;
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState, TaskStatus};
@@ -92,7 +92,11 @@
 #[test]
 fn tasks_of_an_earlier_leader_are_no_measure_of_run_times() {
     let mut script = ScriptedShard::new(RecoveredState {
-        jobs: vec![("run-1".into(), 50, record(spec("blue", 1.0, 8)))],
+        jobs: vec![UnfinishedJob::new(
+            "run-1",
+            50,
+            record(spec("blue", 1.0, 8)),
+        )],
         roster: vec![roster_machine("vm-1")],
         ..RecoveredState::default()
     });
--- a/src/coordination/shard/tests/scale/cluster.rs
+++ b/src/coordination/shard/tests/scale/cluster.rs
@@ -8,7 +8,7 @@
 use super::super::fixtures::{self, machine_types, policy, record, task_status};
 use super::super::scripted_shard::{ScriptedShard, TOKEN};
 use crate::coordination::shard::{
-    Action, CommandOutcome, Policy, RecoveredMachine, RecoveredState, Shard,
+    Action, CommandOutcome, Policy, RecoveredMachine, RecoveredState, Shard, UnfinishedJob,
 };
 use crate::protocol::kv::Mutation;
 use crate::protocol::users::JobSpec;
@@ -275,11 +275,7 @@
             jobs: jobs
                 .iter()
                 .map(|(id, tasks)| {
-                    (
-                        (*id).to_owned(),
-                        TOKEN + 1,
-                        record(spec("blue", 8.0, *tasks)),
-                    )
+                    UnfinishedJob::new(*id, TOKEN + 1, record(spec("blue", 8.0, *tasks)))
                 })
                 .collect(),
             roster: self.roster(),
--- a/src/coordination/shard/tests/simulation/kv_store.rs
+++ b/src/coordination/shard/tests/simulation/kv_store.rs
@@ -9,7 +9,7 @@
 use super::network::{FencedFinish, FencedWrite, Message};
 use super::rules::Rule;
 use super::{Simulation, lasts};
-use crate::coordination::shard::{RecoveredMachine, RecoveredState};
+use crate::coordination::shard::{RecoveredMachine, RecoveredState, UnfinishedJob};
 use crate::protocol::FencingToken;
 use crate::protocol::kv::Mutation;
 use crate::protocol::users::{JobKind, Stage};
@@ -54,7 +54,9 @@
             jobs: self
                 .jobs
                 .iter()
-                .map(|(id, job)| (id.clone(), job.mod_revision, job.record.clone()))
+                .map(|(id, job)| {
+                    UnfinishedJob::new(id.clone(), job.mod_revision, job.record.clone())
+                })
                 .collect(),
             roster: self.recovered_roster(),
             chunks: self.snapshot_chunks.clone(),
--- a/src/coordination/shard/tests/store_limits.rs
+++ b/src/coordination/shard/tests/store_limits.rs
@@ -8,7 +8,9 @@
 use super::fixtures::{ended_task, policy, record, roster_machine, running_task, spec};
 use super::scripted_shard::{ScriptedShard, TOKEN};
 use super::scripted_workers::run_commands;
-use crate::coordination::shard::{Action, Policy, RecoveredMachine, RecoveredState, ShardWrite};
+use crate::coordination::shard::{
+    Action, Policy, RecoveredMachine, RecoveredState, ShardWrite, UnfinishedJob,
+};
 use crate::protocol::kv::Mutation;
 use crate::protocol::workers::AttemptOutcome;
 
@@ -100,7 +102,7 @@
         .collect();
     let jobs = (0..120).map(|n| {
         let id = format!("run-{n:06}");
-        (id, 5, record(spec("blue", 0.1, 40)))
+        UnfinishedJob::new(id, 5, record(spec("blue", 0.1, 40)))
     });
     let recovered = RecoveredState {
         jobs: jobs.collect(),
--- a/src/coordination/tests/cancellation_freshness.rs
+++ b/src/coordination/tests/cancellation_freshness.rs
@@ -13,7 +13,7 @@
 use crate::coordination::peering::cancellations::{
     confirmed_cancellations, record_peer_cancellations,
 };
-use crate::coordination::shard::RecoveredState;
+use crate::coordination::shard::{RecoveredState, UnfinishedJob};
 use crate::coordination::worker_heartbeats::{HeartbeatDecision, handle_heartbeat};
 use crate::coordination::worker_leases::cancellation_freshness::{CancellationFreshness, bound};
 use crate::protocol::TaskId;
@@ -66,7 +66,7 @@
             spec: spec(),
         };
         let recovered = RecoveredState {
-            jobs: vec![("run-000001".into(), ACCEPTED, record.clone())],
+            jobs: vec![UnfinishedJob::new("run-000001", ACCEPTED, record.clone())],
             ..RecoveredState::default()
         };
         let opened = WatchEvent::Put {
