--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -23,7 +23,7 @@
 use crate::coordination::node::Node;
 use crate::coordination::requests::UserResponse;
 use crate::protocol::peer_messages::{CANCELLATIONS, REVIVE_LEASE};
-use crate::transport::limit::Places;
+use crate::transport::connection_limit::ConnectionLimit;
 
 /// Largest body of a user's or a worker's request, in bytes.
 const MAX_USER_BODY_BYTES: usize = 64 * 1024;
@@ -39,7 +39,7 @@
 struct PublicState {
     node: Arc<Node>,
     /// The connections of the public address.
-    connections: Places,
+    connections: ConnectionLimit,
 }
 
 impl FromRef<PublicState> for Arc<Node> {
@@ -50,7 +50,7 @@
 
 /// Routes of the address for users, workers and the load balancer. Other paths are answered with
 /// 404, other methods with 405. `connections` is the limit of the listener that serves them.
-pub fn public_router(node: Arc<Node>, connections: Places) -> Router {
+pub fn public_router(node: Arc<Node>, connections: ConnectionLimit) -> Router {
     Router::new()
         .route("/ready", get(user::ready))
         .route("/v1/jobs", post(user::submit))
--- a/src/api/worker.rs
+++ b/src/api/worker.rs
@@ -17,7 +17,7 @@
 /// each is asked to close its own.
 pub(super) async fn heartbeat(State(state): State<PublicState>, body: Body) -> Response {
     let mut response = answer(&state.node, body).await;
-    if state.connections.crowded() {
+    if state.connections.near_capacity() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
@@ -31,7 +31,7 @@
     match worker_heartbeats::handle_heartbeat(node, &heartbeat) {
         HeartbeatDecision::Renewed(answer) => json(StatusCode::OK, &answer),
         HeartbeatDecision::Refused => respond(UserResponse::unavailable("this machine is gone")),
-        HeartbeatDecision::Elsewhere(redirect) => json(StatusCode::MISDIRECTED_REQUEST, &redirect),
+        HeartbeatDecision::Redirected(redirect) => json(StatusCode::MISDIRECTED_REQUEST, &redirect),
     }
 }
 
--- a/src/coordination/node/clients.rs
+++ b/src/coordination/node/clients.rs
@@ -51,8 +51,8 @@
 impl WorkerClients {
     fn new(max_sockets: usize) -> Self {
         Self {
-            pooled: HttpClient::keeping(WORKER_IDLE),
-            unpooled: HttpClient::keeping(Duration::ZERO),
+            pooled: HttpClient::with_idle_timeout(WORKER_IDLE),
+            unpooled: HttpClient::with_idle_timeout(Duration::ZERO),
             max_sockets,
         }
     }
--- a/src/server.rs
+++ b/src/server.rs
@@ -18,7 +18,7 @@
 use crate::coordination::node::Node;
 use crate::coordination::peering;
 use crate::settings::Settings;
-use crate::transport::limit::{Limited, Places};
+use crate::transport::connection_limit::{ConnectionLimit, LimitedListener};
 
 /// Heartbeat intervals without a byte received after which a connection is closed.
 const IDLE_HEARTBEAT_INTERVALS: u32 = 5;
@@ -52,9 +52,9 @@
     let internal_listener = listen(platform.internal_addr).await?;
     info!(
         node_id = node.node_id(),
-        area = platform.zone,
-        front = %platform.front,
-        "valegap starts"
+        zone = platform.zone,
+        public_address = %platform.front,
+        "controller started"
     );
     spawn_background_loops(&node);
     serve(&node, public_listener, internal_listener).await
@@ -84,11 +84,11 @@
     let public_connections = connection_limit(&node.settings, PUBLIC_CONNECTION_PERCENT);
     let internal_connections = connection_limit(&node.settings, INTERNAL_CONNECTION_PERCENT);
     let public = axum::serve(
-        Limited::new(public_listener, public_connections.clone(), idle),
+        LimitedListener::new(public_listener, public_connections.clone(), idle),
         api::public_router(node.clone(), public_connections),
     );
     let internal = axum::serve(
-        Limited::new(internal_listener, internal_connections, idle),
+        LimitedListener::new(internal_listener, internal_connections, idle),
         api::internal_router(node.clone()),
     );
     tokio::try_join!(public.into_future(), internal.into_future())
@@ -101,7 +101,7 @@
 }
 
 /// A percentage of the process's sockets as a limit on connections.
-fn connection_limit(settings: &Settings, percent: usize) -> Places {
+fn connection_limit(settings: &Settings, percent: usize) -> ConnectionLimit {
     let sockets = settings.platform.settings.resources.max_connections;
-    Places::new(sockets * percent / 100)
+    ConnectionLimit::new(sockets * percent / 100)
 }
--- a/src/storage/kv_client/tests.rs
+++ b/src/storage/kv_client/tests.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::clock::SteadyClock;
-use crate::transport::client::MAX_ANSWER;
+use crate::transport::client::MAX_ANSWER_BYTES;
 
 /// A watch that has missed more than an answer may hold would ask for the same
 /// for ever: the keys are read again instead, as after a 410.
@@ -16,10 +16,10 @@
         let _ = stream.read(&mut [0; 1024]).await;
         let head = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n",
-            MAX_ANSWER + 1
+            MAX_ANSWER_BYTES + 1
         );
         let _ = stream.write_all(head.as_bytes()).await;
-        let _ = stream.write_all(&vec![b' '; MAX_ANSWER + 1]).await;
+        let _ = stream.write_all(&vec![b' '; MAX_ANSWER_BYTES + 1]).await;
     });
     let client = KvClient::new(addr, Arc::new(SteadyClock));
     let looked = client.catch_up("j/", 0, Duration::from_secs(5)).await;
--- a/src/transport/limit/tests.rs
+++ b/src/transport/connection_limit/tests.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-/// Found at full size: the connections of deleted machines took all sockets.
+/// Found at full scale: the connections of deleted machines took all sockets.
 #[tokio::test]
-async fn a_connection_on_which_nothing_comes_gives_its_place_back() {
+async fn an_idle_connection_is_closed_and_frees_its_place_in_the_limit() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let addr = listener.local_addr().expect("an address");
     let idle = Duration::from_millis(80);
-    let mut limited = Limited::new(listener, Places::new(1), idle);
+    let mut limited = LimitedListener::new(listener, ConnectionLimit::new(1), idle);
     let mut gone = TcpStream::connect(addr).await.expect("connects");
     let (mut held, _) = limited.accept().await;
     let begun = Instant::now();
@@ -24,10 +24,11 @@
 }
 
 #[tokio::test]
-async fn a_further_connection_waits_until_one_is_closed() {
+async fn at_the_limit_a_connection_waits_until_another_is_closed() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let addr = listener.local_addr().expect("an address");
-    let mut limited = Limited::new(listener, Places::new(1), Duration::from_secs(60));
+    let mut limited =
+        LimitedListener::new(listener, ConnectionLimit::new(1), Duration::from_secs(60));
     let _first = TcpStream::connect(addr).await.expect("connects");
     let (held, _) = limited.accept().await;
     let _second = TcpStream::connect(addr)
@@ -39,20 +40,20 @@
     limited.accept().await;
 }
 
-/// Found with more machines than sockets: those that held a connection kept
-/// all others out until their leases ended.
+/// Found with more machines than sockets: the workers that held a connection kept all others out
+/// until their leases expired.
 #[tokio::test]
-async fn places_are_crowded_before_they_are_full() {
+async fn a_limit_is_near_capacity_before_it_is_reached() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let addr = listener.local_addr().expect("an address");
-    let places = Places::new(10);
-    let mut limited = Limited::new(listener, places.clone(), Duration::from_secs(60));
+    let limit = ConnectionLimit::new(10);
+    let mut limited = LimitedListener::new(listener, limit.clone(), Duration::from_secs(60));
     let mut held = Vec::new();
     for n in 1..=8 {
         let stream = TcpStream::connect(addr).await.expect("connects");
         held.push((limited.accept().await, stream));
-        assert_eq!(places.crowded(), n > 7);
+        assert_eq!(limit.near_capacity(), n > 7);
     }
     held.pop();
-    assert!(!places.crowded());
+    assert!(!limit.near_capacity());
 }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -5,4 +5,4 @@
 //! it carries nor their routes.
 
 pub mod client;
-pub mod limit;
+pub mod connection_limit;
