--- a/src/coordination/shard/autoscaler/capacity.rs
+++ b/src/coordination/shard/autoscaler/capacity.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use crate::coordination::shard::machines::Amounts;
+use crate::coordination::shard::machines::Resources;
 use crate::coordination::shard::scheduler::allowed;
 use crate::coordination::shard::{Machine, Shard};
 use crate::protocol::MachineId;
@@ -31,7 +31,7 @@
     pub machine_type: Arc<str>,
     pub zone: Arc<str>,
     pub spot: bool,
-    pub free: Amounts,
+    pub free: Resources,
     /// Batch tasks on it, lowest priority first.
     preemptible: Vec<Preemptible>,
     /// It is an on-demand machine that is kept for batch work alone.
@@ -59,7 +59,7 @@
             machine_type: kind.name.as_str().into(),
             zone: zone.into(),
             spot,
-            free: Amounts::of_type(kind),
+            free: Resources::of_machine_type(kind),
             preemptible: Vec::new(),
             costs_extra: !spot,
             used: false,
@@ -82,15 +82,15 @@
     /// Whether a task may fit, as it is or if something is preempted.
     pub(super) fn may_hold(&self, spec: &JobSpec) -> bool {
         let is_preemptible = |tasks: &Preemptible| tasks.spec.priority < spec.priority;
-        self.free.holds(spec) || self.preemptible.first().is_some_and(is_preemptible)
+        self.free.fits_task(spec) || self.preemptible.first().is_some_and(is_preemptible)
     }
 
     /// Counts lower-priority tasks as preempted, as far as so many tasks of a job need it.
     pub(super) fn preempt_for(&mut self, spec: &JobSpec, tasks: u32) {
-        while self.free.fits(spec) < tasks {
+        while self.free.fitting_tasks(spec) < tasks {
             match self.preemptible.first_mut() {
                 Some(lowest) if lowest.spec.priority < spec.priority => {
-                    self.free.give(&lowest.spec);
+                    self.free.add_task(&lowest.spec);
                     lowest.count -= 1;
                     if lowest.count == 0 {
                         self.preemptible.remove(0);
@@ -104,7 +104,7 @@
     /// Reserves what so many tasks need.
     pub(super) fn reserve(&mut self, spec: &JobSpec, tasks: u32) {
         for _ in 0..tasks {
-            self.free.take(spec);
+            self.free.subtract_task(spec);
         }
     }
 
--- a/src/coordination/shard/autoscaler/drain.rs
+++ b/src/coordination/shard/autoscaler/drain.rs
@@ -162,11 +162,11 @@
             .position(|host| host.machine.id != source.id && host.can_host(service.spec));
         let Some(at) = host else {
             for (at, spec) in reserved {
-                hosts[at].free.give(spec);
+                hosts[at].free.add_task(spec);
             }
             return false;
         };
-        hosts[at].free.take(service.spec);
+        hosts[at].free.subtract_task(service.spec);
         reserved.push((at, service.spec));
     }
     hosts.retain(|host| host.machine.id != source.id);
--- a/src/coordination/shard/autoscaler/offer.rs
+++ b/src/coordination/shard/autoscaler/offer.rs
@@ -8,7 +8,7 @@
 use super::demand::{Demand, OfferFilter};
 use super::machine_kind::{MINIMUM_BILLED, MachineKind};
 use crate::coordination::shard::Shard;
-use crate::coordination::shard::machines::Amounts;
+use crate::coordination::shard::machines::Resources;
 use crate::coordination::shard::scheduler::allowed;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::JobSpec;
@@ -142,7 +142,7 @@
     ) -> Option<f64> {
         let spec = &demand.spec;
         let price = offer.price()?;
-        let fits = Amounts::of_type(&offer.kind).fits(spec);
+        let fits = Resources::of_machine_type(&offer.kind).fitting_tasks(spec);
         if fits == 0
             || !allowed(spec, &offer.kind.name, &offer.zone, offer.spot)
             || self
--- a/src/coordination/shard/autoscaler/plan.rs
+++ b/src/coordination/shard/autoscaler/plan.rs
@@ -38,7 +38,7 @@
                 continue;
             }
             capacity.preempt_for(spec, left);
-            let fits = capacity.free.fits(spec).min(left);
+            let fits = capacity.free.fitting_tasks(spec).min(left);
             let tasks = spread.limit(&capacity.zone, fits);
             capacity.reserve(spec, tasks);
             // Work that can wait is no reason to keep a machine.
@@ -51,7 +51,7 @@
     /// Plans to rent a machine; returns how many of the `left` tasks fit on it.
     fn rent(&mut self, offer: &Offer, demand: &Demand, left: u32) -> u32 {
         let mut capacity = Capacity::of_new(&offer.kind, &offer.zone, offer.spot, offer.ready_in_s);
-        let tasks = capacity.free.fits(&demand.spec).min(left);
+        let tasks = capacity.free.fitting_tasks(&demand.spec).min(left);
         if tasks == 0 {
             return 0;
         }
@@ -236,7 +236,7 @@
     let mut tasks_by_zone: BTreeMap<&Arc<str>, u32> = BTreeMap::new();
     for capacity in capacities {
         if capacity.is_allowed_for(spec) {
-            *tasks_by_zone.entry(&capacity.zone).or_default() += capacity.free.fits(spec);
+            *tasks_by_zone.entry(&capacity.zone).or_default() += capacity.free.fitting_tasks(spec);
         }
     }
     let (zone, tasks) = tasks_by_zone.into_iter().max_by_key(|(_, tasks)| *tasks)?;
--- a/src/coordination/shard/autoscaler/service_moves.rs
+++ b/src/coordination/shard/autoscaler/service_moves.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use super::capacity::Capacity;
-use crate::coordination::shard::machines::Amounts;
+use crate::coordination::shard::machines::Resources;
 use crate::coordination::shard::scheduler::allowed;
 use crate::coordination::shard::{Attempt, Job, Machine, Phase, Shard};
 use crate::protocol::users::{JobKind, JobSpec};
@@ -17,13 +17,13 @@
 pub(super) struct ServiceHost<'a> {
     pub machine: &'a Machine,
     /// What is left on it for services.
-    pub free: Amounts,
+    pub free: Resources,
 }
 
 impl ServiceHost<'_> {
     /// Whether it holds a service's image and has capacity for it.
     fn has_capacity(&self, spec: &JobSpec) -> bool {
-        self.free.fits(spec) > 0 && self.machine.has_image(&spec.image)
+        self.free.fitting_tasks(spec) > 0 && self.machine.has_image(&spec.image)
     }
 
     /// The same, and the service's placement constraints allow it.
@@ -141,7 +141,7 @@
         let fits_in_zone = |spec: &JobSpec| {
             capacities.iter().any(|capacity| {
                 *capacity.zone == *zone
-                    && capacity.free.fits(spec) > 0
+                    && capacity.free.fitting_tasks(spec) > 0
                     && capacity.is_allowed_for(spec)
                     && self.is_up_with_image(capacity, &spec.image)
             })
@@ -164,14 +164,14 @@
 
     /// What a machine has beside its services, since batch work on it ends; None if that is
     /// not known.
-    pub(super) fn free_beside_services(&self, machine: &Machine) -> Option<Amounts> {
+    pub(super) fn free_beside_services(&self, machine: &Machine) -> Option<Resources> {
         if machine.load.unknown > 0 {
             return None;
         }
-        let mut free = Amounts::of_type(self.types.get(&*machine.machine_type)?);
+        let mut free = Resources::of_machine_type(self.types.get(&*machine.machine_type)?);
         for (spec, count) in machine.load.services() {
             for _ in 0..*count {
-                free.take(spec);
+                free.subtract_task(spec);
             }
         }
         Some(free)
@@ -179,7 +179,9 @@
 
     /// What batch work must leave free on each machine for the services of those being
     /// drained. They are reserved on the machines with the least left beside services first.
-    pub(in crate::coordination::shard) fn reserved_for_moves(&self) -> HashMap<MachineId, Amounts> {
+    pub(in crate::coordination::shard) fn reserved_for_moves(
+        &self,
+    ) -> HashMap<MachineId, Resources> {
         let mut reserved = HashMap::new();
         let mut sources = self
             .machines
@@ -195,11 +197,11 @@
                 .iter_mut()
                 .find(|host| host.has_capacity(service.spec));
             if let Some(host) = host {
-                host.free.take(service.spec);
+                host.free.subtract_task(service.spec);
                 reserved
                     .entry(host.machine.id.clone())
-                    .or_insert_with(Amounts::default)
-                    .give(service.spec);
+                    .or_insert_with(Resources::default)
+                    .add_task(service.spec);
             }
         }
         reserved
@@ -229,7 +231,7 @@
 fn next_move(source: &Machine, hosts: &mut [ServiceHost]) -> Option<ServiceMove> {
     live_services(source).find_map(|service| {
         let host = hosts.iter_mut().find(|host| host.can_host(service.spec))?;
-        host.free.take(service.spec);
+        host.free.subtract_task(service.spec);
         Some(ServiceMove {
             machine: source.id.clone(),
             attempt: service.id.clone(),
--- a/src/coordination/shard/machines/mod.rs
+++ b/src/coordination/shard/machines/mod.rs
@@ -7,18 +7,18 @@
 
 mod admission;
 mod agent_epochs;
-mod amounts;
 mod attempt;
 mod command_channel;
 mod deleted;
+mod resources;
 mod set;
 mod worker_lease;
 
 pub use agent_epochs::{AgentEpochs, EpochChange, HeartbeatNumber};
-pub use amounts::Amounts;
 pub use attempt::{Attempt, Phase};
 pub use command_channel::CommandChannel;
 pub use deleted::DeletedMachines;
+pub use resources::Resources;
 pub use set::{MachineLoad, Machines};
 pub use worker_lease::WorkerLease;
 
@@ -207,11 +207,11 @@
     }
 
     /// What is free on it, of the given type, beside all that may be in use.
-    pub fn free(&self, kind: &MachineType) -> Amounts {
+    pub fn free(&self, kind: &MachineType) -> Resources {
         if self.load.unknown > 0 {
-            return Amounts::default();
+            return Resources::default();
         }
-        Amounts::of_type(kind).less(&self.load.used)
+        Resources::of_machine_type(kind).minus(&self.load.used)
     }
 
     /// Whether an attempt on it has not ended.
--- a/src/coordination/shard/machines/amounts.rs
+++ b/src/coordination/shard/machines/resources.rs
@@ -1,17 +1,17 @@
-//! Amounts of resources that machines offer and tasks use.
+//! Resources that machines offer and tasks use.
 
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::JobSpec;
 
-/// Rounding error that sums of amounts may have, in cores, accelerators or GB.
-const AMOUNT_ROUNDING: f64 = 1e-9;
+/// Rounding error that sums of resources may have, in cores, accelerators or GB.
+const RESOURCE_ROUNDING: f64 = 1e-9;
 
 /// Most tasks that are said to fit, where a job uses next to nothing.
-const MOST_FITTING_TASKS: f64 = 1e6;
+const MAX_FITTING_TASKS: f64 = 1e6;
 
-/// Amounts of the resources that a machine offers, or that tasks use.
+/// Resources that a machine offers, or that tasks use; differences may be negative.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Amounts {
+pub struct Resources {
     /// CPU cores.
     pub cores: f64,
     /// Accelerators.
@@ -20,18 +20,9 @@
     pub mem_gb: f64,
 }
 
-impl Amounts {
-    /// What one task of a job uses.
-    pub fn of(spec: &JobSpec) -> Self {
-        Self {
-            cores: spec.cores,
-            accelerators: spec.accelerators,
-            mem_gb: spec.mem_gb,
-        }
-    }
-
+impl Resources {
     /// What an empty machine of a type offers.
-    pub fn of_type(kind: &MachineType) -> Self {
+    pub fn of_machine_type(kind: &MachineType) -> Self {
         Self {
             cores: kind.cores,
             accelerators: kind.accelerators,
@@ -40,14 +31,14 @@
     }
 
     /// Subtracts what one task of a job uses.
-    pub fn take(&mut self, spec: &JobSpec) {
+    pub fn subtract_task(&mut self, spec: &JobSpec) {
         self.cores -= spec.cores;
         self.accelerators -= spec.accelerators;
         self.mem_gb -= spec.mem_gb;
     }
 
     /// Adds what several tasks of a job use.
-    pub fn give_many(&mut self, spec: &JobSpec, tasks: u32) {
+    pub fn add_tasks(&mut self, spec: &JobSpec, tasks: u32) {
         let tasks = f64::from(tasks);
         self.cores += spec.cores * tasks;
         self.accelerators += spec.accelerators * tasks;
@@ -55,41 +46,42 @@
     }
 
     /// Adds what one task of a job uses.
-    pub fn give(&mut self, spec: &JobSpec) {
+    pub fn add_task(&mut self, spec: &JobSpec) {
         self.cores += spec.cores;
         self.accelerators += spec.accelerators;
         self.mem_gb += spec.mem_gb;
     }
 
-    /// The difference of two amounts.
-    pub fn less(&self, taken: &Self) -> Self {
+    /// These resources without others.
+    pub fn minus(&self, other: &Self) -> Self {
         Self {
-            cores: self.cores - taken.cores,
-            accelerators: self.accelerators - taken.accelerators,
-            mem_gb: self.mem_gb - taken.mem_gb,
+            cores: self.cores - other.cores,
+            accelerators: self.accelerators - other.accelerators,
+            mem_gb: self.mem_gb - other.mem_gb,
         }
     }
 
     /// Whether one task of a job fits.
-    pub fn holds(&self, spec: &JobSpec) -> bool {
-        let fits = |have: f64, need: f64| need <= 0.0 || have + AMOUNT_ROUNDING >= need;
+    pub fn fits_task(&self, spec: &JobSpec) -> bool {
+        let fits =
+            |available: f64, needed: f64| needed <= 0.0 || available + RESOURCE_ROUNDING >= needed;
         fits(self.cores, spec.cores)
             && fits(self.accelerators, spec.accelerators)
             && fits(self.mem_gb, spec.mem_gb)
     }
 
     /// How many tasks of a job fit.
-    pub fn fits(&self, spec: &JobSpec) -> u32 {
-        let ratio = |have: f64, need: f64| {
-            if need <= 0.0 {
+    pub fn fitting_tasks(&self, spec: &JobSpec) -> u32 {
+        let ratio = |available: f64, needed: f64| {
+            if needed <= 0.0 {
                 f64::INFINITY
             } else {
-                ((have + AMOUNT_ROUNDING) / need).floor()
+                ((available + RESOURCE_ROUNDING) / needed).floor()
             }
         };
-        let n = ratio(self.cores, spec.cores)
+        let tasks = ratio(self.cores, spec.cores)
             .min(ratio(self.accelerators, spec.accelerators))
             .min(ratio(self.mem_gb, spec.mem_gb));
-        n.clamp(0.0, MOST_FITTING_TASKS) as u32
+        tasks.clamp(0.0, MAX_FITTING_TASKS) as u32
     }
 }
--- a/src/coordination/shard/machines/set.rs
+++ b/src/coordination/shard/machines/set.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::{Amounts, Machine};
+use super::{Machine, Resources};
 use crate::protocol::MachineId;
 use crate::protocol::users::{JobKind, JobSpec, Priority};
 
@@ -17,7 +17,7 @@
     /// How many tasks of which jobs may be on it.
     pub tasks: Vec<(Arc<JobSpec>, u32)>,
     /// What they use together.
-    pub used: Amounts,
+    pub used: Resources,
     /// Attempts of unknown jobs: each may use the whole machine.
     pub unknown: u32,
     /// Whether an attempt is to stop.
@@ -43,7 +43,7 @@
                 load.unknown += 1;
                 continue;
             };
-            load.used.give(spec);
+            load.used.add_task(spec);
             // Attempts are in the order of their jobs: the job's entry is mostly the last.
             match load
                 .tasks
--- a/src/coordination/shard/scheduler/candidates.rs
+++ b/src/coordination/shard/scheduler/candidates.rs
@@ -6,7 +6,7 @@
 
 use super::quota::Usage;
 use super::view::SchedulerView;
-use crate::coordination::shard::machines::Amounts;
+use crate::coordination::shard::machines::Resources;
 use crate::coordination::shard::{Job, Machine, Shard};
 use crate::protocol::MachineId;
 use crate::protocol::users::{JobKind, JobSpec};
@@ -25,10 +25,10 @@
     /// may run on spot instances does not extend its life.
     pub(super) costs_extra: bool,
     /// Resources that no task uses, less what this pass has placed.
-    pub(super) free: Amounts,
+    pub(super) free: Resources,
     /// The part of the free resources that is reserved for services being drained from
     /// other machines.
-    pub(super) reserved_for_services: Amounts,
+    pub(super) reserved_for_services: Resources,
     /// Closed to batch work in this pass: reserved for a starving job or a waiting gang.
     pub(super) reserved: bool,
 }
@@ -42,15 +42,17 @@
     /// Whether one more task of a job fits.
     pub(super) fn fits(&self, spec: &JobSpec) -> bool {
         if spec.kind == JobKind::Service {
-            return self.free.holds(spec);
+            return self.free.fits_task(spec);
         }
-        !self.reserved && self.free.less(&self.reserved_for_services).holds(spec)
+        !self.reserved && self.free.minus(&self.reserved_for_services).fits_task(spec)
     }
 
     /// How many more tasks of a batch job or gang fit.
     pub(super) fn fitting_tasks(&self, spec: &JobSpec) -> u32 {
         if self.fits(spec) {
-            self.free.less(&self.reserved_for_services).fits(spec)
+            self.free
+                .minus(&self.reserved_for_services)
+                .fitting_tasks(spec)
         } else {
             0
         }
@@ -148,7 +150,7 @@
 
     /// Accounts for a task that was placed on a candidate.
     pub(super) fn place_task(&mut self, index: usize, spec: &JobSpec) {
-        self.candidates[index].free.take(spec);
+        self.candidates[index].free.subtract_task(spec);
         self.usage.add(spec, 1);
         if let Some(states) = self.image_states.get_mut(&spec.image) {
             states[index] = states[index].max(ImageState::Pulling);
@@ -157,7 +159,7 @@
 
     /// Sets resources on a candidate aside for a task that is not placed yet.
     pub(super) fn set_aside(&mut self, index: usize, spec: &JobSpec) {
-        self.candidates[index].free.take(spec);
+        self.candidates[index].free.subtract_task(spec);
     }
 
     /// Closes a candidate to batch work for the rest of the pass.
--- a/src/coordination/shard/scheduler/placement.rs
+++ b/src/coordination/shard/scheduler/placement.rs
@@ -86,7 +86,7 @@
                     && candidate.allows(spec)
                     && zones.admits(&candidate.zone)
                     && !job.failures.includes(&candidate.id)
-                    && (candidate.free.holds(spec) || self.can_preempt_one_for(candidate, spec))
+                    && (candidate.free.fits_task(spec) || self.can_preempt_one_for(candidate, spec))
             })
     }
 
@@ -133,7 +133,7 @@
 ) -> Option<&'a Arc<str>> {
     let mut fitting_tasks: BTreeMap<&Arc<str>, u32> = BTreeMap::new();
     for candidate in candidates.iter().filter(|c| c.allows(spec)) {
-        *fitting_tasks.entry(&candidate.zone).or_default() += candidate.free.fits(spec);
+        *fitting_tasks.entry(&candidate.zone).or_default() += candidate.free.fitting_tasks(spec);
     }
     fitting_tasks
         .into_iter()
--- a/src/coordination/shard/scheduler/preemption/mod.rs
+++ b/src/coordination/shard/scheduler/preemption/mod.rs
@@ -17,7 +17,7 @@
 use super::quota::Usage;
 use super::view::SchedulerView;
 use crate::coordination::shard::Shard;
-use crate::coordination::shard::machines::Amounts;
+use crate::coordination::shard::machines::Resources;
 use crate::protocol::users::JobSpec;
 use crate::protocol::{AttemptId, JobId, MachineId};
 use planner::PreemptionPlanner;
@@ -43,7 +43,7 @@
     /// The teams' usage with the tasks that the plan frees resources for.
     usage: Usage,
     /// By candidate, what is free or being freed, less what the plan uses.
-    available: Vec<Amounts>,
+    available: Vec<Resources>,
     victims: Vec<Victim>,
     /// The victims whose resources are counted as available. Those that only free their
     /// team's quota are not among them.
@@ -67,7 +67,7 @@
     /// Adds a victim on a candidate, and what it frees there.
     fn free(&mut self, index: usize, victim: Victim, spec: Option<&Arc<JobSpec>>) {
         if let Some(spec) = spec {
-            self.available[index].give(spec);
+            self.available[index].add_task(spec);
         }
         self.freeing.insert(victim.attempt.clone());
         self.victims.push(victim);
@@ -75,7 +75,7 @@
 
     /// Uses a candidate's available resources for one task.
     fn assign(&mut self, index: usize, spec: &JobSpec) {
-        self.available[index].take(spec);
+        self.available[index].subtract_task(spec);
         self.usage.add(spec, 1);
     }
 }
@@ -132,8 +132,8 @@
 
 impl SchedulerView<'_> {
     /// By candidate, what is free or will be once every task that was asked to stop has.
-    fn available_after_stops(&self, pass: &SchedulingPass) -> Vec<Amounts> {
-        let mut available: Vec<Amounts> = pass.candidates().iter().map(|c| c.free).collect();
+    fn available_after_stops(&self, pass: &SchedulingPass) -> Vec<Resources> {
+        let mut available: Vec<Resources> = pass.candidates().iter().map(|c| c.free).collect();
         for (candidate, available) in pass.candidates().iter().zip(&mut available) {
             let machine = self.machines.get(&candidate.id);
             let Some(machine) = machine.filter(|machine| machine.load.stopping) else {
@@ -142,7 +142,7 @@
             let attempts = machine.attempts.values();
             let stopping = attempts.filter(|attempt| !attempt.ended() && attempt.stop().is_some());
             for spec in stopping.filter_map(|attempt| attempt.spec.as_ref()) {
-                available.give(spec);
+                available.add_task(spec);
             }
         }
         available
--- a/src/coordination/shard/scheduler/preemption/planner.rs
+++ b/src/coordination/shard/scheduler/preemption/planner.rs
@@ -173,8 +173,8 @@
     ) -> Option<Allocation> {
         let admitted = |index: usize| zones.admits(&self.pass.candidates()[index].zone);
         let mut eligible = preemptor.eligible.iter().copied();
-        let available =
-            eligible.find(|index| plan.available[*index].holds(preemptor.spec) && admitted(*index));
+        let available = eligible
+            .find(|index| plan.available[*index].fits_task(preemptor.spec) && admitted(*index));
         if let Some(candidate) = available {
             return Some(Allocation {
                 candidate,
--- a/src/coordination/shard/scheduler/preemption/victims.rs
+++ b/src/coordination/shard/scheduler/preemption/victims.rs
@@ -51,10 +51,10 @@
         let mut lost_work = Duration::ZERO;
         let mut victims = Vec::new();
         for (rank, victim_spec) in self.ranked_victims(machine, preemptor, plan) {
-            if available.holds(spec) {
+            if available.fits_task(spec) {
                 break;
             }
-            available.give(victim_spec);
+            available.add_task(victim_spec);
             lost_work += rank.lost_work;
             victims.push(rank.attempt.clone());
         }
@@ -62,7 +62,7 @@
             lost_work,
             candidate: index,
         };
-        (available.holds(spec) && !victims.is_empty()).then_some((cost, victims))
+        (available.fits_task(spec) && !victims.is_empty()).then_some((cost, victims))
     }
 
     /// What may be preempted on a machine: lowest priority first, then the least lost work.
--- a/src/coordination/shard/scheduler/quota.rs
+++ b/src/coordination/shard/scheduler/quota.rs
@@ -5,7 +5,7 @@
 
 use super::view::SchedulerView;
 use crate::coordination::shard::Policy;
-use crate::coordination::shard::machines::Amounts;
+use crate::coordination::shard::machines::Resources;
 use crate::protocol::users::JobSpec;
 
 /// Largest rounding error, in cores or accelerators, of a team's summed usage.
@@ -14,24 +14,24 @@
 /// Upper bound of what each team uses: every task that may exist counts.
 #[derive(Debug, Default, Clone)]
 pub(in crate::coordination::shard) struct Usage {
-    teams: HashMap<String, Amounts>,
+    teams: HashMap<String, Resources>,
     /// Used by tasks whose team is not known: counts against every team's limit.
-    unknown: Amounts,
+    unknown: Resources,
 }
 
 impl Usage {
     /// The usage of a team.
-    pub(in crate::coordination::shard) fn of(&self, team: &str) -> Amounts {
+    pub(in crate::coordination::shard) fn of(&self, team: &str) -> Resources {
         self.teams.get(team).copied().unwrap_or_default()
     }
 
     /// Adds so many tasks of a job to its team's usage.
     pub(in crate::coordination::shard) fn add(&mut self, spec: &JobSpec, tasks: u32) {
         if !self.teams.contains_key(&spec.team) {
-            self.teams.insert(spec.team.clone(), Amounts::default());
+            self.teams.insert(spec.team.clone(), Resources::default());
         }
         if let Some(used) = self.teams.get_mut(&spec.team) {
-            used.give_many(spec, tasks);
+            used.add_tasks(spec, tasks);
         }
     }
 
--- a/src/coordination/shard/scheduler/starvation.rs
+++ b/src/coordination/shard/scheduler/starvation.rs
@@ -4,7 +4,7 @@
 
 use super::candidates::{Candidate, SchedulingPass};
 use super::view::SchedulerView;
-use crate::coordination::shard::machines::Amounts;
+use crate::coordination::shard::machines::Resources;
 use crate::coordination::shard::{Job, Shard};
 use crate::protocol::JobId;
 use crate::protocol::users::JobSpec;
@@ -84,6 +84,7 @@
 
     fn type_could_run(&self, candidate: &Candidate, spec: &JobSpec) -> bool {
         let machine_type = self.machine_types.get(&*candidate.machine_type);
-        machine_type.is_some_and(|machine_type| Amounts::of_type(machine_type).holds(spec))
+        machine_type
+            .is_some_and(|machine_type| Resources::of_machine_type(machine_type).fits_task(spec))
     }
 }
