--- a/src/api/peer.rs
+++ b/src/api/peer.rs
@@ -12,16 +12,16 @@
 use crate::coordination::peering::{cancellations, heartbeat, lease_votes};
 use crate::coordination::requests::{self, RequestOrigin, UserRequest};
 use crate::protocol::peer_messages::{CancellationsRequest, ReviveLease};
-use crate::protocol::peers::{PeerAnswer, PeerRequest, decode_request, encode_answer};
+use crate::protocol::peers::{PeerAnswer, PeerRequest};
 
 /// Answers the frames that every version reads: heartbeats, votes for lease extension and
 /// forwarded requests of users.
 pub(super) async fn exchange(State(node): State<Arc<Node>>, body: Bytes) -> Vec<u8> {
-    let answer = match decode_request(&body) {
-        Some(request) => answer(&node, request).await,
-        None => PeerAnswer::Unreadable,
+    let answer = match PeerRequest::decode(&body) {
+        Ok(request) => answer(&node, request).await,
+        Err(_) => PeerAnswer::Unreadable,
     };
-    encode_answer(&answer)
+    answer.encode()
 }
 
 async fn answer(node: &Arc<Node>, request: PeerRequest) -> PeerAnswer {
@@ -52,19 +52,19 @@
 /// Names the cancellations that this controller has confirmed to users.
 pub(super) async fn cancellations(State(node): State<Arc<Node>>, body: Bytes) -> Response {
     match CancellationsRequest::decode(&body) {
-        Some(request) => cancellations::confirmed_cancellations(&node, &request)
+        Ok(request) => cancellations::confirmed_cancellations(&node, &request)
             .encode()
             .into_response(),
-        None => StatusCode::BAD_REQUEST.into_response(),
+        Err(_) => StatusCode::BAD_REQUEST.into_response(),
     }
 }
 
 /// Votes on the revival of a lease past its deadline.
 pub(super) async fn vote_on_revival(State(node): State<Arc<Node>>, body: Bytes) -> Response {
     match ReviveLease::decode(&body) {
-        Some(request) => lease_votes::vote_on_revival(&node, &request)
+        Ok(request) => lease_votes::vote_on_revival(&node, &request)
             .encode()
             .into_response(),
-        None => StatusCode::BAD_REQUEST.into_response(),
+        Err(_) => StatusCode::BAD_REQUEST.into_response(),
     }
 }
--- a/src/coordination/cloud/client.rs
+++ b/src/coordination/cloud/client.rs
@@ -8,7 +8,9 @@
 use thiserror::Error;
 
 use crate::protocol::MachineId;
-use crate::protocol::cloud::{ListPage, Listed, MachineNames, MachineType, MachineTypes, Rental};
+use crate::protocol::cloud::{
+    ListedMachine, MachineNames, MachinePage, MachineType, MachineTypes, Rental,
+};
 use crate::transport::client::{Answer, CallError, HttpClient};
 
 /// Deadline of one request to the cloud.
@@ -64,12 +66,12 @@
     }
 
     /// All rented machines, page by page.
-    pub async fn list_machines(&self) -> Result<Vec<Listed>, CloudError> {
-        let mut machines: Vec<Listed> = Vec::new();
+    pub async fn list_machines(&self) -> Result<Vec<ListedMachine>, CloudError> {
+        let mut machines: Vec<ListedMachine> = Vec::new();
         loop {
             let after = machines.last().map_or("", |machine| machine.id.as_str());
             let path = format!("/rentals?After={after}&Most={LIST_PAGE_ENTRIES}");
-            let page: ListPage = self.get(&path).await?;
+            let page: MachinePage = self.get(&path).await?;
             let more = page.more && !page.machines.is_empty();
             machines.extend(page.machines);
             if !more {
--- a/src/coordination/peering/cancellations.rs
+++ b/src/coordination/peering/cancellations.rs
@@ -96,7 +96,7 @@
     let Ok(answer) = post_frame(&node, &peer, CANCELLATIONS, frame, ROUND_DEADLINE).await else {
         return;
     };
-    let confirmed = ConfirmedCancellations::decode(&answer.body);
+    let confirmed = ConfirmedCancellations::decode(&answer.body).ok();
     match confirmed.filter(|_| answer.status == StatusCode::OK) {
         Some(confirmed) => {
             node.lock().peers.older.remove(&peer.node_id);
--- a/src/coordination/peering/client.rs
+++ b/src/coordination/peering/client.rs
@@ -5,13 +5,10 @@
 use hyper::Method;
 
 use crate::coordination::node::Node;
-use crate::protocol::peers::{PeerAnswer, PeerRequest, decode_answer, encode_request};
+use crate::protocol::peers::{PEER, PeerAnswer, PeerRequest};
 use crate::settings::platform::Peer;
 use crate::transport::client::{Answer, CallError};
 
-/// The path of the frames that every version reads: [`PeerRequest`], answered with [`PeerAnswer`].
-const PEER_PATH: &str = "/peer";
-
 /// Sends a request to another controller; `None` without a readable answer before the deadline.
 pub(in crate::coordination) async fn call_peer(
     node: &Node,
@@ -19,11 +16,9 @@
     request: &PeerRequest,
     deadline: Duration,
 ) -> Option<PeerAnswer> {
-    let frame = encode_request(request);
-    let answer = post_frame(node, peer, PEER_PATH, frame, deadline)
-        .await
-        .ok()?;
-    decode_answer(&answer.body)
+    let frame = request.encode();
+    let answer = post_frame(node, peer, PEER, frame, deadline).await.ok()?;
+    PeerAnswer::decode(&answer.body).ok()
 }
 
 /// Posts an encoded frame to another controller.
--- a/src/coordination/peering/lease_votes.rs
+++ b/src/coordination/peering/lease_votes.rs
@@ -113,7 +113,7 @@
         let frame = frame.clone();
         async move {
             let answer = post_frame(&node, &peer, REVIVE_LEASE, frame, ROUND_DEADLINE).await;
-            let vote = answer.ok().and_then(|a| RevivalVote::decode(&a.body));
+            let vote = answer.ok().and_then(|a| RevivalVote::decode(&a.body).ok());
             vote.is_some_and(|vote| proves_no_successor(&vote, node.now(), renewed))
         }
     })
--- a/src/coordination/requests/admission.rs
+++ b/src/coordination/requests/admission.rs
@@ -6,7 +6,7 @@
 
 use crate::coordination::shard::Policy;
 use crate::protocol::cloud::MachineType;
-use crate::protocol::users::{JobKind, JobSpec};
+use crate::protocol::users::{JobKind, JobSpec, field};
 
 /// Slack with which a need is compared with a quota limit: both are sums of floating-point
 /// amounts.
@@ -45,8 +45,8 @@
 impl LimitedResource {
     fn field(self) -> &'static str {
         match self {
-            Self::Cores => "Cores",
-            Self::Accelerators => "Accelerators",
+            Self::Cores => field::CORES,
+            Self::Accelerators => field::ACCELERATORS,
         }
     }
 }
@@ -55,8 +55,8 @@
     /// The submission's field at fault.
     pub(super) fn field(self) -> &'static str {
         match self {
-            Self::UnknownTeam => "Section",
-            Self::NoMachineTypeFits | Self::RecordTooLarge => "Instruments",
+            Self::UnknownTeam => field::TEAM,
+            Self::NoMachineTypeFits | Self::RecordTooLarge => field::MACHINE_TYPES,
             Self::OverQuotaLimit(resource) => resource.field(),
         }
     }
--- a/src/coordination/requests/request.rs
+++ b/src/coordination/requests/request.rs
@@ -3,7 +3,7 @@
 use thiserror::Error;
 
 use crate::protocol::peers::PeerRequest;
-use crate::protocol::users::{JobSpec, Malformed, parse_submission, valid_job_id};
+use crate::protocol::users::{JobSpec, Malformed, Submission, parse_submission, valid_job_id};
 
 /// A user's request for a job, as it came.
 #[derive(Debug, Clone, PartialEq)]
@@ -75,7 +75,7 @@
     pub(super) fn validate(&self) -> Result<Operation, InvalidRequest> {
         match self {
             Self::Submit(body) => {
-                let (id, spec) = parse_submission(body)?;
+                let Submission { id, spec } = parse_submission(body)?;
                 let spec = Box::new(spec);
                 Ok(Operation::Submit { id, spec })
             }
--- a/src/coordination/requests/response/tests.rs
+++ b/src/coordination/requests/response/tests.rs
@@ -78,7 +78,8 @@
         r#"{"error":"no such job"}"#,
     );
     assert_bytes(
-        InvalidRequest::Malformed(crate::protocol::users::Malformed::Missing("Cores")).into(),
+        InvalidRequest::Malformed(crate::protocol::users::Malformed::Missing { field: "Cores" })
+            .into(),
         400,
         r#"{"error":"field Cores is missing","field":"Cores"}"#,
     );
--- a/src/coordination/shard/autoscaler/scale_out.rs
+++ b/src/coordination/shard/autoscaler/scale_out.rs
@@ -7,7 +7,7 @@
 use super::scale_in::DeletionReason;
 use crate::coordination::shard::{Action, Machine, Shard};
 use crate::protocol::MachineId;
-use crate::protocol::cloud::{Listed, ListedState, Rental};
+use crate::protocol::cloud::{ListedMachine, MachineState, Rental};
 
 /// Most machines in one rental request.
 const MAX_PER_RENTAL: u32 = 50;
@@ -122,7 +122,7 @@
     }
 
     /// The cloud's whole machine list arrived; it may be outdated.
-    pub fn listed(&mut self, list: &[Listed], now: Instant) {
+    pub fn listed(&mut self, list: &[ListedMachine], now: Instant) {
         for entry in list {
             self.apply_listed(entry, now);
         }
@@ -132,7 +132,7 @@
     }
 
     /// Takes over what one entry of the list says of its machine.
-    fn apply_listed(&mut self, entry: &Listed, now: Instant) {
+    fn apply_listed(&mut self, entry: &ListedMachine, now: Instant) {
         let age = Duration::from_secs_f64(entry.age_s.clamp(0.0, MAX_LISTED_AGE_S));
         let rented = now.checked_sub(age).unwrap_or(now);
         self.add_machine(
@@ -157,7 +157,7 @@
     /// Marks the machines that are missing from the list. A list may be older than the one
     /// before, so this alone proves nothing; but a machine that is also unreachable is best
     /// deleted.
-    fn update_vanished(&mut self, list: &[Listed]) {
+    fn update_vanished(&mut self, list: &[ListedMachine]) {
         let present: HashSet<&str> = list.iter().map(|entry| entry.id.as_str()).collect();
         let missing = |m: &Machine| !present.contains(&*m.id) && (m.listed || !m.is_booting());
         for id in self.machines.ids(|m| m.vanished != missing(m)) {
@@ -168,9 +168,9 @@
     }
 
     /// Deletes the machines that the cloud lists as failed.
-    fn delete_failed(&mut self, list: &[Listed], now: Instant) {
+    fn delete_failed(&mut self, list: &[ListedMachine], now: Instant) {
         for entry in list {
-            if entry.state == ListedState::Failed
+            if entry.state == MachineState::Failed
                 && !self.deleted_machines.contains(entry.id.as_str())
             {
                 self.begin_deletion(
--- a/src/coordination/shard/tests/combined_faults.rs
+++ b/src/coordination/shard/tests/combined_faults.rs
@@ -6,7 +6,7 @@
 use super::scripted_shard::{ScriptedShard, TOKEN, stops};
 use super::scripted_workers::run_commands;
 use crate::coordination::shard::{CommandOutcome, RecoveredState, UnfinishedJob};
-use crate::protocol::cloud::{Listed, ListedState};
+use crate::protocol::cloud::{ListedMachine, MachineState};
 use crate::protocol::users::Stage;
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState};
 
@@ -108,13 +108,13 @@
 #[test]
 fn a_new_leader_does_not_wait_for_the_heartbeats_of_machines_that_answer() {
     let mut script = ScriptedShard::new(recovered_job(1, &["vm-1"]));
-    let listed = Listed {
+    let listed = ListedMachine {
         id: "vm-1".into(),
         addr: "10.0.0.1:9000".into(),
         machine_type: "m8".into(),
         zone: "north".into(),
         spot: false,
-        state: ListedState::Running,
+        state: MachineState::Running,
         age_s: 300.0,
     };
     script.shard.listed(&[listed], script.now);
--- a/src/coordination/shard/tests/simulation/cloud.rs
+++ b/src/coordination/shard/tests/simulation/cloud.rs
@@ -10,7 +10,7 @@
 use super::worker::Worker;
 use crate::coordination::shard::RentalOutcome;
 use crate::protocol::MachineId;
-use crate::protocol::cloud::{Listed, ListedState, Rental};
+use crate::protocol::cloud::{ListedMachine, MachineState, Rental};
 
 /// Machines that the cloud has in all.
 const CAPACITY: usize = 6;
@@ -86,16 +86,16 @@
 
     /// The leader lists the cloud's machines.
     pub(super) fn list_machines(&mut self) {
-        let listed = |worker: &Worker| Listed {
+        let listed = |worker: &Worker| ListedMachine {
             id: worker.id.clone(),
             addr: "10.0.0.1:9000".into(),
             machine_type: "m8".into(),
             zone: worker.zone.clone(),
             spot: worker.spot,
-            state: ListedState::Running,
+            state: MachineState::Running,
             age_s: 60.0,
         };
-        let list: Vec<Listed> = self.workers.values().map(listed).collect();
+        let list: Vec<ListedMachine> = self.workers.values().map(listed).collect();
         let now = self.now;
         self.on_leader(|shard| shard.listed(&list, now));
     }
--- a/src/coordination/tests/cancellation_freshness.rs
+++ b/src/coordination/tests/cancellation_freshness.rs
@@ -19,7 +19,7 @@
 use crate::protocol::TaskId;
 use crate::protocol::kv::WatchEvent;
 use crate::protocol::peer_messages::{CancellationsRequest, ConfirmedCancellations};
-use crate::protocol::users::{JobSpec, Stage, parse_submission};
+use crate::protocol::users::{JobSpec, Stage, Submission, parse_submission};
 use crate::protocol::workers::{Command, TaskState, TaskStatus};
 use crate::storage::keys;
 use crate::storage::records::{FORMAT_VERSION, FinalRecord, JobRecord};
@@ -39,7 +39,8 @@
         "Tempo":"high","Voices":1,"Cores":1.0,"Accelerators":0.0,"MemGb":1.0,"Score":"img-07",
         "ImageGb":1.0,"Instruments":null,"Hall":null,"OneZone":false,"Scatter":false,
         "Borrowed":true,"DurationS":240.0,"BreathS":0.0,"FermataS":0.0,"CurtainS":null});
-    let (_, spec) = parse_submission(body.to_string().as_bytes()).expect("a submission");
+    let Submission { spec, .. } =
+        parse_submission(body.to_string().as_bytes()).expect("a submission");
     spec
 }
 
--- a/src/coordination/tests/scale.rs
+++ b/src/coordination/tests/scale.rs
@@ -14,7 +14,8 @@
 use crate::coordination::peering::heartbeat::{leader_heartbeat, record_heartbeat};
 use crate::coordination::shard::TaskCounts;
 use crate::protocol::TaskId;
-use crate::protocol::peers::{PeerRequest, encode_request};
+use crate::protocol::peers::PeerRequest;
+use crate::protocol::users::Submission;
 use crate::protocol::workers::{TaskState, TaskStatus};
 use crate::storage::records::{FORMAT_VERSION, JobRecord};
 use crate::transport::client::HttpClient;
@@ -34,7 +35,7 @@
 fn leader_of_many_jobs(node: &Arc<Node>) {
     let lease = lead(node, TOKEN);
     let parsed = crate::protocol::users::parse_submission(SUBMISSION.as_bytes());
-    let (_, spec) = parsed.expect("a submission");
+    let Submission { spec, .. } = parsed.expect("a submission");
     node.with_shard(&lease, "jobs", |shard, now| {
         for n in 0..JOBS {
             let record = JobRecord {
@@ -70,7 +71,7 @@
     leader_of_many_jobs(&sender);
     let heartbeat = leader_heartbeat(&sender);
     assert_eq!(heartbeat.progress.len(), STARTED as usize);
-    let frame = encode_request(&PeerRequest::Heartbeat(heartbeat.clone()));
+    let frame = PeerRequest::Heartbeat(heartbeat.clone()).encode();
     // The largest frame that older versions read.
     assert!(frame.len() < 2 << 20, "{} bytes", frame.len());
 
@@ -98,7 +99,7 @@
     let (sender, receiver) = (node(clock.clone()), peer(clock.clone()));
     let lease = lead(&sender, TOKEN);
     let parsed = crate::protocol::users::parse_submission(SUBMISSION.as_bytes());
-    let (id, spec) = parsed.expect("a submission");
+    let Submission { id, spec } = parsed.expect("a submission");
     let record = JobRecord {
         format_version: FORMAT_VERSION,
         accepted_at_ms: 0,
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,8 +1,8 @@
-//! The cloud's interface.
+//! The cloud's interface: machine types, rentals (scale-out) and the list of machines.
 
 use serde::{Deserialize, Serialize};
 
-/// A machine type that can be rented.
+/// A machine type.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
     /// The type's name.
@@ -17,22 +17,22 @@
     /// Memory of one machine, in GB.
     #[serde(rename = "MemGb")]
     pub mem_gb: f64,
-    /// Room for images, in GB.
+    /// Space for images of one machine, in GB.
     #[serde(rename = "CacheGb", default)]
     pub cache_gb: f64,
-    /// How fast images are fetched.
+    /// How fast images are fetched, in GB per second.
     #[serde(rename = "FetchGbPerS", default)]
     pub fetch_gb_per_s: f64,
-    /// Price an hour of an ordinary machine.
+    /// Price per hour of an on-demand machine.
     #[serde(rename = "Price")]
     pub price: f64,
-    /// Price an hour of a spot machine, if there are any.
+    /// Price per hour of a spot machine, if there are any.
     #[serde(rename = "LowPrice", default)]
     pub spot_price: Option<f64>,
-    /// Seconds until a machine is usually up.
+    /// Seconds that a machine usually takes to start.
     #[serde(rename = "StartupS", default)]
     pub startup_s: f64,
-    /// The zones that have machines of it.
+    /// The zones that have machines of this type.
     #[serde(rename = "Halls")]
     pub zones: Vec<String>,
 }
@@ -45,10 +45,11 @@
     pub types: Vec<MachineType>,
 }
 
-/// A rental request.
+/// A scale-out request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Rental {
-    /// The request's name, which is never used again.
+    /// The request's name. A repeated request with the same name rents no more machines, and a
+    /// name is never used again for another.
     #[serde(rename = "Booking")]
     pub request: String,
     /// The machine type.
@@ -57,10 +58,10 @@
     /// The zone.
     #[serde(rename = "Hall")]
     pub zone: String,
-    /// Whether spot machines are asked for.
+    /// Whether spot machines are requested.
     #[serde(rename = "Borrowed")]
     pub spot: bool,
-    /// How many machines, at most.
+    /// Most machines to rent.
     #[serde(rename = "Count")]
     pub count: u32,
 }
@@ -73,24 +74,24 @@
     pub machines: Vec<String>,
 }
 
-/// A machine's state in the list.
+/// A machine's state in the cloud's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ListedState {
-    /// It is not up yet.
+pub enum MachineState {
+    /// Not up yet.
     Starting,
-    /// It is up.
+    /// Up.
     Running,
-    /// It stopped by itself.
+    /// Stopped without having been deleted.
     Failed,
     /// A state that this version doesn't know.
     #[serde(other)]
     Other,
 }
 
-/// One entry of the machine list.
+/// A machine in the cloud's list.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedMachine {
     /// The machine's name.
     #[serde(rename = "NameId")]
     pub id: String,
@@ -106,9 +107,9 @@
     /// Whether it is a spot machine.
     #[serde(rename = "Borrowed")]
     pub spot: bool,
-    /// How it is.
+    /// Its state.
     #[serde(rename = "Stage")]
-    pub state: ListedState,
+    pub state: MachineState,
     /// Seconds since its rental was requested.
     #[serde(rename = "HeldS", default)]
     pub age_s: f64,
@@ -116,10 +117,10 @@
 
 /// A page of the machine list.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct ListPage {
-    /// The machines on this page.
+pub struct MachinePage {
+    /// The page's machines.
     #[serde(rename = "Stands")]
-    pub machines: Vec<Listed>,
+    pub machines: Vec<ListedMachine>,
     /// Whether more follow.
     #[serde(rename = "HasNext", default)]
     pub more: bool,
--- a/src/protocol/peer_messages.rs
+++ b/src/protocol/peer_messages.rs
@@ -1,92 +1,73 @@
-//! Frames that controllers exchange beside those of [`super::peers`].
+//! Versioned frames between controllers, beside those of [`super::peers`].
 //!
-//! An archived frame has no room for a field more, and the version in
-//! production reads no other than its own: those stay as they are. What came
-//! later has a path of its own, which an older controller answers with 404, and
-//! a version, so that what comes later yet is told from it.
+//! An archived frame has no space for another field, and a version reads only frames of its own
+//! layout: while controllers are replaced one by one, a frame's layout can't change. So a new
+//! kind of request has a path of its own with a version at its end, which controllers that don't
+//! know it answer with 404.
 
-use super::FencingToken;
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// The path at which controllers answer for what they told users.
+use super::FencingToken;
+use super::frame::frames;
+
+/// The path at which controllers answer [`CancellationsRequest`].
 pub const CANCELLATIONS: &str = "/peer/cancellations/1";
 
-/// Which cancellations have you told users since this revision?
+/// Requests the cancellations that the receiver has confirmed to users since a revision.
 #[derive(Debug, Clone, Archive, Serialize, Deserialize)]
 pub struct CancellationsRequest {
-    /// The revision.
+    /// The store revision.
     pub after: u64,
 }
 
-/// What a controller told users, in this run of its process.
+/// The cancellations that a controller has confirmed to users, in this incarnation of its
+/// process.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct ConfirmedCancellations {
-    /// How long this run has lasted.
+    /// How long this incarnation has been up, in milliseconds.
     pub up_ms: u64,
-    /// All of them; none if it doesn't know them all any more.
+    /// All of them; None if it has forgotten some.
     pub jobs: Option<Vec<CancelledJob>>,
 }
 
-/// A job that its user was told is cancelled.
-#[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
+/// A cancelled job.
+#[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct CancelledJob {
     /// The job's id.
     pub job: String,
-    /// The revision at which it was.
+    /// The store revision of its cancellation.
     pub revision: u64,
 }
 
-/// The path at which controllers stand aside for a leader past its deadline.
+/// The path at which controllers vote on [`ReviveLease`].
 pub const REVIVE_LEASE: &str = "/peer/stand-aside/1";
 
-/// The sender's lease with this fencing token may have run out before the key-value store fell
-/// out for all: will you leave the shard alone for this long, and has nobody
-/// taken it since?
+/// Requests a vote to revive the sender's lease.
+///
+/// The lease may have expired before the key-value store became unavailable to all controllers.
+/// Whoever grants the vote abstains from elections for this time, and says that it knows of no
+/// later leader.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct ReviveLease {
     /// The fencing token of the lease.
     pub fencing_token: FencingToken,
-    /// For how long the shard is to be left alone.
+    /// How long the receiver is to abstain, in milliseconds.
     pub millis: u64,
 }
 
 /// The answer to [`ReviveLease`].
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct RevivalVote {
-    /// This run has acquired no later fencing token, and seeks none for so long.
+    /// Whether this incarnation has acquired no later fencing token, and will seek none for so
+    /// long.
     pub granted: bool,
-    /// How long this run has lasted.
+    /// How long this incarnation has been up, in milliseconds.
     pub up_ms: u64,
 }
 
-/// Copies a frame to where it may be read: archives are aligned.
-pub(super) fn aligned(bytes: &[u8]) -> rkyv::util::AlignedVec<16> {
-    let mut aligned = rkyv::util::AlignedVec::<16>::with_capacity(bytes.len());
-    aligned.extend_from_slice(bytes);
-    aligned
-}
-
-/// Gives a frame its two directions.
-macro_rules! frame {
-    ($($name:ident),*) => {$(
-        impl $name {
-            /// Encodes the frame.
-            pub fn encode(&self) -> Vec<u8> {
-                rkyv::to_bytes::<rkyv::rancor::Error>(self)
-                    .map_or_else(|_| Vec::new(), |bytes| bytes.to_vec())
-            }
-
-            /// Decodes and checks the frame; None if it is not one.
-            pub fn decode(bytes: &[u8]) -> Option<Self> {
-                rkyv::from_bytes::<Self, rkyv::rancor::Error>(&aligned(bytes)).ok()
-            }
-        }
-    )*};
-}
-
-frame!(
+frames!(
     CancellationsRequest,
     ConfirmedCancellations,
     ReviveLease,
-    RevivalVote
+    RevivalVote,
 );
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -1,22 +1,27 @@
-//! What controllers say to one another, in `rkyv` frames.
+//! Frames between controllers, exchanged at `/peer`.
+//!
+//! Their layout is fixed: see [`super::peer_messages`] for those that came later.
 
-use super::FencingToken;
 use rkyv::{Archive, Deserialize, Serialize};
 
-use super::peer_messages::aligned;
+use super::FencingToken;
+use super::frame::frames;
+
+/// The path at which controllers answer [`PeerRequest`].
+pub const PEER: &str = "/peer";
 
 /// A request from one controller to another.
 #[derive(Debug, Clone, Archive, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// How are you, and whom do you hear? Sent about once a second.
+    /// The sender's heartbeat, to be answered by the receiver's; sent about once a second.
     Heartbeat(PeerHeartbeat),
-    /// The leader can't reach the key-value store: will you leave the shard alone
-    /// for this long?
+    /// Requests a vote for a lease extension: the sender leads, and can't reach the key-value
+    /// store to renew its lease.
     ExtendLease {
-        /// For so many milliseconds.
+        /// How long the receiver is to abstain from elections, in milliseconds.
         millis: u64,
     },
-    /// A user's request that the sender can't serve itself.
+    /// A user's request, forwarded because the sender can't reach the key-value store.
     Forward {
         /// The request's method.
         method: String,
@@ -27,86 +32,66 @@
     },
 }
 
-/// What a controller knows of itself.
+/// A controller's heartbeat: its state and what it observes.
 #[derive(Debug, Clone, Default, PartialEq, Archive, Serialize, Deserialize)]
 pub struct PeerHeartbeat {
     /// Its node id.
     pub node_id: String,
     /// Its zone.
     pub zone: String,
-    /// Whether the key-value store answered it lately.
+    /// Whether the key-value store has served it recently.
     pub kv_served: bool,
-    /// Machines whose workers tried to send heartbeats to it lately.
+    /// How many workers have sent heartbeats to it recently, whoever answered them.
     pub reachable_workers: u32,
     /// Seconds since it started.
     pub up_s: u64,
-    /// The fencing token of the shard that it runs, if any.
+    /// Its fencing token, if it leads the shard.
     pub fencing_token: Option<FencingToken>,
-    /// The zone that holds most of the machines, as the leader last said.
+    /// The zone with most of the machines, as the leader's last heartbeat named it.
     pub main_zone: Option<String>,
-    /// From the leader: its unfinished jobs with their tasks done and running.
+    /// From the leader: the progress of its open jobs.
     pub progress: Vec<Progress>,
-    /// Whether it gave the shard up lately because it heard too few workers.
+    /// Whether it is ineligible for leadership: it resigned recently since too few workers
+    /// reached it.
     pub ineligible: bool,
-    /// How long ago it may last have answered workers by an advance delegation.
+    /// How long ago it may last have renewed workers' leases under an advance delegation, in
+    /// milliseconds.
     pub answered_by_advance_delegation_ago_ms: u64,
 }
 
-/// How far a job is, for display.
+/// How many of a job's tasks are done and running, for display.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct Progress {
     /// The job's id.
     pub job: String,
-    /// Tasks that have completed.
+    /// Tasks that are done.
     pub done: u32,
-    /// Tasks that run.
+    /// Tasks that are running.
     pub running: u32,
 }
 
 /// The answer to a [`PeerRequest`].
 #[derive(Debug, Clone, Archive, Serialize, Deserialize)]
 pub enum PeerAnswer {
-    /// The answering controller's own.
+    /// The receiver's own heartbeat.
     Heartbeat(PeerHeartbeat),
-    /// Whether the vote is given.
+    /// The vote on a lease extension.
     LeaseExtension {
-        /// Whether it leaves the shard alone for so long.
+        /// Whether the receiver abstains from elections for so long.
         granted: bool,
     },
-    /// The final answer to a forwarded request.
+    /// The answer to a forwarded request.
     Answer {
-        /// The answer's status.
+        /// The HTTP status.
         status: u16,
         /// Its body.
         body: Vec<u8>,
     },
-    /// The frame could not be read.
+    /// The receiver could not decode the frame.
     Unreadable,
 }
 
-/// Encodes a frame.
-pub fn encode_request(request: &PeerRequest) -> Vec<u8> {
-    rkyv::to_bytes::<rkyv::rancor::Error>(request)
-        .map(|bytes| bytes.to_vec())
-        .unwrap_or_default()
-}
-
-/// Decodes and checks a request.
-pub fn decode_request(bytes: &[u8]) -> Option<PeerRequest> {
-    rkyv::from_bytes::<PeerRequest, rkyv::rancor::Error>(&aligned(bytes)).ok()
-}
-
-/// Encodes an answer.
-pub fn encode_answer(answer: &PeerAnswer) -> Vec<u8> {
-    rkyv::to_bytes::<rkyv::rancor::Error>(answer)
-        .map(|bytes| bytes.to_vec())
-        .unwrap_or_default()
-}
-
-/// Decodes and checks an answer.
-pub fn decode_answer(bytes: &[u8]) -> Option<PeerAnswer> {
-    rkyv::from_bytes::<PeerAnswer, rkyv::rancor::Error>(&aligned(bytes)).ok()
-}
+frames!(PeerRequest, PeerAnswer);
 
 #[cfg(test)]
 mod tests;
--- a/src/protocol/peers/tests.rs
+++ b/src/protocol/peers/tests.rs
@@ -7,11 +7,16 @@
         path: "/v1/jobs/run-1".into(),
         body: vec![1, 2, 3],
     };
-    let bytes = encode_request(&request);
+    let bytes = request.encode();
     assert!(matches!(
-        decode_request(&bytes),
-        Some(PeerRequest::Forward { path, .. }) if path == "/v1/jobs/run-1"
+        PeerRequest::decode(&bytes),
+        Ok(PeerRequest::Forward { path, .. }) if path == "/v1/jobs/run-1"
     ));
-    assert!(decode_request(b"rubbish").is_none());
-    assert!(decode_answer(&[]).is_none());
+    let error = PeerRequest::decode(b"rubbish").expect_err("no frame");
+    assert_eq!(
+        error.to_string(),
+        "cannot decode 7 bytes as a PeerRequest frame"
+    );
+    assert!(std::error::Error::source(&error).is_some());
+    assert!(PeerAnswer::decode(&[]).is_err());
 }
--- a/src/protocol/users/tests.rs
+++ b/src/protocol/users/tests.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn a_submission_with_an_absent_null_and_an_unknown_field_is_read() {
-    let (id, spec) = parse_submission(GOOD.as_bytes()).expect("valid");
+    let Submission { id, spec } = parse_submission(GOOD.as_bytes()).expect("valid");
     assert_eq!(id, "run-000412");
     assert_eq!(spec.zone, None);
     assert_eq!(spec.tasks, 16);
@@ -37,6 +37,10 @@
         let body = GOOD.replace(from, to);
         let error = parse_submission(body.as_bytes()).expect_err(to);
         assert_eq!(error.field(), Some(field), "{to}");
+        assert!(
+            error.to_string().starts_with(&format!("field {field} is ")),
+            "{error}"
+        );
     }
     assert_eq!(parse_submission(b"[1]"), Err(Malformed::NotAnObject));
     assert_eq!(
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,59 +1,58 @@
-//! What workers heartbeat and which commands they take.
+//! The interface between workers and controllers: heartbeats, their responses, and commands.
 
-use super::FencingToken;
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use super::{AttemptId, TaskId};
+use super::{AttemptId, FencingToken, TaskId};
 
 /// A task's state on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskState {
-    /// Waiting for its image.
+    /// Waiting for its image to be fetched.
     Fetching,
-    /// A gang's task that waits for the others of its attempt.
+    /// Waiting for the other tasks of its gang's attempt.
     Waiting,
     /// Running.
     Running,
-    /// Told to stop, and saving.
+    /// Commanded to stop, and saving a checkpoint.
     #[serde(rename = "flushing")]
     Saving,
-    /// Over; its ending tells why.
+    /// Ended, with an [`AttemptOutcome`].
     Ended,
 }
 
-/// Why a task ended.
+/// Why an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptOutcome {
-    /// It has completed.
+    /// The task is done.
     Done,
     /// It was stopped by a command.
     #[serde(rename = "halted")]
     Stopped,
     /// It failed.
     Error,
-    /// Its start was refused for want of room.
+    /// Its start was refused: the machine lacks capacity.
     #[serde(rename = "full")]
     NoRoom,
-    /// Its start was refused: another attempt of it is there.
+    /// Its start was refused: the machine has another attempt of the task.
     #[serde(rename = "in_use")]
     Busy,
-    /// Its start was refused: no such job or task is known.
+    /// Its start was refused: the job or task doesn't exist.
     Unknown,
-    /// Another task of its gang is gone.
+    /// Another task of its gang's attempt has ended.
     #[serde(rename = "peers")]
     GangPeerLost,
-    /// Its gang was not complete in time.
+    /// The other tasks of its gang's attempt did not start in time.
     #[serde(rename = "alone")]
     GangIncomplete,
-    /// A reason that this version doesn't know.
+    /// An outcome that this version doesn't know.
     #[serde(other)]
     Other,
 }
 
-/// One line of a heartbeat.
+/// The state of one task in a heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TaskStatus {
     /// The task.
@@ -62,16 +61,16 @@
     /// The number of its attempt.
     #[serde(rename = "Take")]
     pub attempt: u64,
-    /// How far it is.
+    /// The attempt's state.
     #[serde(rename = "Stage")]
     pub state: TaskState,
-    /// Why it ended, if it has.
+    /// Why the attempt ended, if it has.
     #[serde(rename = "Coda", default, skip_serializing_if = "Option::is_none")]
     pub outcome: Option<AttemptOutcome>,
 }
 
 impl TaskStatus {
-    /// The attempt that it is about.
+    /// The attempt.
     pub fn attempt_id(&self) -> AttemptId {
         AttemptId {
             task: self.task.clone(),
@@ -98,19 +97,19 @@
     /// Whether it is a spot machine.
     #[serde(rename = "Borrowed")]
     pub spot: bool,
-    /// The worker's agent epoch: one more each time its lease expires.
+    /// The worker's agent epoch: it rises each time the worker's lease expires.
     #[serde(rename = "Rehearsal")]
     pub agent_epoch: u64,
-    /// Increases with every heartbeat and every answer of the agent epoch.
+    /// Rises with every heartbeat and every answer to commands within an agent epoch.
     #[serde(rename = "Bar")]
     pub sequence: u64,
     /// The highest fencing token that it has seen.
     #[serde(rename = "Baton")]
     pub fencing_token: FencingToken,
-    /// Seconds until the cloud takes the machine away, if it said so.
+    /// The cloud's preemption notice for a spot machine: seconds until it is taken away.
     #[serde(rename = "CueS", default)]
     pub preemption_notice_s: Option<f64>,
-    /// All tasks on the machine, ended ones too until they are cleared.
+    /// All tasks on the machine, ended ones until they are cleared.
     #[serde(rename = "Voices")]
     pub tasks: Vec<TaskStatus>,
 }
@@ -119,7 +118,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "CueKind", rename_all = "snake_case")]
 pub enum Command {
-    /// Starts a task.
+    /// Starts an attempt of a task.
     Launch {
         /// The task.
         #[serde(rename = "Voice", with = "task_id")]
@@ -128,7 +127,7 @@
         #[serde(rename = "Take")]
         attempt: u64,
     },
-    /// Stops a task.
+    /// Stops an attempt.
     Stop {
         /// The task.
         #[serde(rename = "Voice", with = "task_id")]
@@ -136,11 +135,11 @@
         /// The number of the attempt.
         #[serde(rename = "Take")]
         attempt: u64,
-        /// Seconds that it has to save.
+        /// Seconds that the task has to save a checkpoint.
         #[serde(rename = "RestS")]
         grace_s: f64,
     },
-    /// Removes an ended task from the heartbeats.
+    /// Removes an ended attempt from the heartbeats.
     Clear {
         /// The task.
         #[serde(rename = "Voice", with = "task_id")]
@@ -152,7 +151,7 @@
 }
 
 impl Command {
-    /// The attempt that it is about.
+    /// The attempt that is commanded.
     pub fn attempt_id(&self) -> AttemptId {
         let (Self::Launch { task, attempt }
         | Self::Stop { task, attempt, .. }
@@ -167,10 +166,10 @@
 /// The answer to a heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct HeartbeatResponse {
-    /// The fencing token of the controller that answers.
+    /// The leader's fencing token.
     #[serde(rename = "Baton")]
     pub fencing_token: FencingToken,
-    /// What the worker is to do.
+    /// What the worker has to do.
     #[serde(rename = "Cues")]
     pub commands: Vec<Command>,
 }
@@ -178,25 +177,26 @@
 /// The body of `/commands`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CommandBatch {
-    /// The fencing token of the controller that commands.
+    /// The leader's fencing token.
     #[serde(rename = "Baton")]
     pub fencing_token: FencingToken,
-    /// The agent epoch in which they are to be executed.
+    /// The agent epoch that the commands are for.
     #[serde(rename = "Rehearsal")]
     pub agent_epoch: u64,
-    /// What the worker is to do.
+    /// What the worker has to do.
     #[serde(rename = "Cues")]
     pub commands: Vec<Command>,
 }
 
-/// Where a worker should send heartbeats instead.
+/// The answer of a controller that doesn't lead: where to send heartbeats instead.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Redirect {
-    /// The node id of the controller to send heartbeats to, if it is known.
+    /// The leader's node id, if it is known.
     #[serde(rename = "Conductor", skip_serializing_if = "Option::is_none")]
     pub leader: Option<String>,
 }
 
+/// A task id as text, `JOB/INDEX`.
 mod task_id {
     use super::*;
 
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -62,7 +62,7 @@
 /// A service-level objective for one class of jobs.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ServiceLevelObjective {
-    /// What is measured: `wait` (the time to start), `finished` (the time to finish) or `deadline`.
+    /// What is measured, such as `wait` (the time until a task starts) or `deadline`.
     pub kind: String,
     /// The class of jobs.
     #[serde(default)]
--- a/tests/trial/nodes.rs
+++ b/tests/trial/nodes.rs
@@ -11,7 +11,7 @@
 use valegap::coordination::node::Node;
 use valegap::coordination::requests::{RequestOrigin, UserRequest, UserResponse, answer};
 use valegap::protocol::cloud::MachineType;
-use valegap::protocol::users::{Stage, parse_submission};
+use valegap::protocol::users::{Stage, Submission, parse_submission};
 use valegap::settings::{Operator, Platform, Settings};
 use valegap::storage::kv_client::TransactionOutcome;
 use valegap::storage::records::FinalRecord;
@@ -106,7 +106,7 @@
         return false;
     };
     let body = submission(id, 1.0).to_string();
-    let (_, spec) = parse_submission(body.as_bytes()).expect("a submission");
+    let Submission { spec, .. } = parse_submission(body.as_bytes()).expect("a submission");
     let last = FinalRecord::new(Stage::Done, spec);
     let txn = job_transition::finish_job(id, item.mod_revision, &last).expect("a transaction");
     matches!(
--- a/tests/trial/older_controller.rs
+++ b/tests/trial/older_controller.rs
@@ -10,16 +10,17 @@
 use valegap::coordination::peering::lease_votes::{all_grant_extension, all_vote_for_revival};
 use valegap::coordination::worker_leases::cancellation_freshness;
 use valegap::protocol::FencingToken;
-use valegap::protocol::peers::{PeerAnswer, PeerRequest, decode_request, encode_answer};
+use valegap::protocol::peers::{PeerAnswer, PeerRequest};
 
 /// A controller of the version in production, as its peers see it: it answers the frames that it
 /// knows, and 404 at paths that it does not know.
 async fn older_controller() -> SocketAddr {
     let answer = |body: axum::body::Bytes| async move {
-        encode_answer(&match decode_request(&body) {
-            Some(PeerRequest::ExtendLease { .. }) => PeerAnswer::LeaseExtension { granted: true },
+        let answer = match PeerRequest::decode(&body) {
+            Ok(PeerRequest::ExtendLease { .. }) => PeerAnswer::LeaseExtension { granted: true },
             _ => PeerAnswer::Unreadable,
-        })
+        };
+        answer.encode()
     };
     let routes = axum::Router::new().route("/peer", axum::routing::post(answer));
     crate::support::serve(routes).await
--- a/tests/upgrade/frames.rs
+++ b/tests/upgrade/frames.rs
@@ -56,7 +56,7 @@
     ] {
         assert_eq!(frame.encode(), bytes(recorded));
         assert_eq!(
-            ConfirmedCancellations::decode(&bytes(recorded)),
+            ConfirmedCancellations::decode(&bytes(recorded)).ok(),
             Some(frame)
         );
     }
@@ -67,7 +67,7 @@
     };
     assert_eq!(revival.encode(), bytes(REVIVE_LEASE_REQUEST));
     assert_eq!(
-        ReviveLease::decode(&bytes(REVIVE_LEASE_REQUEST)),
+        ReviveLease::decode(&bytes(REVIVE_LEASE_REQUEST)).ok(),
         Some(revival)
     );
 
@@ -76,7 +76,7 @@
         up_ms: 93_250,
     };
     assert_eq!(vote.encode(), bytes(REVIVAL_VOTE));
-    assert_eq!(RevivalVote::decode(&bytes(REVIVAL_VOTE)), Some(vote));
+    assert_eq!(RevivalVote::decode(&bytes(REVIVAL_VOTE)).ok(), Some(vote));
 }
 
 /// Reads a record and checks that it is written as it was.
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -4,10 +4,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use valegap::protocol::FencingToken;
-use valegap::protocol::peers::{
-    PeerAnswer, PeerHeartbeat, PeerRequest, Progress, decode_answer, decode_request, encode_answer,
-    encode_request,
-};
+use valegap::protocol::peers::{PeerAnswer, PeerHeartbeat, PeerRequest, Progress};
 use valegap::protocol::users::{JobKind, Stage};
 use valegap::storage::records::{
     DelegateRecord, FinalRecord, JobRecord, LeaderRecord, ReachabilityRecord, RosterRecord,
@@ -98,8 +95,8 @@
         (forward, FORWARD),
     ] {
         let recorded = bytes(recorded);
-        assert_eq!(encode_request(&request), recorded);
-        let read = decode_request(&recorded).expect("a request");
+        assert_eq!(request.encode(), recorded);
+        let read = PeerRequest::decode(&recorded).expect("a request");
         assert_eq!(format!("{read:?}"), format!("{request:?}"));
     }
     let answer = PeerAnswer::Answer {
@@ -116,8 +113,8 @@
         (PeerAnswer::Unreadable, UNREADABLE),
     ] {
         let recorded = bytes(recorded);
-        assert_eq!(encode_answer(&answer), recorded);
-        let read = decode_answer(&recorded).expect("an answer");
+        assert_eq!(answer.encode(), recorded);
+        let read = PeerAnswer::decode(&recorded).expect("an answer");
         assert_eq!(format!("{read:?}"), format!("{answer:?}"));
     }
 }
