--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -75,7 +75,9 @@
     deleted_machines: DeletedMachines,
     unreconciled: UnreconciledMachines,
     autoscaler: autoscaler::Autoscaler,
+    /// What is not durable yet in the key-value store.
     writes: persistence::WriteQueue,
+    /// Which other controllers may renew worker leases.
     delegations: delegations::Delegations,
     /// The number of the newest attempt. It never repeats, whatever a controller lost:
     /// numbers begin with the fencing token.
--- a/src/coordination/shard/persistence/tests.rs
+++ b/src/coordination/shard/persistence/tests.rs
@@ -5,6 +5,12 @@
 
 use super::snapshot_rounds::SnapshotRounds;
 use super::token_bucket::TokenBucket;
+use super::write_limits::WriteLimits;
+use super::write_queue::NextWrite;
+use super::{ShardWrite, WritePurpose, WriteQueue};
+use crate::protocol::MachineId;
+use crate::protocol::kv::Mutation;
+use crate::storage::records::RosterRecord;
 
 const INTERVAL: Duration = Duration::from_secs(2);
 
@@ -19,7 +25,7 @@
 fn store_all(rounds: &mut SnapshotRounds) -> Vec<String> {
     let mut keys = Vec::new();
     while let Some(chunk) = rounds.take_chunk() {
-        let super::WritePurpose::SnapshotChunk { key, value } = chunk.purpose else {
+        let WritePurpose::SnapshotChunk { key, value } = chunk.purpose else {
             panic!("not a chunk: {:?}", chunk.purpose);
         };
         rounds.chunk_stored(&key, value.as_ref());
@@ -96,3 +102,122 @@
     assert_eq!(rounds.waiting_chunks(), 0);
     assert!(rounds.is_due(INTERVAL, at(1)));
 }
+
+/// Eight mutations a transaction, and two of records and four of chunks a second.
+const LIMITS: WriteLimits = WriteLimits {
+    txn_ops: 8,
+    value_bytes: 8192,
+    snapshot_writes_per_s: 4.0,
+    record_writes_per_s: 2.0,
+    snapshot_interval: INTERVAL,
+};
+
+fn push_rentals(queue: &mut WriteQueue, requests: std::ops::Range<u32>) {
+    for n in requests {
+        let request = format!("request-{n}");
+        let mutation = Mutation::delete(format!("b/0/{request}"));
+        queue.push_record(WritePurpose::ClearScaleOut(request), mutation);
+    }
+}
+
+/// The next transaction at this moment; none if nothing is sent.
+fn next_write(queue: &mut WriteQueue, now: Instant) -> Option<ShardWrite> {
+    queue.refill_budgets(&LIMITS, now);
+    match queue.next(&LIMITS)? {
+        NextWrite::Send(write) => Some(write),
+        NextWrite::SnapshotStored(_) => None,
+    }
+}
+
+#[test]
+fn one_transaction_is_in_flight_at_a_time_and_leaves_room_for_the_sequence_number() {
+    let now = Instant::now();
+    let mut queue = WriteQueue::default();
+    push_rentals(&mut queue, 0..9);
+    let write = next_write(&mut queue, now).expect("a transaction");
+    assert_eq!(write.mutations.len(), LIMITS.txn_ops - 1);
+    assert_eq!(write.purposes.len(), write.mutations.len());
+    assert_eq!(
+        next_write(&mut queue, now + INTERVAL * 10),
+        None,
+        "in flight"
+    );
+    queue.written(&write);
+    let rest = next_write(&mut queue, now + INTERVAL * 10).expect("the rest");
+    assert_eq!(rest.mutations.len(), 2);
+}
+
+#[test]
+fn records_wait_and_gather_while_their_budget_is_in_debt() {
+    let start = Instant::now();
+    let at = |seconds| start + Duration::from_secs(seconds);
+    let mut queue = WriteQueue::default();
+    push_rentals(&mut queue, 0..7);
+    // Seven records and the sequence number, of which two were saved up.
+    let write = next_write(&mut queue, start).expect("a transaction");
+    queue.written(&write);
+    push_rentals(&mut queue, 7..8);
+    assert_eq!(next_write(&mut queue, at(1)), None);
+    push_rentals(&mut queue, 8..10);
+    assert_eq!(next_write(&mut queue, at(3)), None, "the debt is just paid");
+    let gathered = next_write(&mut queue, at(4)).expect("a transaction");
+    assert_eq!(gathered.mutations.len(), 3);
+}
+
+#[test]
+fn chunks_go_along_with_records_or_wait_for_the_budget_of_a_full_transaction() {
+    let start = Instant::now();
+    let mut queue = WriteQueue::default();
+    let few = chunks(&[("a", 1), ("b", 1)]);
+    queue.begin_snapshot_round(&few, Vec::new(), start);
+    let alone = next_write(&mut queue, start).expect("the budget allows both");
+    assert_eq!(alone.mutations.len(), 2);
+    queue.written(&alone);
+    assert_eq!(
+        next_write(&mut queue, start),
+        None,
+        "the round has ended here"
+    );
+    let more = chunks(&[("a", 2), ("b", 2), ("c", 2)]);
+    queue.begin_snapshot_round(&more, Vec::new(), start);
+    assert_eq!(next_write(&mut queue, start), None, "one token is left");
+    push_rentals(&mut queue, 0..1);
+    let along = next_write(&mut queue, start).expect("a record and a chunk");
+    let purposes = &along.purposes[..];
+    assert!(
+        matches!(
+            purposes,
+            [
+                WritePurpose::ClearScaleOut(_),
+                WritePurpose::SnapshotChunk { .. }
+            ]
+        ),
+        "{purposes:?}"
+    );
+}
+
+#[test]
+fn a_refused_transaction_queues_its_records_and_roster_pages_again_but_not_its_chunks() {
+    let now = Instant::now();
+    let machine: MachineId = "vm-1".into();
+    let record = RosterRecord {
+        addr: "10.0.0.1:9000".into(),
+        machine_type: "m-8".into(),
+        zone: "north".into(),
+        spot: false,
+        deleting: false,
+    };
+    let admit = WritePurpose::Admit(machine.clone());
+    let mut queue = WriteQueue::default();
+    queue.put_roster_entry(&machine, record, LIMITS.value_bytes, admit.clone());
+    push_rentals(&mut queue, 0..1);
+    queue.begin_snapshot_round(&chunks(&[("a", 1)]), Vec::new(), now);
+    let refused = next_write(&mut queue, now).expect("a transaction");
+    assert_eq!(refused.mutations.len(), 3);
+    queue.refused(&refused);
+    assert!(queue.snapshot_due(&LIMITS, now), "a round starts anew");
+    let again = next_write(&mut queue, now + INTERVAL * 10).expect("a transaction");
+    assert_eq!(again.mutations[..], refused.mutations[..2]);
+    assert_eq!(again.purposes[0], admit);
+    assert_eq!(again.purposes.len(), 2);
+}
--- a/src/coordination/shard/persistence/transaction.rs
+++ b/src/coordination/shard/persistence/transaction.rs
@@ -38,6 +38,7 @@
         self.max_mutations
     }
 
+    /// Whether it holds nothing yet.
     pub fn is_empty(&self) -> bool {
         self.mutations.is_empty()
     }
@@ -76,11 +77,15 @@
     /// Adds a durable record.
     pub fn push_record(&mut self, write: PendingWrite) {
         self.snapshot_only = false;
-        self.push_chunk(write);
+        self.push(write);
     }
 
     /// Adds a chunk of the snapshot.
     pub fn push_chunk(&mut self, write: PendingWrite) {
+        self.push(write);
+    }
+
+    fn push(&mut self, write: PendingWrite) {
         self.purposes.push(write.purpose);
         self.push_mutation(write.mutation);
     }
@@ -90,6 +95,7 @@
         self.mutations.push(mutation);
     }
 
+    /// The transaction, ready to be sent.
     pub fn build(self) -> ShardWrite {
         ShardWrite {
             purposes: self.purposes,
--- a/src/coordination/shard/persistence/write_queue.rs
+++ b/src/coordination/shard/persistence/write_queue.rs
@@ -66,8 +66,8 @@
         self.snapshots.note_change(now);
     }
 
-    /// Whether progress has been undurable for longer than the `bound`.
-    pub fn stale(&self, now: Instant, bound: Duration) -> bool {
+    /// Whether some progress has not been durable for longer than `bound`.
+    pub fn is_stale(&self, now: Instant, bound: Duration) -> bool {
         self.snapshots.unrecorded_for(now) > bound
     }
 
--- a/src/coordination/shard/scheduler/mod.rs
+++ b/src/coordination/shard/scheduler/mod.rs
@@ -64,7 +64,7 @@
     /// One scheduling pass: places waiting tasks and preempts others for those that found
     /// no machine. Does nothing while the snapshot is staler than its bound.
     pub(super) fn schedule(&mut self, now: Instant) {
-        if self.writes.stale(now, self.policy.staleness) {
+        if self.writes.is_stale(now, self.policy.staleness) {
             return;
         }
         let levels = self.scheduler_view().waiting_by_priority(now);
--- a/src/coordination/shard/tests/scale/records.rs
+++ b/src/coordination/shard/tests/scale/records.rs
@@ -106,7 +106,7 @@
         script.shard.writes.progress_changed(script.now);
         script.shard.reconcile(script.now);
         written += apply_writes(&mut script);
-        stale += usize::from(script.shard.writes.stale(script.now, staleness));
+        stale += usize::from(script.shard.writes.is_stale(script.now, staleness));
     }
     assert_eq!(stale, 0, "{written} mutations were written");
 }
