--- a/src/coordination/cloud/client.rs
+++ b/src/coordination/cloud/client.rs
@@ -133,3 +133,6 @@
         status => CloudError::Unavailable(status),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/coordination/executor/shard_write.rs
+++ b/src/coordination/executor/shard_write.rs
@@ -4,7 +4,6 @@
 //! and on the sequence record as the last write left it. So no write is applied once
 //! another controller leads, none is applied twice, and none before its predecessor.
 
-use serde_json::Value;
 use tracing::{error, warn};
 
 use super::fencing::may_still_lead;
@@ -28,16 +27,18 @@
     LeaseEnded,
 }
 
-/// What the store holds after a conflict or a lost answer.
-enum Resolution {
-    /// An earlier attempt at this write was applied after all.
+/// What one attempt at a write came to.
+enum Attempt {
+    /// The store has applied the write, by this attempt or an earlier one.
     Applied {
-        /// The sequence record's modification revision.
+        /// The sequence record's new modification revision.
         mod_revision: u64,
     },
+    /// The store refuses the write as it is.
+    TooLarge,
     /// Another controller leads, or wrote the shard: the lease has been ended.
     Superseded,
-    /// The write was not applied, or that could not be read: it is sent again.
+    /// The write was not applied, as far as could be read: it has to be sent again.
     Unresolved,
 }
 
@@ -49,85 +50,98 @@
         fencing_token: lease.fencing_token,
         number: sequence.n + 1,
     };
-    let Ok(value) = serde_json::to_value(&record) else {
+    let Ok(transaction) = fenced_transaction(lease, *sequence, &record, write) else {
         return WriteOutcome::LeaseEnded;
     };
     let mut retry = Backoff::default();
     while !lease.ended() {
-        let transaction = fenced_transaction(lease, *sequence, &value, write);
-        let applied_at = match node.clients.kv.txn(&transaction, KV_DEADLINE).await {
-            Ok(TransactionOutcome::Committed { revision }) => Some(revision),
-            Ok(TransactionOutcome::Conflict) | Err(KvError::NoAnswer { .. }) => {
-                match resolve(node, lease, *sequence, &record).await {
-                    Resolution::Applied { mod_revision } => Some(mod_revision),
-                    Resolution::Superseded => return WriteOutcome::LeaseEnded,
-                    Resolution::Unresolved => None,
-                }
-            }
-            Err(KvError::TooLarge { answer: reason, .. }) => {
-                error!(reason, "the store refused a shard write as too large");
-                return WriteOutcome::TooLarge;
+        match attempt(node, lease, *sequence, &record, &transaction).await {
+            Attempt::Applied { mod_revision } => {
+                *sequence = Sequence {
+                    mod_revision,
+                    n: record.number,
+                };
+                return WriteOutcome::Applied;
             }
-            Err(error) if error.is_protocol_error() => {
-                error!(%error, "unexpected answer to a shard write");
-                None
-            }
-            Err(_) => None,
-        };
-        if let Some(mod_revision) = applied_at {
-            *sequence = Sequence {
-                mod_revision,
-                n: record.number,
-            };
-            return WriteOutcome::Applied;
+            Attempt::TooLarge => return WriteOutcome::TooLarge,
+            Attempt::Superseded => return WriteOutcome::LeaseEnded,
+            Attempt::Unresolved => retry.wait().await,
         }
-        retry.wait().await;
     }
     WriteOutcome::LeaseEnded
 }
 
+async fn attempt(
+    node: &Node,
+    lease: &ShardLease,
+    sequence: Sequence,
+    record: &SequenceRecord,
+    transaction: &Transaction,
+) -> Attempt {
+    match node.clients.kv.txn(transaction, KV_DEADLINE).await {
+        Ok(TransactionOutcome::Committed { revision }) => Attempt::Applied {
+            mod_revision: revision,
+        },
+        Ok(TransactionOutcome::Conflict) | Err(KvError::NoAnswer { .. }) => {
+            resolve(node, lease, sequence, record).await
+        }
+        Err(KvError::TooLarge { answer: reason, .. }) => {
+            error!(reason, "the store refused a shard write as too large");
+            Attempt::TooLarge
+        }
+        Err(error) if error.is_protocol_error() => {
+            error!(%error, "unexpected answer to a shard write");
+            Attempt::Unresolved
+        }
+        Err(_) => Attempt::Unresolved,
+    }
+}
+
 /// The write with its conditions: the leader record is ours, and the sequence record is
 /// as the last write left it.
 fn fenced_transaction(
     lease: &ShardLease,
     sequence: Sequence,
-    next_sequence: &Value,
+    record: &SequenceRecord,
     write: &ShardWrite,
-) -> Transaction {
+) -> Result<Transaction, serde_json::Error> {
     let mut transaction = Transaction::default()
         .guard(keys::leader(), lease.fencing_token.revision())
         .guard(keys::sequence(), sequence.mod_revision)
-        .change(Mutation::put(keys::sequence(), next_sequence.clone()));
+        .change(Mutation::put(
+            keys::sequence(),
+            serde_json::to_value(record)?,
+        ));
     transaction
         .mutations
         .extend(write.mutations.iter().cloned());
-    transaction
+    Ok(transaction)
 }
 
-/// Finds out what a conflict or a lost answer means, by the sequence record: `record` is
-/// the one of the write in question, `sequence` that of the write before.
+/// Finds out what a conflict or a lost answer means, by the sequence record in the store:
+/// `record` is the one of this write, `sequence` that of the write before.
 async fn resolve(
     node: &Node,
     lease: &ShardLease,
     sequence: Sequence,
     record: &SequenceRecord,
-) -> Resolution {
+) -> Attempt {
     let mod_revision = match read_sequence(node).await {
         Ok(Some((mod_revision, found))) if found == *record => {
-            return Resolution::Applied { mod_revision };
+            return Attempt::Applied { mod_revision };
         }
         Ok(found) => found.map_or(0, |(mod_revision, _)| mod_revision),
-        Err(_) => return Resolution::Unresolved,
+        Err(_) => return Attempt::Unresolved,
     };
     if mod_revision != sequence.mod_revision {
         warn!(fencing_token = %lease.fencing_token, "superseded: another leader wrote the shard");
         lease.end();
-        return Resolution::Superseded;
+        return Attempt::Superseded;
     }
     if may_still_lead(node, lease).await {
-        Resolution::Unresolved
+        Attempt::Unresolved
     } else {
-        Resolution::Superseded
+        Attempt::Superseded
     }
 }
 
--- a/src/coordination/leadership/election.rs
+++ b/src/coordination/leadership/election.rs
@@ -1,16 +1,16 @@
 //! The election: waiting until the shard has no leader, and campaigning for it then.
 //!
-//! Candidates don't vote on one another. The first transaction that creates the leader
-//! record wins; a candidate that is worse placed waits for a while before it tries.
+//! Candidates don't vote on one another: the first transaction that creates the leader
+//! record wins. A candidate that is worse placed waits for a while before it tries.
 
 use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 use tracing::{debug, info};
 
 use super::acquisition::acquire;
+use super::candidacy::candidate_delay;
 use super::leader_loop::lead;
-use crate::coordination::node::state::NodeState;
 use crate::coordination::node::{KV_DEADLINE, Node};
 use crate::coordination::retry::Backoff;
 use crate::protocol::kv::WatchEvent;
@@ -20,16 +20,6 @@
 
 /// How long the store holds one watch of the leader record without a change.
 const LEADER_WATCH_WAIT: Duration = Duration::from_secs(3);
-/// How long a candidate outside the zone of most machines waits before it tries.
-const FAR_ZONE_DELAY: Duration = Duration::from_millis(150);
-/// The same if no worker has sent it a heartbeat lately either.
-const NO_WORKERS_DELAY: Duration = Duration::from_millis(1000);
-/// How long a worker's last heartbeat shows that the worker reaches this candidate.
-const RECENT_WORKER: Duration = Duration::from_secs(4);
-/// How long a candidate that lately couldn't reach enough workers waits.
-const INELIGIBLE_DELAY: Duration = Duration::from_secs(4);
-/// Added to the end of an extension vote, past which this candidate may try again.
-const AFTER_VOTE_MARGIN: Duration = Duration::from_millis(10);
 
 /// Campaigns for the shard whenever it has no leader, and leads it when it wins. Runs as
 /// long as the process.
@@ -53,7 +43,7 @@
 
 /// Whose leader record the store holds, seen from one process of one controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum RecordOwner {
+enum RecordHolder {
     /// There is no record: the shard has no leader.
     Nobody,
     /// An earlier process of this controller. That process has ended: no other has its
@@ -62,7 +52,7 @@
         /// The lease that the record is attached to.
         lease: u64,
     },
-    /// This process, which doesn't lead: a leadership that it gave up, or an acquisition
+    /// This process, which doesn't lead: a leadership that it ended, or an acquisition
     /// whose answer was lost and that was applied too late to be used.
     ThisProcess {
         /// The lease that the record is attached to.
@@ -72,7 +62,7 @@
     OtherController,
 }
 
-impl RecordOwner {
+impl RecordHolder {
     fn of(record: Option<&LeaderRecord>, node: &Node) -> Self {
         match record {
             None => Self::Nobody,
@@ -91,23 +81,23 @@
 async fn wait_for_vacancy(node: &Node) -> Result<(), KvError> {
     loop {
         let (record, revision) = read_leader_record(node).await?;
-        let owner = RecordOwner::of(record.as_ref(), node);
+        let holder = RecordHolder::of(record.as_ref(), node);
         node.lock().observed_leader = record;
-        match owner {
-            RecordOwner::Nobody => {
+        match holder {
+            RecordHolder::Nobody => {
                 if still_vacant_after_delay(node).await? {
                     return Ok(());
                 }
             }
-            RecordOwner::EarlierIncarnation { lease } => {
+            RecordHolder::EarlierIncarnation { lease } => {
                 info!(lease, "revoking the lease of this node's earlier process");
                 node.clients.kv.revoke_lease(lease, KV_DEADLINE).await?;
-                node.lock().candidacy.previous_run_ended = true;
+                node.lock().candidacy.previous_incarnation_ended = true;
             }
-            RecordOwner::ThisProcess { lease } => {
+            RecordHolder::ThisProcess { lease } => {
                 node.clients.kv.revoke_lease(lease, KV_DEADLINE).await?;
             }
-            RecordOwner::OtherController => watch_leader_record(node, revision).await?,
+            RecordHolder::OtherController => watch_leader_record(node, revision).await?,
         }
     }
 }
@@ -151,35 +141,3 @@
     }
     Ok(())
 }
-
-/// How long this candidate waits before it tries to acquire a vacant shard.
-fn candidate_delay(node: &Node) -> Duration {
-    let now = node.now();
-    if let Some(until) = node.campaign_blocked_until() {
-        return until.saturating_duration_since(now) + AFTER_VOTE_MARGIN;
-    }
-    placement_delay(&node.lock(), &node.settings.platform.zone, now)
-}
-
-/// The delay by which a candidate in `zone` gives way to better placed ones.
-fn placement_delay(state: &NodeState, zone: &str, now: Instant) -> Duration {
-    if state
-        .candidacy
-        .ineligible_until
-        .is_some_and(|until| until > now)
-    {
-        return INELIGIBLE_DELAY;
-    }
-    let main_zone = state.peers.main_zone.as_deref();
-    let far = main_zone.is_some_and(|main_zone| main_zone != zone);
-    // Workers that lost their leader send heartbeats to whichever controller they reach.
-    let has_recent_workers = state
-        .workers
-        .values()
-        .any(|at| now.saturating_duration_since(*at) < RECENT_WORKER);
-    match (far, has_recent_workers) {
-        (true, false) => NO_WORKERS_DELAY,
-        (true, true) => FAR_ZONE_DELAY,
-        (false, _) => Duration::ZERO,
-    }
-}
--- a/src/coordination/leadership/lease.rs
+++ b/src/coordination/leadership/lease.rs
@@ -28,7 +28,7 @@
     last_renewed: Mutex<Instant>,
     ended: AtomicBool,
     /// When the shard was acquired.
-    pub since: Instant,
+    pub acquired_at: Instant,
     /// Wakes the leader's loop: the shard has something to decide.
     pub work_notify: Notify,
     /// Wakes the tasks of this leadership: the lease has ended.
@@ -62,7 +62,7 @@
         fencing_token: FencingToken,
         sent: Instant,
         deadline: Instant,
-        since: Instant,
+        acquired_at: Instant,
     ) -> Self {
         Self {
             id,
@@ -70,7 +70,7 @@
             deadline: Mutex::new(deadline),
             last_renewed: Mutex::new(sent),
             ended: AtomicBool::new(false),
-            since,
+            acquired_at,
             work_notify: Notify::new(),
             end_notify: Notify::new(),
             sequence: tokio::sync::Mutex::new(Sequence::default()),
--- a/src/coordination/leadership/mod.rs
+++ b/src/coordination/leadership/mod.rs
@@ -4,9 +4,10 @@
 //! Owns the shard's lease in the key-value store ("the store" from here on) and the
 //! leader record attached to it, from the campaign to the end of the leadership:
 //!
-//! * [`election`] waits until the shard has no leader and it is this controller's turn;
+//! * [`election`] waits until the shard has no leader and it is this controller's turn,
+//!   by the rules of `candidacy`;
 //! * `acquisition` writes the leader record, whose revision is the fencing token;
-//! * [`lease`] is what a leadership entitles to, and `renewal` keeps it alive;
+//! * [`lease`] is what a leadership entitles to, and `renewal` renews it;
 //! * `leader_loop` recovers the shard from [`stored_records`], decides until the lease
 //!   ends, and follows the jobs by `job_watch`.
 //!
@@ -16,6 +17,7 @@
 //! ([`super::executor`] does).
 
 mod acquisition;
+mod candidacy;
 pub mod election;
 mod job_watch;
 mod leader_loop;
--- a/src/coordination/leadership/renewal.rs
+++ b/src/coordination/leadership/renewal.rs
@@ -153,3 +153,6 @@
     let margin = Duration::from_secs_f64(operator.lease_margin_s).min(time / 4);
     sent + clock_drift::min_elapsed(time) - margin
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -10,6 +10,7 @@
 pub mod requests;
 mod retry;
 pub mod shard;
+mod shard_events;
 pub mod worker_heartbeats;
 pub mod worker_leases;
 
--- a/src/coordination/node/mod.rs
+++ b/src/coordination/node/mod.rs
@@ -2,13 +2,12 @@
 //! one lock.
 //!
 //! Everything in [`super`] that acts for the controller takes the [`Node`] it acts for.
-//! Node itself starts nothing but the shard's actions ([`Node::with_shard`]), and knows
-//! neither the routers nor the loops: the process's entry does.
+//! This folder itself never acts: it sends nothing, spawns nothing, and imports neither
+//! routers nor loops nor the executor. The process's entry creates the node.
 
 pub mod admission;
 pub mod clients;
 mod reachability;
-mod shard_events;
 pub mod state;
 mod status;
 
@@ -68,11 +67,10 @@
     }
 
     /// Locks what the controller knows. The guard is never held over an await: it isn't
-    /// `Send`, so that no spawned task compiles that would. Nothing may be locked that
-    /// locks the state in its turn; a holder doesn't call methods of `Node` that do.
+    /// `Send`, so a task that did so could not be spawned. Its holder must not call a
+    /// method of `Node` that locks as well: the lock isn't reentrant.
     ///
-    /// A panic while it was held, which ends one task alone, must not stop the others:
-    /// the lock ignores poisoning.
+    /// Poisoning is ignored: a panic ends the task in which it happens, not the others.
     pub fn lock(&self) -> MutexGuard<'_, NodeState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/src/coordination/node/reachability.rs
+++ b/src/coordination/node/reachability.rs
@@ -3,11 +3,10 @@
 //! These are methods of [`Node`] because each combines what the node's state holds of
 //! its peers with the health of its client for the store.
 
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 use super::Node;
 use super::state::PeerView;
-use crate::coordination::peering::lease_votes;
 use crate::storage::kv_client::KvHealth;
 
 /// How long after its last heartbeat another controller counts as reachable.
@@ -68,20 +67,6 @@
         failed.is_some() && failed > served
     }
 
-    /// Until when this node must not campaign for the shard: a leader may be going on by
-    /// this node's extension vote, or by one that an earlier process of it gave.
-    pub fn campaign_blocked_until(&self) -> Option<Instant> {
-        let now = self.now();
-        let state = self.lock();
-        let earlier_vote = (!state.candidacy.previous_run_ended)
-            .then_some(self.started + lease_votes::LONGEST_EXTENSION);
-        state
-            .candidacy
-            .extension_granted_until
-            .max(earlier_vote)
-            .filter(|until| *until > now)
-    }
-
     /// Whether some other controller says that the store serves it.
     pub fn peer_served(&self) -> bool {
         let now = self.now();
--- a/src/coordination/node/state.rs
+++ b/src/coordination/node/state.rs
@@ -107,7 +107,7 @@
     /// The fencing token that this process acquired last.
     pub latest_fencing_token: FencingToken,
     /// The last leader was an earlier process of this controller, which has ended.
-    pub previous_run_ended: bool,
+    pub previous_incarnation_ended: bool,
     /// Until when this node must not campaign, by the extension that it granted.
     pub extension_granted_until: Option<Instant>,
     /// Until when this node should leave the shard to others, since it didn't reach
--- a/src/coordination/peering/delegation/leader.rs
+++ b/src/coordination/peering/delegation/leader.rs
@@ -85,7 +85,7 @@
     let now = node.now();
     let inner = node.lock();
     let lease = &inner.leadership.as_ref()?.lease;
-    if !lease.live(now) || now.saturating_duration_since(lease.since) < LEADER_GRACE {
+    if !lease.live(now) || now.saturating_duration_since(lease.acquired_at) < LEADER_GRACE {
         return None;
     }
     let unreachable = |peer: &&Peer| {
--- a/src/coordination/peering/handover.rs
+++ b/src/coordination/peering/handover.rs
@@ -132,7 +132,7 @@
     let now = node.now();
     let inner = node.lock();
     let own = inner.leadership.as_ref()?;
-    if !own.lease.live(now) || now.saturating_duration_since(own.lease.since) < LEADER_GRACE {
+    if !own.lease.live(now) || now.saturating_duration_since(own.lease.acquired_at) < LEADER_GRACE {
         return None;
     }
     let ReachableMachines {
@@ -179,7 +179,7 @@
         MIN_LEADERSHIP
     };
     *main_zone != node.settings.platform.zone
-        && now.saturating_duration_since(own.lease.since) > min_leadership
+        && now.saturating_duration_since(own.lease.acquired_at) > min_leadership
         && inner.peers.views.values().any(|view| {
             now.saturating_duration_since(view.at) < SUCCESSOR_HEARTBEAT_FRESH
                 && view.heartbeat.zone == *main_zone
--- a/src/coordination/peering/heartbeat.rs
+++ b/src/coordination/peering/heartbeat.rs
@@ -165,7 +165,7 @@
         return;
     }
     let ago = Duration::from_millis(answer.answered_by_advance_delegation_ago_ms);
-    let last_renewal = now.checked_sub(ago).unwrap_or(own.lease.since);
+    let last_renewal = now.checked_sub(ago).unwrap_or(own.lease.acquired_at);
     own.advance_grants
         .answered(&answer.node_id, sent, last_renewal);
 }
--- a/src/coordination/node/shard_events.rs
+++ b/src/coordination/shard_events.rs
@@ -2,16 +2,17 @@
 //!
 //! These are methods of [`Node`] because every source of events (the user API, workers'
 //! heartbeats, peers, the store, the cloud, the executor itself) has the node at hand and
-//! nothing else in common, and because an event needs the node's lock and, for what
-//! follows from it, the node's clients.
+//! nothing else in common, and because an event needs the node's lock and, for the actions
+//! that follow from it, the node's clients. They stand outside of [`super::node`], which
+//! imports nothing that acts.
 
 use std::sync::Arc;
 use std::time::Instant;
 
-use super::Node;
-use crate::coordination::executor;
-use crate::coordination::leadership::lease::ShardLease;
-use crate::coordination::shard::{Job, Shard};
+use super::executor;
+use super::leadership::lease::ShardLease;
+use super::node::Node;
+use super::shard::{Job, Shard};
 use crate::protocol::JobId;
 use crate::storage::kv_client::KvError;
 use crate::storage::records::JobRecord;
