--- a/src/coordination/shard/autoscaler/boot_estimates.rs
+++ b/src/coordination/shard/autoscaler/boot_estimates.rs
@@ -1,10 +1,13 @@
 //! When machines are expected to have booted, and which are overdue.
 
+use std::collections::HashSet;
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use super::boot_times::{BootPool, OverdueBoot};
 use super::machine_kind::usual_boot;
-use crate::coordination::shard::{Machine, Shard};
+use super::view::AutoscalerView;
+use crate::coordination::shard::Machine;
 use crate::protocol::cloud::MachineType;
 
 /// Multiple of the usual boot time after which a machine is overdue; the margin is added.
@@ -19,7 +22,7 @@
     age > usual.mul_f64(OVERDUE_BOOTS) + OVERDUE_MARGIN
 }
 
-impl Shard {
+impl AutoscalerView<'_> {
     /// How many times longer than usual a booting machine is expected to take.
     fn boot_slowness(&self, machine: &Machine, now: Instant) -> f64 {
         self.autoscaler
@@ -41,7 +44,7 @@
 
     /// The shortest usual boot time of all machine types.
     pub(super) fn fastest_boot(&self) -> Duration {
-        self.types
+        self.machine_types
             .values()
             .map(|kind| usual_boot(kind))
             .min()
@@ -70,23 +73,24 @@
         self.boots_late(machine, now) && last_digit.is_some_and(|digit| digit % 2 == 0)
     }
 
-    /// Records which machines should have booted and have not. Those in an unreachable zone
-    /// are left out: they may well have booted.
-    pub(super) fn update_overdue_boots(&mut self, now: Instant) {
-        let unreachable_zones = self.unreachable_zones(now);
-        let overdue: Vec<OverdueBoot> = self
-            .machines
+    /// The machines that should have booted and have not. Those in an unreachable zone are
+    /// left out: they may well have booted.
+    pub(super) fn overdue_boots(
+        &self,
+        unreachable_zones: &HashSet<Arc<str>>,
+        now: Instant,
+    ) -> Vec<OverdueBoot> {
+        self.machines
             .values()
             .filter(|machine| machine.is_booting() && !self.is_leaving(machine))
             .filter(|machine| !unreachable_zones.contains(&machine.zone))
             .filter_map(|machine| self.overdue_boot(machine, now))
-            .collect();
-        self.autoscaler.boot_times.update_overdue(&overdue, now);
+            .collect()
     }
 
     /// A booting machine as an overdue one; None if it is not.
     fn overdue_boot(&self, machine: &Machine, now: Instant) -> Option<OverdueBoot> {
-        let usual = usual_boot(self.types.get(&*machine.machine_type)?);
+        let usual = usual_boot(self.machine_types.get(&*machine.machine_type)?);
         let age = now.saturating_duration_since(machine.rented);
         is_overdue(age, usual).then(|| OverdueBoot {
             pool: BootPool::from(machine),
--- a/src/coordination/shard/autoscaler/capacity.rs
+++ b/src/coordination/shard/autoscaler/capacity.rs
@@ -4,9 +4,11 @@
 use std::sync::Arc;
 use std::time::Instant;
 
+use super::release::costs_extra;
+use super::view::AutoscalerView;
+use crate::coordination::shard::Machine;
 use crate::coordination::shard::machines::Resources;
 use crate::coordination::shard::scheduler::allowed;
-use crate::coordination::shard::{Machine, Shard};
 use crate::protocol::MachineId;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::{JobKind, JobSpec, Priority};
@@ -121,7 +123,7 @@
     }
 }
 
-impl Shard {
+impl AutoscalerView<'_> {
     /// The capacities of all machines that can be counted on: the soonest ready first, of
     /// these the fullest.
     pub(super) fn capacities(&self, now: Instant) -> Vec<Capacity> {
@@ -142,7 +144,7 @@
     /// Adds the capacities of the machines in pending rentals.
     fn add_requested(&self, capacities: &mut Vec<Capacity>, now: Instant) {
         for rental in self.autoscaler.rentals.iter() {
-            let Some(kind) = self.types.get(&rental.machine_type) else {
+            let Some(kind) = self.machine_types.get(&rental.machine_type) else {
                 continue;
             };
             let ready_in_s = self.expected_boot_s(kind, &rental.zone, now);
@@ -159,7 +161,7 @@
 
     /// The capacity of a machine; None if it cannot be counted on.
     fn capacity_of(&self, machine: &Machine, now: Instant) -> Option<Capacity> {
-        let kind = self.types.get(&*machine.machine_type)?;
+        let kind = self.machine_types.get(&*machine.machine_type)?;
         if !self.can_be_counted_on(machine, kind, now) {
             return None;
         }
@@ -170,7 +172,7 @@
             spot: machine.spot,
             free: machine.free(kind),
             preemptible: preemptible(machine),
-            costs_extra: self.costs_extra(machine, now),
+            costs_extra: costs_extra(machine, self.policy, now),
             used: false,
             readiness: readiness(machine),
             ready_in_s: self.ready_in_s(machine, kind, now),
@@ -208,20 +210,25 @@
             || (machine.last_contact.is_none() && self.delegations.is_partitioned(&machine.zone))
     }
 
-    /// Updates the average cores within reach of each priority that has spot-tolerant batch
-    /// work.
-    pub(super) fn record_reachable_cores(&mut self, capacities: &[Capacity]) {
-        let specs: BTreeMap<Priority, Arc<JobSpec>> = self
+    /// The cores on low-cost machines within reach of each priority that has batch work which
+    /// tolerates spot machines.
+    pub(super) fn low_cost_cores_by_priority(
+        &self,
+        capacities: &[Capacity],
+    ) -> BTreeMap<Priority, f64> {
+        let specs: BTreeMap<Priority, &JobSpec> = self
             .jobs
             .values()
             .filter(|job| job.spec.kind == JobKind::Batch && job.spec.spot)
-            .map(|job| (job.spec.priority, job.spec.clone()))
+            .map(|job| (job.spec.priority, &*job.spec))
             .collect();
-        for (priority, spec) in specs {
-            let low_cost = capacities.iter().filter(|capacity| !capacity.costs_extra);
-            let cores = reachable_cores(&spec, low_cost);
-            self.autoscaler.record_reachable_cores(priority, cores);
-        }
+        specs
+            .into_iter()
+            .map(|(priority, spec)| {
+                let low_cost = capacities.iter().filter(|capacity| !capacity.costs_extra);
+                (priority, reachable_cores(spec, low_cost))
+            })
+            .collect()
     }
 }
 
--- a/src/coordination/shard/autoscaler/demand.rs
+++ b/src/coordination/shard/autoscaler/demand.rs
@@ -5,8 +5,9 @@
 use std::time::Instant;
 
 use super::capacity::Capacity;
+use super::view::AutoscalerView;
+use crate::coordination::shard::Job;
 use crate::coordination::shard::scheduler::Usage;
-use crate::coordination::shard::{Job, Shard};
 use crate::protocol::JobId;
 use crate::protocol::users::{JobKind, JobSpec};
 
@@ -56,31 +57,27 @@
     pub core_seconds: f64,
 }
 
-/// The demands of the waiting tasks.
+/// All demands, in the order in which they get capacity.
 #[derive(Default)]
-struct QueuedDemands {
-    demands: Vec<Demand>,
+pub(super) struct Demands {
+    pub demands: Vec<Demand>,
     /// Jobs that cannot wait for low-cost machines alone.
-    accepting_extra_cost: Vec<JobId>,
+    pub accepting_extra_cost: Vec<JobId>,
 }
 
-impl Shard {
-    /// All demands, in the order in which they get capacity.
-    pub(super) fn demands(&mut self, capacities: &[Capacity], now: Instant) -> Vec<Demand> {
-        let used = self.usage();
-        let queued = self.queued_demands(capacities, &used, now);
-        let mut demands = queued.demands;
-        demands.extend(self.foreseen_demands(now));
-        self.record_work(now);
-        demands.extend(self.quota_demands(&used, now));
-        self.mark_accepting_extra_cost(&queued.accepting_extra_cost);
+impl<'a> AutoscalerView<'a> {
+    /// All demands at a wall-clock time in milliseconds.
+    pub(super) fn demands(&self, capacities: &[Capacity], wall_ms: u64, now: Instant) -> Demands {
+        let used = self.scheduler.usage();
+        let mut demands = self.queued_demands(capacities, &used, wall_ms);
+        demands.demands.extend(self.foreseen_demands(now));
+        demands.demands.extend(self.quota_demands(&used, now));
         demands
     }
 
     /// The demands of the waiting tasks.
-    fn queued_demands(&self, capacities: &[Capacity], used: &Usage, now: Instant) -> QueuedDemands {
-        let mut queued = QueuedDemands::default();
-        let wall = self.wall_ms(now);
+    fn queued_demands(&self, capacities: &[Capacity], used: &Usage, wall: u64) -> Demands {
+        let mut queued = Demands::default();
         let mut queue = Queue {
             usage: used.clone(),
             core_seconds: 0.0,
@@ -113,13 +110,18 @@
     }
 
     /// The jobs with waiting tasks, in the order in which they get capacity.
-    fn waiting_jobs(&self, wall: u64) -> Vec<&Job> {
+    fn waiting_jobs(&self, wall: u64) -> Vec<&'a Job> {
         let waits = |job: &&Job| {
             let crash_loops = job.spec.is_gang() && job.is_crash_looping();
             job.waiting().min(job.retry_budget()) > 0 && !crash_loops
         };
         let mut jobs: Vec<&Job> = self.jobs.values().filter(waits).collect();
-        jobs.sort_by_cached_key(|job| (Reverse(job.spec.priority), self.queue_key(job, wall)));
+        jobs.sort_by_cached_key(|job| {
+            (
+                Reverse(job.spec.priority),
+                self.scheduler.queue_key(job, wall),
+            )
+        });
         jobs
     }
 
@@ -128,7 +130,7 @@
     fn enqueue(&self, job: &Job, queue: &mut Queue) -> Option<u32> {
         let waiting = job.waiting().min(job.retry_budget()).min(MAX_TASKS_PER_JOB);
         let mut count = 0;
-        while count < waiting && self.within_quota_limit(&queue.usage, &job.spec) {
+        while count < waiting && self.scheduler.within_quota_limit(&queue.usage, &job.spec) {
             queue.usage.add(&job.spec, 1);
             count += 1;
         }
--- a/src/coordination/shard/autoscaler/drain.rs
+++ b/src/coordination/shard/autoscaler/drain.rs
@@ -4,7 +4,9 @@
 use std::time::{Duration, Instant};
 
 use super::capacity::{Capacity, Readiness};
-use super::service_moves::{ServiceHost, hosts_services, live_services};
+use super::release::hosts_services;
+use super::service_moves::{ServiceHost, live_services};
+use super::view::AutoscalerView;
 use crate::coordination::shard::{Machine, Shard};
 use crate::protocol::MachineId;
 use crate::protocol::users::JobSpec;
@@ -34,7 +36,7 @@
     /// Goes on with the machines being drained and, if `pick`, drains further ones. Batch work
     /// on them ends by itself.
     pub(super) fn consolidate(&mut self, capacities: &[Capacity], pick: bool, now: Instant) {
-        let max_at_once = self.max_drained_at_once();
+        let max_at_once = self.autoscaler_view().max_drained_at_once();
         let draining = self.machines.ids(|m| m.draining && !m.deleting);
         let mut sources: Vec<MachineId> = draining
             .iter()
@@ -47,28 +49,28 @@
         } else {
             0
         };
-        for id in self.pick_for_drain(capacities, max_new, now) {
+        for id in self
+            .autoscaler_view()
+            .pick_for_drain(capacities, max_new, now)
+        {
             if let Some(machine) = self.machines.get_mut(&id) {
                 tracing::info!(machine = %id, "machine drain started");
                 machine.draining = true;
                 sources.push(id);
             }
         }
-        for next in self.next_moves(&sources, max_at_once, capacities) {
+        for next in self
+            .autoscaler_view()
+            .next_moves(&sources, max_at_once, capacities)
+        {
             self.stop_service(&next);
         }
-        if had_none && sources.is_empty() && self.policy.holds_capacity() {
-            self.move_one_to_main_zone(capacities);
-        }
-    }
-
-    /// How many machines are drained at once. Where capacity is held for quota anyway, moving
-    /// few services is worth more than one machine less.
-    fn max_drained_at_once(&self) -> usize {
-        if self.policy.holds_capacity() {
-            1
-        } else {
-            1 + self.machines.len() / DRAIN_ONE_IN
+        if had_none
+            && sources.is_empty()
+            && self.policy.holds_capacity()
+            && let Some(next) = self.autoscaler_view().next_move_to_main_zone(capacities)
+        {
+            self.stop_service(&next);
         }
     }
 
@@ -85,6 +87,18 @@
             }
         }
     }
+}
+
+impl<'a> AutoscalerView<'a> {
+    /// How many machines are drained at once. Where capacity is held for quota anyway, moving
+    /// few services is worth more than one machine less.
+    fn max_drained_at_once(&self) -> usize {
+        if self.policy.holds_capacity() {
+            1
+        } else {
+            1 + self.machines.len() / DRAIN_ONE_IN
+        }
+    }
 
     /// Up to `max` machines whose drain saves most and whose services fit on other machines.
     fn pick_for_drain(&self, capacities: &[Capacity], max: usize, now: Instant) -> Vec<MachineId> {
@@ -117,12 +131,12 @@
     }
 
     /// A machine as a candidate to be drained; None if it is not worth it.
-    fn drain_candidate(&self, capacity: &Capacity, now: Instant) -> Option<DrainCandidate<'_>> {
+    fn drain_candidate(&self, capacity: &Capacity, now: Instant) -> Option<DrainCandidate<'a>> {
         let machine = self.machines.get(capacity.machine.as_ref()?)?;
-        let kind = self.types.get(&*machine.machine_type)?;
+        let kind = self.machine_types.get(&*machine.machine_type)?;
         let free = self.free_beside_services(machine)?;
         let fill = 1.0 - free.cores / kind.cores.max(1e-9);
-        let settled = machine.open(now, &self.policy)
+        let settled = machine.open(now, self.policy)
             && now.saturating_duration_since(machine.rented) >= MIN_AGE;
         let eligible = settled && !machine.spot && !machine.load.idle() && fill <= MAX_FILL;
         eligible.then(|| DrainCandidate {
@@ -133,7 +147,7 @@
     }
 
     /// The machines that services of drained ones could move to.
-    fn service_hosts(&self, capacities: &[Capacity]) -> Vec<ServiceHost<'_>> {
+    fn service_hosts(&self, capacities: &[Capacity]) -> Vec<ServiceHost<'a>> {
         capacities
             .iter()
             .filter(|capacity| capacity.readiness == Readiness::Busy)
--- a/src/coordination/shard/autoscaler/foreseen.rs
+++ b/src/coordination/shard/autoscaler/foreseen.rs
@@ -4,7 +4,7 @@
 
 use super::arrivals::ClassHistory;
 use super::demand::{Demand, OfferFilter};
-use crate::coordination::shard::Shard;
+use super::view::AutoscalerView;
 use crate::protocol::users::JobKind;
 
 /// Arrivals are foreseen for this multiple of the fastest boot, plus a margin in seconds.
@@ -17,7 +17,7 @@
 /// Most tasks that are foreseen of one class.
 const MAX_FORESEEN: f64 = 1000.0;
 
-impl Shard {
+impl AutoscalerView<'_> {
     /// The demands of arrivals that are likely before a new machine has booted, for the
     /// classes whose objective leaves no time for a boot.
     pub(super) fn foreseen_demands(&self, now: Instant) -> Vec<Demand> {
--- a/src/coordination/shard/autoscaler/mod.rs
+++ b/src/coordination/shard/autoscaler/mod.rs
@@ -5,9 +5,14 @@
 //! reserved quota) with the capacity that exists or is on its way, then rents machines,
 //! drains little used ones and deletes those that are not needed.
 //!
-//! [`Shard::tick`] calls [`Shard::autoscale`]; the scheduler asks what a machine is reserved
-//! for; the reconciler reports boots and lost machines. The autoscaler never places a task
-//! and never calls the cloud: requests leave as [`Action`](super::Action)s.
+//! Decisions are functions of a read-only [`AutoscalerView`](view::AutoscalerView) and the
+//! time; `impl Shard` in `plan`, `drain`, `scale_out`, `scale_in` and `machine_loss` carries
+//! them out.
+//!
+//! [`Shard::tick`] calls [`Shard::autoscale`]; the scheduler asks which machines cost extra
+//! and what is reserved for moving services; the reconciler reports boots and begins
+//! deletions. The autoscaler never places a task and never calls the cloud: requests leave as
+//! [`Action`](super::Action)s.
 
 mod arrivals;
 mod backoff;
@@ -21,6 +26,7 @@
 mod machine_loss;
 mod offer;
 mod plan;
+mod release;
 mod rentals;
 mod reserved_quota;
 mod scale_in;
@@ -28,6 +34,7 @@
 mod service_moves;
 mod slack;
 mod urgency;
+mod view;
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -35,11 +42,11 @@
 use self::arrivals::ClassHistory;
 use self::backoff::CapacityBackoff;
 use self::boot_times::BootTimes;
-use self::machine_kind::{MINIMUM_BILLED, usual_boot};
+use self::machine_kind::usual_boot;
+pub(super) use self::release::{costs_extra, hosts_services, releasable};
 use self::rentals::PendingRentals;
 pub(super) use self::scale_in::DeletionReason;
 pub use self::scale_out::RentalOutcome;
-pub(super) use self::service_moves::hosts_services;
 use super::{Machine, Shard};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::{JobSpec, Priority};
@@ -151,17 +158,4 @@
         }
         self.plan(now);
     }
-
-    /// Whether scale-in could release a machine whose minimum charge is used up: tasks that
-    /// can wait for spot machines leave it, so that it can be deleted.
-    pub(super) fn costs_extra(&self, machine: &Machine, now: Instant) -> bool {
-        let paid = now.saturating_duration_since(machine.rented) < MINIMUM_BILLED / 2;
-        !paid && self.releasable(machine)
-    }
-
-    /// Whether scale-in can release an on-demand machine once its batch work ends: no service
-    /// and no quota keeps it.
-    pub(super) fn releasable(&self, machine: &Machine) -> bool {
-        !machine.spot && !self.policy.holds_capacity() && !hosts_services(machine)
-    }
 }
--- a/src/coordination/shard/autoscaler/offer.rs
+++ b/src/coordination/shard/autoscaler/offer.rs
@@ -7,7 +7,7 @@
 use super::boot_estimates::BOOT_MARGIN;
 use super::demand::{Demand, OfferFilter};
 use super::machine_kind::{MINIMUM_BILLED, MachineKind};
-use crate::coordination::shard::Shard;
+use super::view::AutoscalerView;
 use crate::coordination::shard::machines::Resources;
 use crate::coordination::shard::scheduler::allowed;
 use crate::protocol::cloud::MachineType;
@@ -90,7 +90,7 @@
     offer: Offer,
 }
 
-impl Shard {
+impl AutoscalerView<'_> {
     /// The cheapest offer for a demand, in one zone if one is named. `left` are the tasks that
     /// could use the machine: those of the demand without capacity and those that follow.
     pub(super) fn best_offer(
@@ -115,7 +115,7 @@
 
     /// Every type in every zone that is reachable, on-demand before spot.
     fn offers(&self, only_zone: Option<&str>, now: Instant) -> impl Iterator<Item = Offer> {
-        self.types
+        self.machine_types
             .values()
             .flat_map(move |kind| zones_of(kind, only_zone))
             .filter(|(_, zone)| !self.delegations.is_partitioned(zone))
--- a/src/coordination/shard/autoscaler/plan.rs
+++ b/src/coordination/shard/autoscaler/plan.rs
@@ -9,6 +9,8 @@
 use super::demand::{Demand, OfferFilter};
 use super::machine_kind::MachineKind;
 use super::offer::{MachineCounts, Offer};
+use super::reserved_quota::teams_with_work;
+use super::view::AutoscalerView;
 use crate::coordination::shard::Shard;
 use crate::protocol::JobId;
 
@@ -112,9 +114,69 @@
     /// Compares the demand with the capacity, and scales the machines out and in.
     pub(super) fn plan(&mut self, now: Instant) {
         self.update_overdue_boots(now);
-        let capacities = self.capacities(now);
-        self.record_reachable_cores(&capacities);
-        let demands = self.demands(&capacities, now);
+        let capacities = self.autoscaler_view().capacities(now);
+        self.record_low_cost_cores(&capacities);
+        self.record_teams_with_work(now);
+        let view = self.autoscaler_view();
+        let demands = view.demands(&capacities, self.wall_ms(now), now);
+        let plan = view.make_plan(demands.demands, capacities, now);
+        self.mark_accepting_extra_cost(&demands.accepting_extra_cost);
+        self.carry_out(plan, now);
+    }
+
+    fn update_overdue_boots(&mut self, now: Instant) {
+        let unreachable_zones = self.unreachable_zones(now);
+        let view = self.autoscaler_view();
+        let overdue = view.overdue_boots(&unreachable_zones, now);
+        self.autoscaler.boot_times.update_overdue(&overdue, now);
+    }
+
+    fn record_low_cost_cores(&mut self, capacities: &[Capacity]) {
+        let cores = self
+            .autoscaler_view()
+            .low_cost_cores_by_priority(capacities);
+        for (priority, cores) in cores {
+            self.autoscaler.record_reachable_cores(priority, cores);
+        }
+    }
+
+    fn record_teams_with_work(&mut self, now: Instant) {
+        for team in teams_with_work(&self.jobs) {
+            self.autoscaler.record_work(team, now);
+        }
+    }
+
+    /// Marks the jobs that cannot wait for low-cost machines alone.
+    fn mark_accepting_extra_cost(&mut self, accepting_extra_cost: &[JobId]) {
+        for job in self.jobs.values_mut() {
+            job.accepts_extra_cost = false;
+        }
+        for id in accepting_extra_cost {
+            if let Some(job) = self.jobs.get_mut(id) {
+                job.accepts_extra_cost = true;
+            }
+        }
+    }
+
+    /// Rents and deletes machines, and moves services, as the plan says.
+    fn carry_out(&mut self, plan: Plan, now: Instant) {
+        let growing =
+            plan.rents_on_demand() || self.autoscaler.rentals.iter().any(|rental| !rental.spot);
+        self.undrain_used(&plan.capacities);
+        // The tasks on unreconciled machines are in no plan.
+        if self.unreconciled.is_empty() {
+            self.consolidate(&plan.capacities, !growing, now);
+        }
+        for (kind, count) in plan.rentals {
+            self.request_machines(kind, count);
+        }
+        self.delete_unneeded_machines(&plan.capacities, now);
+    }
+}
+
+impl AutoscalerView<'_> {
+    /// Reserves capacity for the demands in turn, on new machines where there is none.
+    fn make_plan(&self, demands: Vec<Demand>, capacities: Vec<Capacity>, now: Instant) -> Plan {
         let mut plan = Plan {
             capacities,
             machine_counts: self.machine_counts(),
@@ -131,7 +193,7 @@
             *following -= demand.count;
             self.plan_for(&demand, *following, &mut plan, now);
         }
-        self.carry_out(plan, now);
+        plan
     }
 
     /// Reserves capacity for a demand, on new machines if need be; `following` more tasks of
@@ -178,21 +240,6 @@
         slack.max(soonest)
     }
 
-    /// Rents and deletes machines, and moves services, as the plan says.
-    fn carry_out(&mut self, plan: Plan, now: Instant) {
-        let growing =
-            plan.rents_on_demand() || self.autoscaler.rentals.iter().any(|rental| !rental.spot);
-        self.undrain_used(&plan.capacities);
-        // The tasks on unreconciled machines are in no plan.
-        if self.unreconciled.is_empty() {
-            self.consolidate(&plan.capacities, !growing, now);
-        }
-        for (kind, count) in plan.rentals {
-            self.request_machines(kind, count);
-        }
-        self.delete_unneeded_machines(&plan.capacities, now);
-    }
-
     fn machine_counts(&self) -> MachineCounts {
         let mut machine_counts = MachineCounts::default();
         for machine in self.machines.values() {
@@ -219,7 +266,7 @@
     /// The zone in which tasks of a job bound to one zone may exist.
     pub(super) fn begun_zone(&self, id: &JobId) -> Option<Arc<str>> {
         let job = self.jobs.get(id).filter(|job| job.spec.one_zone)?;
-        self.tasks_by_zone(job).into_keys().next()
+        self.scheduler.tasks_by_zone(job).into_keys().next()
     }
 
     /// The zone of the best offer for a demand.
--- a/src/coordination/shard/autoscaler/reserved_quota.rs
+++ b/src/coordination/shard/autoscaler/reserved_quota.rs
@@ -1,37 +1,35 @@
 //! Reserved quota: capacity for what teams have a guaranteed quota of and do not use.
 
 use std::cmp::Reverse;
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Instant;
 
 use super::arrivals::ClassHistory;
 use super::demand::{Demand, OfferFilter};
-use crate::coordination::shard::Shard;
+use super::view::AutoscalerView;
+use crate::coordination::shard::Job;
 use crate::coordination::shard::scheduler::Usage;
+use crate::protocol::JobId;
 use crate::protocol::users::{JobKind, JobSpec};
 
 /// Most tasks for which one team's quota is reserved.
 const MAX_RESERVED_TASKS: f64 = 1e5;
 
-impl Shard {
-    /// Records which teams have unfinished jobs.
-    pub(super) fn record_work(&mut self, now: Instant) {
-        // A crash-looping job has no use for more capacity than one attempt takes.
-        let unfinished = self
-            .jobs
-            .values()
-            .filter(|job| job.final_stage.is_none() && !job.is_crash_looping());
-        let teams: BTreeSet<&str> = unfinished.map(|job| &*job.spec.team).collect();
-        for team in teams {
-            self.autoscaler.record_work(team, now);
-        }
-    }
+/// The teams that have unfinished jobs.
+pub(super) fn teams_with_work(jobs: &BTreeMap<JobId, Job>) -> BTreeSet<&str> {
+    // A crash-looping job has no use for more capacity than one attempt takes.
+    let unfinished = jobs
+        .values()
+        .filter(|job| job.final_stage.is_none() && !job.is_crash_looping());
+    unfinished.map(|job| &*job.spec.team).collect()
+}
 
+impl AutoscalerView<'_> {
     /// Whether a team has work, or had some recently. A new leader does not know of jobs that
     /// ended before its term, so the start of the term counts as work.
     fn had_work_recently(&self, team: &str, now: Instant) -> bool {
-        let last = self.autoscaler.last_work(team).unwrap_or(self.acquired);
+        let last = self.autoscaler.last_work(team).unwrap_or(self.term_began);
         now.saturating_duration_since(last) <= self.policy.quota_hold
     }
 
--- a/src/coordination/shard/autoscaler/scale_in.rs
+++ b/src/coordination/shard/autoscaler/scale_in.rs
@@ -7,6 +7,7 @@
 use super::boot_times::BootPool;
 use super::capacity::Capacity;
 use super::machine_kind::{CLOUD_RETRY, MINIMUM_BILLED, MachineKind, usual_boot};
+use super::view::AutoscalerView;
 use crate::coordination::shard::{Action, Machine, Shard};
 use crate::protocol::MachineId;
 
@@ -139,10 +140,53 @@
         self.deleted_machines.insert(id.clone(), now);
     }
 
+    /// Deletes the machines that are empty and in no plan, and those that never booted.
+    pub(super) fn delete_unneeded_machines(&mut self, capacities: &[Capacity], now: Instant) {
+        let unneeded = self.autoscaler_view().unneeded_machines(capacities, now);
+        for machine in &unneeded {
+            if machine.reason == DeletionReason::NeverBooted {
+                let boot_times = &mut self.autoscaler.boot_times;
+                boot_times.record_abandoned(&machine.pool, now);
+            }
+        }
+        for machine in unneeded {
+            self.begin_deletion(&machine.id, now, machine.reason);
+        }
+    }
+}
+
+/// A machine that is to be deleted.
+struct UnneededMachine {
+    id: MachineId,
+    pool: BootPool,
+    reason: DeletionReason,
+}
+
+impl AutoscalerView<'_> {
+    /// The machines that are empty and in no plan, and those that never booted.
+    fn unneeded_machines(&self, capacities: &[Capacity], now: Instant) -> Vec<UnneededMachine> {
+        let unused: HashSet<&MachineId> = capacities
+            .iter()
+            .filter(|capacity| !capacity.used)
+            .filter_map(|capacity| capacity.machine.as_ref())
+            .collect();
+        let machines = self.machines.values().filter(|m| !m.deleting);
+        machines
+            .filter_map(|machine| {
+                let unused = unused.contains(&machine.id);
+                Some(UnneededMachine {
+                    id: machine.id.clone(),
+                    pool: BootPool::from(machine),
+                    reason: self.why_unneeded(machine, unused, now)?,
+                })
+            })
+            .collect()
+    }
+
     /// How long to wait for a machine that has not booted. Where none boots in time, deleting
     /// all of them would only start the wait again.
     fn boot_wait(&self, machine: &Machine, now: Instant) -> Duration {
-        let Some(kind) = self.types.get(&*machine.machine_type) else {
+        let Some(kind) = self.machine_types.get(&*machine.machine_type) else {
             return UNKNOWN_TYPE_BOOT_WAIT;
         };
         let factor = self.boot_wait_factor(machine, now);
@@ -150,32 +194,6 @@
         wait.mul_f64(factor).min(MAX_BOOT_WAIT.max(wait))
     }
 
-    /// Deletes the machines that are empty and in no plan, and those that never booted.
-    pub(super) fn delete_unneeded_machines(&mut self, capacities: &[Capacity], now: Instant) {
-        let unused: HashSet<&MachineId> = capacities
-            .iter()
-            .filter(|capacity| !capacity.used)
-            .filter_map(|capacity| capacity.machine.as_ref())
-            .collect();
-        let mut unneeded: Vec<(MachineId, DeletionReason)> = Vec::new();
-        let mut abandoned: Vec<BootPool> = Vec::new();
-        for machine in self.machines.values().filter(|m| !m.deleting) {
-            let Some(reason) = self.why_unneeded(machine, unused.contains(&machine.id), now) else {
-                continue;
-            };
-            if reason == DeletionReason::NeverBooted {
-                abandoned.push(BootPool::from(machine));
-            }
-            unneeded.push((machine.id.clone(), reason));
-        }
-        for pool in abandoned {
-            self.autoscaler.boot_times.record_abandoned(&pool, now);
-        }
-        for (id, reason) in unneeded {
-            self.begin_deletion(&id, now, reason);
-        }
-    }
-
     /// Why a machine is to be deleted; None if it is not. `unused` says that the plan leaves
     /// it unused.
     fn why_unneeded(
@@ -201,7 +219,7 @@
             .idle_since
             .is_some_and(|since| now.saturating_duration_since(since) >= self.policy.idle);
         let not_needed =
-            idle && self.unreconciled.is_empty() && unused && age + DELETION_LEAD > MINIMUM_BILLED;
+            idle && self.all_reconciled && unused && age + DELETION_LEAD > MINIMUM_BILLED;
         not_needed.then_some(DeletionReason::NotNeeded)
     }
 }
--- a/src/coordination/shard/autoscaler/service_moves.rs
+++ b/src/coordination/shard/autoscaler/service_moves.rs
@@ -7,6 +7,8 @@
 use std::time::Duration;
 
 use super::capacity::Capacity;
+use super::release::hosts_services;
+use super::view::AutoscalerView;
 use crate::coordination::shard::machines::Resources;
 use crate::coordination::shard::scheduler::allowed;
 use crate::coordination::shard::{Attempt, Job, Machine, Phase, Shard};
@@ -59,7 +61,9 @@
             self.needs_pass = true;
         }
     }
+}
 
+impl<'a> AutoscalerView<'a> {
     /// The next service of each machine being drained that fits on another machine with its
     /// image; none while services wait, and at most so many at once.
     pub(super) fn next_moves(
@@ -93,25 +97,23 @@
     }
 
     /// The machines with what is free on them now.
-    fn move_targets(&self, capacities: &[Capacity]) -> Vec<ServiceHost<'_>> {
+    fn move_targets(&self, capacities: &[Capacity]) -> Vec<ServiceHost<'a>> {
         capacities
             .iter()
             .filter(|capacity| capacity.is_up())
             .filter_map(|capacity| {
                 let machine = self.machines.get(capacity.machine.as_ref()?)?;
-                let kind = self.types.get(&*machine.machine_type)?;
+                let kind = self.machine_types.get(&*machine.machine_type)?;
                 let free = machine.free(kind);
                 (!machine.draining).then_some(ServiceHost { machine, free })
             })
             .collect()
     }
 
-    /// Moves a service of one task to the main zone, where a controller reaches it whatever
+    /// A service of one task that can move to the main zone, where a controller reaches it whatever
     /// zones are partitioned, if a machine with its image has capacity there. One at a time.
-    pub(super) fn move_one_to_main_zone(&mut self, capacities: &[Capacity]) {
-        let Some(main_zone) = &self.main_zone else {
-            return;
-        };
+    pub(super) fn next_move_to_main_zone(&self, capacities: &[Capacity]) -> Option<ServiceMove> {
+        let main_zone = self.main_zone?;
         let starts_or_stops =
             |s: LiveService| s.attempt.stop().is_some() || s.attempt.phase != Phase::Running;
         if self
@@ -119,16 +121,12 @@
             .values()
             .any(|machine| live_services(machine).any(starts_or_stops))
         {
-            return;
+            return None;
         }
-        let next = self
-            .machines
+        self.machines
             .values()
-            .filter(|m| *m.zone != **main_zone && m.token_acknowledged && !m.deleting)
-            .find_map(|machine| self.move_to_zone(machine, main_zone, capacities));
-        if let Some(next) = next {
-            self.stop_service(&next);
-        }
+            .filter(|m| *m.zone != *main_zone && m.token_acknowledged && !m.deleting)
+            .find_map(|machine| self.move_to_zone(machine, main_zone, capacities))
     }
 
     /// A service of one task on a machine that fits on another machine in a zone.
@@ -168,7 +166,7 @@
         if machine.load.unknown > 0 {
             return None;
         }
-        let mut free = Resources::of_machine_type(self.types.get(&*machine.machine_type)?);
+        let mut free = Resources::of_machine_type(self.machine_types.get(&*machine.machine_type)?);
         for (spec, count) in machine.load.services() {
             for _ in 0..*count {
                 free.subtract_task(spec);
@@ -209,7 +207,7 @@
 
     /// The machines with services that are not being drained, those with the fewest cores
     /// beside services first.
-    fn hosts_by_free_cores(&self) -> Vec<ServiceHost<'_>> {
+    fn hosts_by_free_cores(&self) -> Vec<ServiceHost<'a>> {
         let mut hosts: Vec<ServiceHost> = self
             .machines
             .values()
@@ -251,8 +249,3 @@
         })
         .filter(|service| service.spec.kind == JobKind::Service)
 }
-
-/// Whether some service may exist on a machine.
-pub(in crate::coordination::shard) fn hosts_services(machine: &Machine) -> bool {
-    machine.load.services().next().is_some()
-}
--- a/src/coordination/shard/autoscaler/slack.rs
+++ b/src/coordination/shard/autoscaler/slack.rs
@@ -5,7 +5,8 @@
 
 use std::time::Duration;
 
-use crate::coordination::shard::{Job, Shard};
+use super::view::AutoscalerView;
+use crate::coordination::shard::Job;
 use crate::protocol::users::{JobKind, JobSpec, Priority};
 
 /// Factor by which run times are often underestimated.
@@ -24,7 +25,7 @@
 /// The same for best-effort work, which uses what capacity there is and rarely pays for more.
 const UNTIMED_BEST_EFFORT_START: Duration = Duration::from_secs(3600);
 
-impl Shard {
+impl AutoscalerView<'_> {
     /// Seconds until a job's waiting tasks should start on a machine rented now; None if
     /// nothing says so.
     pub(super) fn start_slack(&self, job: &Job, wall: u64) -> Option<f64> {
@@ -75,7 +76,9 @@
     fn deadline_slack(&self, job: &Job, age: f64, run: f64, wall: u64) -> Option<f64> {
         job.spec.deadline_s?;
         let soonest = Duration::from_secs_f64(job.spec.duration_s);
-        let due = self.next_due(job, wall + soonest.as_millis() as u64)?;
+        let due = self
+            .scheduler
+            .next_due(job, wall + soonest.as_millis() as u64)?;
         let left = due.saturating_sub(job.at_ms) as f64 / 1e3 - age;
         Some(left - run - self.fastest_boot().as_secs_f64())
     }
--- a/src/coordination/shard/autoscaler/urgency.rs
+++ b/src/coordination/shard/autoscaler/urgency.rs
@@ -9,8 +9,8 @@
 use super::capacity::{Capacity, reachable_cores};
 use super::demand::Queue;
 use super::slack::{estimated_run_s, has_begun, untimed_slack};
-use crate::coordination::shard::{Job, Shard};
-use crate::protocol::JobId;
+use super::view::AutoscalerView;
+use crate::coordination::shard::Job;
 use crate::protocol::users::JobKind;
 
 /// Work with less time than this to its latest start, in seconds, does not wait for spot
@@ -29,7 +29,7 @@
     pub accepts_extra_cost: bool,
 }
 
-impl Shard {
+impl AutoscalerView<'_> {
     /// How urgent a job's waiting tasks are; `queue` is that up to and with them.
     pub(super) fn urgency(
         &self,
@@ -109,18 +109,6 @@
             (f64::from(waiting) * late).ceil() as u32
         }
     }
-
-    /// Marks the jobs that cannot wait for low-cost machines alone.
-    pub(super) fn mark_accepting_extra_cost(&mut self, accepting_extra_cost: &[JobId]) {
-        for job in self.jobs.values_mut() {
-            job.accepts_extra_cost = false;
-        }
-        for id in accepting_extra_cost {
-            if let Some(job) = self.jobs.get_mut(id) {
-                job.accepts_extra_cost = true;
-            }
-        }
-    }
 }
 
 /// The urgent tasks of a job for which nothing states when it should start. A temporary lack
--- a/src/coordination/shard/scheduler/candidates.rs
+++ b/src/coordination/shard/scheduler/candidates.rs
@@ -6,6 +6,7 @@
 
 use super::quota::Usage;
 use super::view::SchedulerView;
+use crate::coordination::shard::autoscaler::{costs_extra, releasable};
 use crate::coordination::shard::machines::Resources;
 use crate::coordination::shard::{Job, Machine, Shard};
 use crate::protocol::MachineId;
@@ -171,7 +172,7 @@
 impl Shard {
     /// The machines that accept new tasks now.
     pub(super) fn candidates(&self, now: Instant) -> Vec<Candidate> {
-        let reserved = self.reserved_for_moves();
+        let reserved = self.autoscaler_view().reserved_for_moves();
         self.machines
             .values()
             .filter(|machine| machine.open(now, &self.policy))
@@ -182,8 +183,8 @@
                     machine_type: machine.machine_type.clone(),
                     zone: machine.zone.clone(),
                     spot: machine.spot,
-                    releasable: self.releasable(machine),
-                    costs_extra: self.costs_extra(machine, now),
+                    releasable: releasable(machine, &self.policy),
+                    costs_extra: costs_extra(machine, &self.policy, now),
                     free: machine.free(machine_type),
                     reserved_for_services: reserved.get(&machine.id).copied().unwrap_or_default(),
                     reserved: false,
--- a/src/coordination/shard/scheduler/mod.rs
+++ b/src/coordination/shard/scheduler/mod.rs
@@ -23,14 +23,13 @@
 mod view;
 mod zones;
 
-use std::collections::BTreeMap;
-use std::sync::Arc;
 use std::time::Instant;
 
 pub(super) use candidates::allowed;
 pub use gang::GangAttempt;
 pub(super) use queue::QueueKey;
 pub(super) use quota::Usage;
+pub(super) use view::SchedulerView;
 
 use super::{Attempt, Job, Phase, Shard};
 use crate::protocol::users::JobSpec;
@@ -72,7 +71,7 @@
             return;
         }
         self.machines.refresh();
-        let mut pass = SchedulingPass::new(self.candidates(now), self.usage());
+        let mut pass = SchedulingPass::new(self.candidates(now), self.scheduler_view().usage());
         let wall_ms = self.wall_ms(now);
         self.serve_starving_jobs(&mut pass, wall_ms, now);
         let mut progress = PassProgress::default();
@@ -202,31 +201,22 @@
     }
 }
 
-/// What the autoscaler asks of the scheduler.
-impl Shard {
-    /// What the teams use, summed over all machines.
-    pub(super) fn usage(&self) -> Usage {
-        self.scheduler_view().usage()
-    }
-
+/// What the autoscaler asks of the scheduler, besides [`SchedulerView::usage`] and
+/// [`SchedulerView::tasks_by_zone`].
+impl SchedulerView<'_> {
     /// Whether one more task of a job stays within its team's quota limit.
     pub(super) fn within_quota_limit(&self, usage: &Usage, spec: &JobSpec) -> bool {
-        usage.within_limit(&self.policy, spec)
+        usage.within_limit(self.policy, spec)
     }
 
     /// A job's place among those of its priority.
     pub(super) fn queue_key(&self, job: &Job, wall_ms: u64) -> QueueKey {
-        QueueKey::of(job, &self.policy, wall_ms)
+        QueueKey::of(job, self.policy, wall_ms)
     }
 
     /// The first due time of a job at or after `from_ms`; see [`queue::next_due`].
     pub(super) fn next_due(&self, job: &Job, from_ms: u64) -> Option<u64> {
-        queue::next_due(job, &self.policy, from_ms)
-    }
-
-    /// How many tasks of a job with a zone rule may exist in each zone.
-    pub(super) fn tasks_by_zone(&self, job: &Job) -> BTreeMap<Arc<str>, u32> {
-        self.scheduler_view().tasks_by_zone(job)
+        queue::next_due(job, self.policy, from_ms)
     }
 }
 
--- a/src/coordination/shard/scheduler/quota.rs
+++ b/src/coordination/shard/scheduler/quota.rs
@@ -107,7 +107,7 @@
 
 impl SchedulerView<'_> {
     /// What the teams use, summed over all machines.
-    pub(super) fn usage(&self) -> Usage {
+    pub(in crate::coordination::shard) fn usage(&self) -> Usage {
         let mut usage = Usage::default();
         for machine in self.machines.values() {
             let unreconciled = self.is_unreconciled(machine);
--- a/src/coordination/shard/scheduler/view.rs
+++ b/src/coordination/shard/scheduler/view.rs
@@ -15,7 +15,7 @@
 ///
 /// [`SchedulingPass`]: super::candidates::SchedulingPass
 #[derive(Clone, Copy)]
-pub(super) struct SchedulerView<'a> {
+pub(in crate::coordination::shard) struct SchedulerView<'a> {
     pub(super) policy: &'a Policy,
     pub(super) machines: &'a Machines,
     pub(super) machine_types: &'a BTreeMap<String, Arc<MachineType>>,
@@ -28,7 +28,7 @@
 }
 
 impl Shard {
-    pub(super) fn scheduler_view(&self) -> SchedulerView<'_> {
+    pub(in crate::coordination::shard) fn scheduler_view(&self) -> SchedulerView<'_> {
         SchedulerView {
             policy: &self.policy,
             machines: &self.machines,
--- a/src/coordination/shard/scheduler/zones.rs
+++ b/src/coordination/shard/scheduler/zones.rs
@@ -77,7 +77,10 @@
     }
 
     /// How many tasks of a job with a zone rule may exist in each zone.
-    pub(super) fn tasks_by_zone(&self, job: &Job) -> BTreeMap<Arc<str>, u32> {
+    pub(in crate::coordination::shard) fn tasks_by_zone(
+        &self,
+        job: &Job,
+    ) -> BTreeMap<Arc<str>, u32> {
         let mut zones = BTreeMap::new();
         if job.spec.one_zone || job.spec.scatter {
             for machine in job.live().values().filter_map(|id| self.machines.get(id)) {
--- a/src/coordination/shard/tests/autoscaling.rs
+++ b/src/coordination/shard/tests/autoscaling.rs
@@ -28,7 +28,10 @@
     let mut script = ScriptedShard::without_quotas();
     script.submit("run-0", spec("red", 1.0, 50));
     assert_eq!(
-        script.shard.foreseen_service_cores(script.now),
+        script
+            .shard
+            .autoscaler_view()
+            .foreseen_service_cores(script.now),
         0.0,
         "batch work"
     );
@@ -42,9 +45,17 @@
         script.advance(Duration::from_secs(10));
     }
     // A task each 5 s, for the 20 s that a slow boot takes, and the root of that.
-    let to_come = script.shard.foreseen_service_cores(script.now);
+    let to_come = script
+        .shard
+        .autoscaler_view()
+        .foreseen_service_cores(script.now);
     assert!((4.0..8.0).contains(&to_come), "{to_come}");
     let held = ScriptedShard::empty();
     assert!(held.shard.policy.holds_capacity());
-    assert_eq!(held.shard.foreseen_service_cores(held.now), 0.0);
+    assert_eq!(
+        held.shard
+            .autoscaler_view()
+            .foreseen_service_cores(held.now),
+        0.0
+    );
 }
--- a/src/coordination/shard/tests/deadlines.rs
+++ b/src/coordination/shard/tests/deadlines.rs
@@ -19,7 +19,7 @@
     };
     script.submit("run-1", job);
     let job = &script.shard.jobs()["run-1"];
-    let due = |wall| script.shard.next_due(job, wall);
+    let due = |wall| script.shard.scheduler_view().next_due(job, wall);
     assert_eq!(due(1_000), Some(60_000));
     assert_eq!(due(60_001), Some(90_000));
     assert_eq!(due(90_001), Some(250_000));
