--- a/tests/trial/support/cluster.rs
+++ b/tests/trial/support/cluster.rs
@@ -1,9 +1,12 @@
 //! Three controllers as processes, against the simulated cloud and key-value store, and a
 //! client of their user API.
 
-use std::net::{SocketAddr, TcpListener};
+use std::collections::BTreeSet;
+use std::fs::File;
+use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::PathBuf;
-use std::process::{Child, Command, Stdio};
+use std::process::{Child, Command};
+use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
 use hyper::Method;
@@ -18,6 +21,8 @@
 const PATIENCE: Duration = Duration::from_secs(60);
 /// The pause between two tries of a request.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Lines of a controller's log that a failed test shows.
+const LOG_LINES_SHOWN: usize = 30;
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 const WORKER_LEASE_S: f64 = 10.0;
 const CLOCK_SKEW_MS: f64 = 10.0;
@@ -41,10 +46,15 @@
         let file = format!("{}.json", settings.node_id);
         let path: PathBuf = [env!("CARGO_TARGET_TMPDIR"), &file].iter().collect();
         std::fs::write(&path, settings.to_json().to_string()).expect("a settings file");
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(log_path(&settings.node_id))
+            .expect("a log file");
         let process = Command::new(env!("CARGO_BIN_EXE_valegap"))
             .arg("--config")
             .arg(&path)
-            .stderr(Stdio::null())
+            .stderr(log)
             .spawn()
             .expect("the program starts");
         Self { settings, process }
@@ -66,14 +76,17 @@
     /// this long.
     pub async fn start_on(store: KvStore, name: &str, worker_lease_s: f64) -> Self {
         let node_ids = [0, 1, 2].map(|n| format!("{name}{n}"));
-        let fronts = [0, 1, 2].map(|_| free_addr());
+        let fronts = [0, 1, 2].map(|_| unused_address());
         let peers: Vec<Peer> = node_ids
             .iter()
             .map(|node_id| Peer {
                 node_id: node_id.clone(),
-                internal: free_addr(),
+                internal: unused_address(),
             })
             .collect();
+        for node_id in &node_ids {
+            let _ = std::fs::remove_file(log_path(node_id));
+        }
         let kv = support::serve(support::kv::routes(store)).await;
         let named = node_ids.iter().cloned().zip(fronts);
         let cloud = support::serve(support::cloud::router(named.collect())).await;
@@ -189,7 +202,10 @@
             tokio::time::sleep(RETRY_INTERVAL).await;
         }
         let node_id = &self.controllers[at].settings.node_id;
-        panic!("{path} at {node_id}: last answer {last:?}");
+        panic!(
+            "{path} at {node_id}: last answer {last:?}; its log ends with:\n{}",
+            last_log_lines(node_id)
+        );
     }
 
     /// Waits until a controller is ready to serve.
@@ -224,9 +240,33 @@
     }
 }
 
-fn free_addr() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    listener.local_addr().expect("an address")
+/// Ports that the system gives to no outgoing connection: another test's connection could take
+/// a port of the usual range between this choice and the start, or restart, of the process.
+const PORTS: std::ops::Range<u16> = 10_000..30_000;
+
+/// An address on which nothing listens. Each is handed out once in this run.
+fn unused_address() -> SocketAddr {
+    static HANDED_OUT: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
+    let mut handed_out = HANDED_OUT.lock().expect("ports");
+    loop {
+        let address = SocketAddr::from((Ipv4Addr::LOCALHOST, rand::random_range(PORTS)));
+        if handed_out.insert(address.port()) && TcpListener::bind(address).is_ok() {
+            return address;
+        }
+    }
+}
+
+/// The end of a controller's log.
+fn last_log_lines(node_id: &str) -> String {
+    let log = std::fs::read_to_string(log_path(node_id)).unwrap_or_default();
+    let lines: Vec<&str> = log.lines().collect();
+    lines[lines.len().saturating_sub(LOG_LINES_SHOWN)..].join("\n")
+}
+
+fn log_path(node_id: &str) -> PathBuf {
+    [env!("CARGO_TARGET_TMPDIR"), &format!("{node_id}.log")]
+        .iter()
+        .collect()
 }
 
 /// A submission of a job, as its user sends it.
