--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,18 +1,19 @@
-//! Time as the decision code sees it: a steady clock that tests can fake.
+//! The clock that every decision takes its time from: the system's, or one that tests advance.
 
-use std::sync::Mutex;
+use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A source of steady time.
+/// A source of time.
 pub trait Clock: Send + Sync {
-    /// The present moment of the steady clock.
+    /// The monotonic clock's time, for every interval and deadline.
     fn now(&self) -> Instant;
 
-    /// The time of day, in milliseconds since 1970.
+    /// The time of day, in milliseconds since 1970, for what is compared with other machines or
+    /// kept across restarts. It may jump.
     fn wall_ms(&self) -> u64;
 }
 
-/// The process's own steady clock.
+/// The operating system's clocks.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct SteadyClock;
 
@@ -28,19 +29,23 @@
     }
 }
 
-/// A clock that moves only when told to.
+/// A clock that moves only by [`FakeClock::advance`].
 #[derive(Debug)]
 pub struct FakeClock(Mutex<Instant>);
 
 impl FakeClock {
-    /// A clock standing at an arbitrary moment.
+    /// A clock that shows an arbitrary time.
     pub fn new() -> Self {
         Self(Mutex::new(Instant::now()))
     }
 
     /// Moves the clock forward.
     pub fn advance(&self, by: Duration) {
-        *self.0.lock().expect("clock lock") += by;
+        *self.time() += by;
+    }
+
+    fn time(&self) -> MutexGuard<'_, Instant> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -52,7 +57,7 @@
 
 impl Clock for FakeClock {
     fn now(&self) -> Instant {
-        *self.0.lock().expect("clock lock")
+        *self.time()
     }
 
     fn wall_ms(&self) -> u64 {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,8 +11,6 @@
 //! 6. [`api`]: the HTTP interfaces of users, workers, peers and operators;
 //! 7. [`server`] and [`cli`]: the process.
 
-#![warn(missing_docs)]
-
 pub mod api;
 pub mod cli;
 pub mod clock;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,3 +1,5 @@
+//! The controller's process; see [`valegap::cli`].
+
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/src/storage/kv_client/latencies.rs
+++ b/src/storage/kv_client/latencies.rs
@@ -27,9 +27,13 @@
 pub(super) struct LatencyHistogram(Mutex<Histogram<u64>>);
 
 impl LatencyHistogram {
+    #[expect(
+        clippy::expect_used,
+        reason = "the library refuses only bounds and digits out of its range, and these are constants"
+    )]
     pub(super) fn new() -> Self {
         let histogram = Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
-            .expect("the bounds are constants in the library's range");
+            .expect("constants in the library's range");
         Self(Mutex::new(histogram))
     }
 
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -1,5 +1,4 @@
-//! Logging to standard error, with the level taken from `LOG_LEVEL`, and what
-//! the processor's time goes into.
+//! Logging to standard error, and the processor time of each activity.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,7 +8,7 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// Installs the subscriber; an unknown or missing level means `info`.
+/// Installs the subscriber with the level of `LOG_LEVEL`; an unknown or missing one means `info`.
 pub fn init() {
     let level = std::env::var("LOG_LEVEL")
         .ok()
@@ -20,35 +19,42 @@
         .with_ansi(false)
         .with_target(false)
         .without_time();
-    // Libraries speak only of what goes wrong.
+    // Of libraries, only warnings and errors are logged.
     let filter = Targets::new()
         .with_default(level.min(LevelFilter::WARN))
         .with_target(env!("CARGO_CRATE_NAME"), level);
-    // A second subscriber can only be installed by a test; the first one stays.
+    // Only tests call this twice in a process; the first subscriber stays.
     let _ = tracing_subscriber::registry()
         .with(lines)
         .with(filter)
         .try_init();
 }
 
-/// Time spent in each activity since the start.
+/// How often an activity took place, and its time altogether.
 #[derive(Debug, Default)]
-pub struct Activities(BTreeMap<&'static str, (u64, Duration)>);
+struct ActivityTotal {
+    count: u64,
+    time: Duration,
+}
+
+/// The totals of each activity since the start, for display to operators.
+#[derive(Debug, Default)]
+pub struct Activities(BTreeMap<&'static str, ActivityTotal>);
 
 impl Activities {
-    /// Notes that an activity took so long.
+    /// Adds one execution of an activity, which took so long.
     pub fn note(&mut self, activity: &'static str, took: Duration) {
-        let (count, total) = self.0.entry(activity).or_default();
-        *count += 1;
-        *total += took;
+        let total = self.0.entry(activity).or_default();
+        total.count += 1;
+        total.time += took;
     }
 }
 
 impl fmt::Display for Activities {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (at, (activity, (count, total))) in self.0.iter().enumerate() {
-            let comma = if at > 0 { ", " } else { "" };
-            let millis = total.as_millis();
+        for (index, (activity, ActivityTotal { count, time })) in self.0.iter().enumerate() {
+            let comma = if index > 0 { ", " } else { "" };
+            let millis = time.as_millis();
             write!(f, "{comma}{activity} {count} in {millis} ms")?;
         }
         Ok(())
--- a/tests/layers.rs
+++ b/tests/layers.rs
@@ -1,5 +1,7 @@
 //! The layers of the crate: each source file imports only its own layer and those below it.
 
+#![allow(clippy::expect_used, reason = "a panic is how a test fails")]
+
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
--- a/tests/trial/main.rs
+++ b/tests/trial/main.rs
@@ -1,6 +1,8 @@
 //! Real controllers on loopback, against a simulated cloud and key-value store: they accept,
 //! run and finish jobs, and survive restarts and kills.
 
+#![allow(clippy::expect_used, reason = "a panic is how a test fails")]
+
 mod late_transactions;
 mod nodes;
 mod older_controller;
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -5,6 +5,8 @@
 //! jobs ran: 5161cb0, which knows no gangs, and bee35ef, the version in production. The
 //! recordings were made by running these commits.
 
+#![allow(clippy::expect_used, reason = "a panic is how a test fails")]
+
 mod cluster;
 mod failover;
 mod frames;
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -1,6 +1,8 @@
 //! What the version in production writes and sends, recorded with that version:
 //! this one has to read it, and to write the same for it to read.
 
+#![allow(clippy::expect_used, reason = "a panic is how a test fails")]
+
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use valegap::protocol::FencingToken;
