--- a/src/coordination/shard/delegations/grants.rs
+++ b/src/coordination/shard/delegations/grants.rs
@@ -94,7 +94,8 @@
             .note_advance_renewals(AdvanceRenewals { known_at, last });
     }
 
-    /// What is known of renewals by advance delegations; none before the first word on them.
+    /// What is known of renewals by advance delegations; none until the peering code has
+    /// reported them.
     pub(in crate::coordination::shard) fn advance_renewals(
         &self,
         now: Instant,
--- a/src/coordination/shard/delegations/inventories.rs
+++ b/src/coordination/shard/delegations/inventories.rs
@@ -18,7 +18,7 @@
         self.others_may_renew_leases() && !self.unreconciled.is_empty()
     }
 
-    /// Applies a heartbeat that a worker sent to its delegate, perhaps a while ago. It tells
+    /// Applies a heartbeat that a worker sent to its delegate, perhaps a while ago. It shows
     /// what is on the machine, not that this leader can reach it.
     pub fn apply_relayed_heartbeat(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) {
         let id = heartbeat.machine.as_str();
--- a/src/coordination/shard/delegations/table.rs
+++ b/src/coordination/shard/delegations/table.rs
@@ -12,9 +12,9 @@
 /// The state of one delegation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Delegation {
-    /// The delegate may answer, from the moment its record's write is asked for.
+    /// The delegate may answer, from the moment the write of its record is queued.
     Granted,
-    /// The deletion of its record is asked for and not yet durable.
+    /// The deletion of its record is queued or in flight.
     Revoking,
     /// The deletion of its record was durable at this moment. The delegate may answer for
     /// [`DELEGATION_TIME`] after a read that came before.
@@ -41,16 +41,16 @@
 
 /// The delegations of this leader, and the zones in which advance delegations may be in use.
 ///
-/// Invariant: a delegate is listed for as long as it may answer workers, so while none is,
-/// every lease that the leader hasn't renewed runs out. `active_since` is set exactly while
-/// one is listed.
+/// Invariant: a delegate is listed for as long as it may answer workers. While none is, other
+/// controllers renew leases only by advance delegations. `active_since` is set exactly while
+/// a delegate is listed.
 #[derive(Debug, Default)]
 pub(in crate::coordination::shard) struct Delegations {
     /// By the delegate's node id.
     by_node: BTreeMap<String, Delegation>,
     /// Since when a delegate has been listed without a break.
     active_since: Option<Instant>,
-    /// None before the first word on them.
+    /// None until the peering code has reported them.
     advance_renewals: Option<AdvanceRenewals>,
     /// Zones all of whose controllers are unreachable: likely partitioned from the leader.
     partitioned_zones: BTreeSet<String>,
@@ -77,7 +77,7 @@
         self.by_node.insert(node_id.to_owned(), Delegation::Granted);
     }
 
-    /// The deletion of the delegation's record is asked for.
+    /// The deletion of the delegation's record is queued.
     pub fn begin_revocation(&mut self, node_id: &str) {
         if let Some(delegation) = self.by_node.get_mut(node_id) {
             *delegation = Delegation::Revoking;
@@ -122,7 +122,8 @@
         self.advance_renewals = Some(renewals);
     }
 
-    /// What is known of renewals by advance delegations; none before the first word on them.
+    /// What is known of renewals by advance delegations; none until the peering code has
+    /// reported them.
     pub fn advance_renewals(&self) -> Option<AdvanceRenewals> {
         self.advance_renewals
     }
--- a/src/coordination/shard/persistence/records.rs
+++ b/src/coordination/shard/persistence/records.rs
@@ -21,7 +21,7 @@
         self.put_roster_entry(id, record, WritePurpose::Admit(id.clone()));
     }
 
-    /// Records that a machine is to be deleted, before the cloud is asked to.
+    /// Records that a machine is to be deleted, before the deletion is requested from the cloud.
     pub(in crate::coordination::shard) fn record_deletion(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get(id) else {
             return;
@@ -41,7 +41,7 @@
         self.writes.remove_roster_entry(id);
     }
 
-    /// Records a rental before the cloud is asked for it, so that a failover repeats the
+    /// Records a rental before it is requested from the cloud, so that a failover repeats the
     /// same idempotent request.
     pub(in crate::coordination::shard) fn record_scale_out(&mut self, rental: &Rental) {
         let record = RentalRecord {
--- a/src/coordination/shard/persistence/shard_write.rs
+++ b/src/coordination/shard/persistence/shard_write.rs
@@ -17,7 +17,7 @@
     RecordScaleOut(Rental),
     /// Nothing: the request with this id needs no record any more.
     ClearScaleOut(String),
-    /// Nothing: the delegate counts as such from the moment the write is asked for.
+    /// Nothing: the delegation counts from the moment its write is queued.
     Delegate,
     /// The delegation to this node ends within the time for which delegates act on a read.
     RevokeDelegation(String),
--- a/src/coordination/shard/persistence/snapshot_rounds.rs
+++ b/src/coordination/shard/persistence/snapshot_rounds.rs
@@ -9,7 +9,7 @@
 use crate::protocol::kv::Mutation;
 use crate::protocol::{AttemptId, MachineId};
 
-/// A completed attempt that its worker may forget once a snapshot holds the completion.
+/// A completed attempt that its worker may clear once a snapshot holds the completion.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct CompletedAttempt {
     pub machine: MachineId,
--- a/src/coordination/shard/persistence/snapshots.rs
+++ b/src/coordination/shard/persistence/snapshots.rs
@@ -1,4 +1,4 @@
-//! What the shard's snapshot holds, and what its workers may forget once it is stored.
+//! What the shard's snapshot holds, and what its workers may clear once it is stored.
 
 use std::time::Instant;
 
@@ -49,7 +49,7 @@
         bytes as f64 <= writable_bytes
     }
 
-    /// The completed attempts that their workers may not forget yet.
+    /// The completed attempts that their workers may not clear yet.
     fn unrecorded_completions(&self) -> Vec<CompletedAttempt> {
         let mut completed = Vec::new();
         for machine in self.machines.values() {
@@ -65,7 +65,7 @@
         completed
     }
 
-    /// Lets workers forget attempts whose completion is durable.
+    /// Lets workers clear attempts whose completion is durable.
     pub(super) fn allow_clearing(&mut self, completed: &[CompletedAttempt]) {
         for CompletedAttempt { machine, attempt } in completed {
             let machine = self.machines.get_mut(machine);
