--- a/src/coordination/shard/tests/autoscaling.rs
+++ b/src/coordination/shard/tests/autoscaling.rs
@@ -21,7 +21,7 @@
     assert!(script.rentals().contains(&first));
 }
 
-/// Found in simulated days without faults: machines were drained until the others were full of
+/// Found in runs without faults: machines were drained until the others were full of
 /// services, and each service that came then waited for a machine to boot.
 #[test]
 fn drain_leaves_capacity_for_expected_services() {
--- a/src/coordination/shard/tests/combined_faults.rs
+++ b/src/coordination/shard/tests/combined_faults.rs
@@ -177,8 +177,8 @@
     assert_eq!(stops(&commands), 1);
 }
 
-/// A heartbeat arrives when a new leader has already acted: it lists a past state, even under the new
-/// fencing token, and neither frees nor revives a task.
+/// A heartbeat arrives when a new leader has already acted: it lists a past state, even under the
+/// new fencing token, and neither frees nor revives a task.
 #[test]
 fn a_heartbeat_delayed_past_a_failover_changes_nothing() {
     let mut script = ScriptedShard::new(recovered_job(1, &["vm-1"]));
@@ -195,8 +195,9 @@
     }
 }
 
-/// The tasks of a job end far apart, with a failover in between: a completion that the earlier leader
-/// has recorded is not run again, and one that it has not recorded is still listed by the worker.
+/// The tasks of a job end far apart, with a failover in between: a completion that the earlier
+/// leader has recorded is not run again, and one that it has not recorded is still listed by the
+/// worker.
 #[test]
 fn tasks_that_end_far_apart_are_each_counted_once_across_a_failover() {
     let mut script = ScriptedShard::empty();
@@ -243,8 +244,9 @@
     assert!(next.shard.jobs()["run-1"].all_done());
 }
 
-/// The leader crashes while a machine with a long task is unreachable, and the new leader receives
-/// only its heartbeats: the task is not started twice, and it is restarted once its agent epoch ends.
+/// The leader crashes while a machine with a long task is unreachable, and the new leader
+/// receives only its heartbeats: the task is not started twice, and it is restarted once its
+/// agent epoch ends.
 #[test]
 fn a_long_task_behind_a_partition_is_neither_duplicated_nor_lost() {
     let mut script = ScriptedShard::new(recovered_job(1, &["vm-1"]));
--- a/src/coordination/shard/tests/delegations.rs
+++ b/src/coordination/shard/tests/delegations.rs
@@ -12,7 +12,7 @@
 use crate::protocol::TaskId;
 use crate::protocol::workers::{AttemptOutcome, Command};
 
-/// Found in a large deployment: a network partition between zones ended half of all replicas.
+/// Found in a full-size run: a network partition between zones ended half of all replicas.
 #[test]
 fn a_lease_does_not_expire_while_a_delegate_may_renew_it() {
     let mut script = ScriptedShard::empty();
--- a/src/coordination/shard/tests/failing_jobs.rs
+++ b/src/coordination/shard/tests/failing_jobs.rs
@@ -52,8 +52,8 @@
     script.heartbeat_of(id, TOKEN, tasks)
 }
 
-/// Lets a second pass in which all commands are executed and every machine sends a heartbeat; returns
-/// the number of launches.
+/// Lets a second pass in which all commands are executed and every machine sends a heartbeat;
+/// returns the number of launches.
 fn run_one_second(script: &mut ScriptedShard, machines: &[&str], behavior: &TaskBehavior) -> usize {
     let mut launched = 0;
     for batch in script.batches() {
@@ -79,8 +79,8 @@
     }
 }
 
-/// Found in review: a machine was cordoned once any two jobs had failed on it, and failures of a job
-/// counted until it had failed on three machines.
+/// Found in review: a machine was cordoned once any two jobs had failed on it, and failures of a
+/// job counted until it had failed on three machines.
 #[test]
 fn jobs_that_fail_everywhere_cordon_no_machine() {
     let mut script = cluster(&MACHINES);
@@ -252,8 +252,8 @@
     assert!(!script.shard.jobs().contains_key("run-9"));
 }
 
-/// The failure counts of an earlier leader are lost with it: the next one counts anew, and no task is
-/// lost.
+/// The failure counts of an earlier leader are lost with it: the next one counts anew, and no
+/// task is lost.
 #[test]
 fn a_job_that_fails_everywhere_survives_a_failover() {
     let mut script = ScriptedShard::new(RecoveredState {
--- a/src/coordination/shard/tests/failover.rs
+++ b/src/coordination/shard/tests/failover.rs
@@ -67,7 +67,7 @@
     assert_eq!(script.launches().len(), 1);
 }
 
-/// Found in a large deployment: a machine rented just before its leader crashed held up all
+/// Found in a full-size run: a machine rented just before its leader crashed held up all
 /// work of old jobs for nine seconds.
 #[test]
 fn the_last_unreconciled_machine_is_deleted_soon() {
@@ -95,7 +95,7 @@
     assert!(!script.machine("vm-20").deleting);
 }
 
-/// Found in a large deployment: after a failover during a network partition, hundreds of
+/// Found in a full-size run: after a failover during a network partition, hundreds of
 /// machines were deleted as idle before their work was reconciled.
 #[test]
 fn no_idle_machine_is_deleted_while_machines_are_unreconciled() {
--- a/src/coordination/shard/tests/gangs/faults.rs
+++ b/src/coordination/shard/tests/gangs/faults.rs
@@ -146,7 +146,8 @@
 }
 
 /// A machine hangs with one task of a running gang. The other task notices and exits; the hanging
-/// one may continue at any moment, so that no attempt starts beside it. When it does, it is stopped.
+/// one may continue at any moment, so that no attempt starts beside it. When it does, it is
+/// stopped.
 #[test]
 fn a_gang_with_a_task_on_a_hanging_machine_is_not_restarted_beside_it() {
     let mut script = ScriptedShard::empty();
--- a/src/coordination/shard/tests/gangs/placement.rs
+++ b/src/coordination/shard/tests/gangs/placement.rs
@@ -165,7 +165,7 @@
     );
 }
 
-/// Found in a simulated day with a failover: machines that still needed 40 s to boot counted as
+/// Found in a run with a failover: machines that still needed 40 s to boot counted as
 /// capacity for gangs that had to start in 12 s, so that none was rented that boots in 15 s.
 #[test]
 fn a_gang_does_not_wait_for_a_machine_that_boots_too_late() {
--- a/src/coordination/shard/tests/health.rs
+++ b/src/coordination/shard/tests/health.rs
@@ -87,7 +87,7 @@
     assert!(!script.machine(&quick.machine).health.is_cordoned());
 }
 
-/// Found by the simulation: tasks that an earlier leader had started seemed to have run for a
+/// Found by fault injection: tasks that an earlier leader had started seemed to have run for a
 /// moment only, and sound machines appeared slow beside them.
 #[test]
 fn tasks_of_an_earlier_leader_are_no_measure_of_run_times() {
--- a/src/coordination/shard/tests/leader_pause.rs
+++ b/src/coordination/shard/tests/leader_pause.rs
@@ -52,8 +52,8 @@
     }
 }
 
-/// Tasks may have been restarted elsewhere: a task that a machine still lists from before is stopped
-/// or counted, and never runs a second time.
+/// Tasks may have been restarted elsewhere: a task that a machine still lists from before is
+/// stopped or counted, and never runs a second time.
 #[test]
 fn after_a_pause_longer_than_the_leases_running_tasks_are_counted_once() {
     let mut script = full_machines();
--- a/src/coordination/shard/tests/scale/fleet.rs
+++ b/src/coordination/shard/tests/scale/fleet.rs
@@ -36,8 +36,8 @@
     assert_eq!(cluster.started, before, "nothing starts again");
 }
 
-/// A zone with a quarter of the machines is partitioned for a minute: its tasks run elsewhere once its
-/// leases have expired, its machines are not deleted, and all are open again afterwards.
+/// A zone with a quarter of the machines is partitioned for a minute: its tasks run elsewhere
+/// once its leases have expired, its machines are not deleted, and all are open again afterwards.
 #[test]
 fn four_thousand_machines_survive_a_zone_partition() {
     let mut cluster = Cluster::admitted();
--- a/src/coordination/shard/tests/simulation/gangs.rs
+++ b/src/coordination/shard/tests/simulation/gangs.rs
@@ -1,5 +1,5 @@
 //! Gangs on the workers: their tasks start when the last of them waits, complete
-//! together, and end when some are missing for too long (PROTOCOL, gangs).
+//! together, and end when some are missing for too long.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,8 +7,8 @@
 
 use rand::Rng;
 
-use super::agents::RUN_TIME_MS;
 use super::worker::{Worker, WorkerTask};
+use super::workers::RUN_TIME_MS;
 use super::{GroundTruth, Simulation, lasts};
 use crate::coordination::shard::tests::fixtures::GANG_WAIT;
 use crate::protocol::TaskId;
--- a/src/coordination/shard/tests/simulation/kv_store.rs
+++ b/src/coordination/shard/tests/simulation/kv_store.rs
@@ -172,7 +172,7 @@
             return;
         };
         if !self.truth.all_completed(&job, stored.record.spec.tasks) {
-            self.violate(Rule::FinishedIncomplete, &job);
+            self.violate(Rule::DoneOnlyWhenCompleted, &job);
         }
         self.store.finish_job(&job, Stage::Done);
         let stage = Stage::Done;
--- a/src/coordination/shard/tests/simulation/mod.rs
+++ b/src/coordination/shard/tests/simulation/mod.rs
@@ -7,7 +7,6 @@
 //! tests inject faults between the steps and read [`Simulation::violations`] at the
 //! end. The simulation never looks into the shard except to check its counters.
 
-mod agents;
 mod cloud;
 mod delivery;
 mod gangs;
@@ -17,6 +16,7 @@
 mod rules;
 mod users;
 mod worker;
+mod workers;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
--- a/src/coordination/shard/tests/simulation/network.rs
+++ b/src/coordination/shard/tests/simulation/network.rs
@@ -1,4 +1,5 @@
-//! Messages under way, and the delays that the network adds to them.
+//! Messages under way, and the delays that the network adds to them (PROTOCOL, "Delayed
+//! messages").
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
--- a/src/coordination/shard/tests/simulation/rules.rs
+++ b/src/coordination/shard/tests/simulation/rules.rs
@@ -1,5 +1,5 @@
-//! The rules that must hold at every moment: those that PROTOCOL lets a cluster's
-//! users and operators rely on, and the consistency of the shard's own counters.
+//! The rules that must hold at every moment: those of PROTOCOL's section "Rules" that a shard
+//! can break, and the consistency of its own counters.
 
 use std::fmt::Display;
 use std::time::{Duration, Instant};
@@ -18,18 +18,19 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rule {
-    /// A task runs at most once at any time.
+    /// A task runs at most once at any time (`ran_twice`).
     SingleExecution,
     /// Only submitted jobs run.
     SubmittedJobsOnly,
-    /// A team's running tasks stay within its quota limit.
+    /// A team's running tasks stay within its quota limit (`quota`).
     QuotaLimit,
-    /// Tasks run on the machines and in the zones that their job allows.
+    /// Tasks run on the machines and in the zones that their job allows (`wrong_place`).
     AllowedPlacement,
-    /// No task runs longer than [`CANCELLATION_BOUND`] after its job's cancellation.
+    /// No task runs longer than [`CANCELLATION_BOUND`] after its job's cancellation
+    /// (`ran_cancelled`).
     CancellationBound,
-    /// A job is done only when all its tasks have completed.
-    FinishedIncomplete,
+    /// A job is done only when all its tasks have completed (`not_done`).
+    DoneOnlyWhenCompleted,
     /// The shard's counters equal a full recount.
     ConsistentCounters,
 }
--- a/src/coordination/shard/tests/simulation/worker.rs
+++ b/src/coordination/shard/tests/simulation/worker.rs
@@ -10,7 +10,7 @@
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState, TaskStatus, WorkerHeartbeat};
 use crate::protocol::{FencingToken, TaskId};
 
-/// How long a worker waits for the answer to a heartbeat.
+/// How long a worker waits for the answer to a heartbeat (PROTOCOL, "Delayed messages").
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
 
 #[derive(Debug, Clone)]
--- a/src/coordination/shard/tests/store_limits.rs
+++ b/src/coordination/shard/tests/store_limits.rs
@@ -133,8 +133,8 @@
     index.is_multiple_of(3)
 }
 
-/// When the shard knows the lower limits, no write is refused, although the roster that it recovered
-/// is a page eight times too large: each write is within the old and the new limits.
+/// When the shard knows the lower limits, no write is refused, although the roster that it
+/// recovered is a page eight times too large: each write is within the old and the new limits.
 #[test]
 fn records_written_under_larger_limits_are_rewritten_within_lower_ones() {
     let mut script = recovered_shard(AFTER, 4);
@@ -161,9 +161,9 @@
     assert!(pages("s/") > 8, "{} chunks", pages("s/"));
 }
 
-/// Found on the first day with lowered limits: each chunk of a large snapshot was a transaction of its
-/// own, whose sequence number counted against the rate of durable records, so that no machine was
-/// rented for 76 s.
+/// Found on the first day with lowered limits: each chunk of a large snapshot was a transaction
+/// of its own, whose sequence number counted against the rate of durable records, so that no
+/// machine was rented for 76 s.
 #[test]
 fn a_large_snapshot_does_not_starve_durable_records() {
     let mut script = recovered_shard(AFTER, 4);
--- a/src/coordination/shard/tests/zones.rs
+++ b/src/coordination/shard/tests/zones.rs
@@ -40,8 +40,9 @@
     rentals
 }
 
-/// Found in review: free capacity for a part of the job in each of two zones counted as capacity for
-/// all of it, and the tasks without capacity in the zone where the job had started waited for ever.
+/// Found in review: free capacity for a part of the job in each of two zones counted as capacity
+/// for all of it, and the tasks without capacity in the zone where the job had started waited for
+/// ever.
 #[test]
 fn free_capacity_in_another_zone_does_not_serve_a_started_one_zone_array() {
     let mut script = ScriptedShard::without_quotas();
@@ -79,8 +80,8 @@
     assert_eq!(zones.into_iter().collect::<Vec<_>>(), [zone]);
 }
 
-/// A job bound to one zone loses the machine for which the zone was chosen, while others of its tasks
-/// run: lost tasks restart in that zone and no other.
+/// A job bound to one zone loses the machine for which the zone was chosen, while others of its
+/// tasks run: lost tasks restart in that zone and no other.
 #[test]
 fn lost_tasks_of_a_one_zone_job_restart_in_its_zone_only() {
     let mut script = ScriptedShard::empty();
--- a/src/coordination/tests/cancellation_freshness.rs
+++ b/src/coordination/tests/cancellation_freshness.rs
@@ -44,9 +44,9 @@
     spec
 }
 
-/// A leader whose shard runs one job, and its peer, both started at the same time. The leader has just
-/// caught up with the key-value store, which answers nobody any more; the peer votes for lease
-/// extensions all along.
+/// A leader whose shard runs one job, and its peer, both started at the same time. The leader has
+/// just caught up with the key-value store, which answers nobody any more; the peer votes for
+/// lease extensions all along.
 struct Outage {
     clock: Arc<FakeClock>,
     leader: Arc<Node>,
@@ -147,9 +147,9 @@
     commands.iter().any(|c| matches!(c, Command::Stop { .. }))
 }
 
-/// The key-value store refuses only the leader, a job is cancelled through another controller, and then
-/// the store fails for all: the leader learns of the cancellation from that controller, and no worker
-/// loses its lease, however long the outage lasts.
+/// The key-value store refuses only the leader, a job is cancelled through another controller,
+/// and then the store fails for all: the leader learns of the cancellation from that controller,
+/// and no worker loses its lease, however long the outage lasts.
 #[tokio::test]
 async fn a_leader_learns_from_its_peers_what_they_cancelled_before_an_outage() {
     let mut outage = Outage::new().await;
@@ -173,8 +173,8 @@
     }
 }
 
-/// The same beside a controller that confirms nothing, because it is an older version or unreachable.
-/// Votes alone must not be enough to renew leases.
+/// The same beside a controller that confirms nothing, because it is an older version or
+/// unreachable. Votes alone must not be enough to renew leases.
 #[tokio::test]
 async fn a_leader_without_fresh_cancellations_suspends_lease_renewals() {
     let mut outage = Outage::new().await;
@@ -200,8 +200,8 @@
     assert!(outage.heartbeat().is_some());
 }
 
-/// The controller that cancelled has crashed: its next incarnation does not remember the cancellation,
-/// so that its confirmation does not count.
+/// The controller that cancelled has crashed: its next incarnation does not remember the
+/// cancellation, so that its confirmation does not count.
 #[tokio::test]
 async fn confirmations_of_a_later_incarnation_do_not_count() {
     let mut outage = Outage::new().await;
--- a/src/coordination/tests/reach.rs
+++ b/src/coordination/tests/eligibility.rs
@@ -30,8 +30,8 @@
     node.lock().leadership = None;
 }
 
-/// Found in review: after 30 s a leader that still received no heartbeat was eligible, and was elected
-/// again because it was in the same zone as the machines.
+/// Found in review: after 30 s a leader that still received no heartbeat was eligible, and was
+/// handed the leadership again because it was nearer to the machines.
 #[tokio::test]
 async fn a_leader_with_too_few_heartbeats_stays_ineligible_while_workers_do_not_answer() {
     let clock = Arc::new(FakeClock::new());
--- a/src/coordination/tests/mod.rs
+++ b/src/coordination/tests/mod.rs
@@ -1,8 +1,9 @@
 //! Controllers on a fake clock, without workers, and with a key-value store that never answers.
 
 mod cancellation_freshness;
+mod eligibility;
 mod peering;
-mod reach;
+
 mod scale;
 
 use crate::protocol::FencingToken;
--- a/src/coordination/tests/peering.rs
+++ b/src/coordination/tests/peering.rs
@@ -121,8 +121,9 @@
     assert!(node.ready());
 }
 
-/// A controller that reaches neither the store nor the leader renews workers' leases under the leader's
-/// last fencing token, within the time for which a cancelled job's tasks may run, and no longer.
+/// A controller that reaches neither the store nor the leader renews workers' leases under the
+/// leader's last fencing token, within the time for which a cancelled job's tasks may run, and no
+/// longer.
 #[tokio::test]
 async fn a_partitioned_controller_renews_leases_under_an_advance_delegation() {
     let clock = Arc::new(FakeClock::new());
@@ -168,9 +169,9 @@
     );
 }
 
-/// Refused by the key-value store alone, a leader is replaced, and then the store fails for all: the new
-/// leader needs the vote of the old one, which does not know that its lease has ended. The fencing
-/// token in the new leader's heartbeat shows it.
+/// Refused by the key-value store alone, a leader is replaced, and then the store fails for all:
+/// the new leader needs the vote of the old one, which does not know that its lease has ended.
+/// The fencing token in the new leader's heartbeat shows it.
 #[tokio::test]
 async fn a_superseded_leader_steps_down_and_votes_for_its_successor() {
     let clock = Arc::new(FakeClock::new());
@@ -196,9 +197,9 @@
     assert!(grant_extension(&node, Duration::from_secs(1)));
 }
 
-/// Refused by the key-value store alone, a leader passes its lease deadline just before the store fails
-/// for all. It may continue if all peers abstain from campaigning, and none of them, nor an earlier
-/// incarnation of theirs, can have led the shard since.
+/// Refused by the key-value store alone, a leader passes its lease deadline just before the store
+/// fails for all. It may continue if all peers abstain from campaigning, and none of them, nor an
+/// earlier incarnation of theirs, can have led the shard since.
 #[tokio::test]
 async fn a_later_leader_does_not_vote_for_lease_revival() {
     let clock = Arc::new(FakeClock::new());
--- a/src/coordination/tests/scale.rs
+++ b/src/coordination/tests/scale.rs
@@ -62,8 +62,8 @@
     });
 }
 
-/// Found in a large deployment: a heartbeat listed every unfinished job, and at 75,000 jobs it was larger
-/// than what its receiver reads, so that its sender seemed to have crashed.
+/// A heartbeat once listed every unfinished job, and at 75,000 jobs it
+/// was larger than what its receiver reads, so that its sender seemed to have crashed.
 #[tokio::test]
 async fn the_heartbeat_of_a_leader_of_a_hundred_thousand_jobs_is_read() {
     let clock = Arc::new(FakeClock::new());
--- a/tests/trial/late_transactions.rs
+++ b/tests/trial/late_transactions.rs
@@ -62,8 +62,8 @@
     assert_eq!(stage(&poll(&first, "run-000002").await), "cancelled");
 }
 
-/// A shard write gets no answer, is retried, and is committed a second time after newer writes of the
-/// same leader.
+/// A shard write gets no answer, is retried, and is committed a second time after newer writes of
+/// the same leader.
 #[tokio::test]
 async fn a_late_shard_write_undoes_no_newer_one() {
     let (store, node, _) = two_nodes().await;
--- a/tests/trial/nodes.rs
+++ b/tests/trial/nodes.rs
@@ -1,4 +1,5 @@
-//! Controllers inside the test process, without background tasks, and users that call them directly.
+//! Controllers inside the test process, without background tasks, and users that call them
+//! directly.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/tests/trial/older_controller.rs
+++ b/tests/trial/older_controller.rs
@@ -26,8 +26,8 @@
     crate::support::serve(routes).await
 }
 
-/// Beside an older controller a leader extends its lease by votes, but relies on nothing that the older
-/// one cannot answer: it neither confirms cancellations nor votes for lease revival.
+/// Beside an older controller a leader extends its lease by votes, but relies on nothing that the
+/// older one cannot answer: it neither confirms cancellations nor votes for lease revival.
 #[tokio::test]
 async fn an_older_controller_extends_leases_and_supports_nothing_newer() {
     let older = older_controller().await;
--- a/tests/trial/user_requests.rs
+++ b/tests/trial/user_requests.rs
@@ -1,10 +1,12 @@
 //! User requests that race with the end of a job, are invalid, or meet a failing key-value store.
 
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use crate::nodes::{DEADLINE, cancel, finish, node, poll, stage, submission, submit, two_nodes};
 use serde_json::{Value, json};
 use tokio::net::TcpListener;
+use valegap::coordination::node::Node;
 
 /// Users wait this long for an answer to a submission or a cancellation.
 const USERS_WAIT: Duration = Duration::from_secs(5);
@@ -41,8 +43,8 @@
     assert!(ends.contains(&false), "no cancellation came first");
 }
 
-/// What is wrong in itself is refused at once, whether or not the key-value store answers, and never
-/// accepted; what cannot be decided now is answered with 503.
+/// What is wrong in itself is refused at once, whether or not the key-value store answers, and
+/// never accepted; what cannot be decided now is answered with 503.
 #[tokio::test]
 async fn invalid_requests_are_refused_with_and_without_the_key_value_store() {
     let (_store, served, _) = two_nodes().await;
@@ -80,13 +82,7 @@
     );
     let valid = job();
     assert_eq!(submit(&cut_off, &valid).await.status, 503);
-    let gang_of_one = with(submission("run-000002", 8.0), "Form", json!("group"));
-    let gang_of_one = with(gang_of_one, "Voices", json!(1));
-    assert_eq!(
-        submit(&served, &gang_of_one).await.status,
-        201,
-        "a gang of one task is valid"
-    );
+    accept_a_gang_of_one(&served).await;
     served.lock().types = None;
     assert_eq!(
         submit(&served, &oversized).await.status,
@@ -97,6 +93,16 @@
     assert_eq!(submit(&served, &incomplete).await.status, 400);
 }
 
+async fn accept_a_gang_of_one(node: &Arc<Node>) {
+    let gang_of_one = with(submission("run-000002", 8.0), "Form", json!("group"));
+    let gang_of_one = with(gang_of_one, "Voices", json!(1));
+    assert_eq!(
+        submit(node, &gang_of_one).await.status,
+        201,
+        "a gang of one task is valid"
+    );
+}
+
 /// A submission with one field changed.
 fn with(mut submission: Value, field: &str, value: Value) -> Value {
     submission[field] = value;
--- a/tests/upgrade/frames.rs
+++ b/tests/upgrade/frames.rs
@@ -38,6 +38,27 @@
     let read = CancellationsRequest::decode(&bytes(CANCELLATIONS_REQUEST)).expect("a frame");
     assert_eq!(read.after, 4711);
 
+    check_confirmed_cancellations();
+
+    let revival = ReviveLease {
+        fencing_token: FencingToken::new(862),
+        millis: 1000,
+    };
+    assert_eq!(revival.encode(), bytes(REVIVE_LEASE_REQUEST));
+    assert_eq!(
+        ReviveLease::decode(&bytes(REVIVE_LEASE_REQUEST)).ok(),
+        Some(revival)
+    );
+
+    let vote = RevivalVote {
+        granted: true,
+        up_ms: 93_250,
+    };
+    assert_eq!(vote.encode(), bytes(REVIVAL_VOTE));
+    assert_eq!(RevivalVote::decode(&bytes(REVIVAL_VOTE)).ok(), Some(vote));
+}
+
+fn check_confirmed_cancellations() {
     let job = |job: &str, revision| CancelledJob {
         job: job.into(),
         revision,
@@ -60,23 +81,6 @@
             Some(frame)
         );
     }
-
-    let revival = ReviveLease {
-        fencing_token: FencingToken::new(862),
-        millis: 1000,
-    };
-    assert_eq!(revival.encode(), bytes(REVIVE_LEASE_REQUEST));
-    assert_eq!(
-        ReviveLease::decode(&bytes(REVIVE_LEASE_REQUEST)).ok(),
-        Some(revival)
-    );
-
-    let vote = RevivalVote {
-        granted: true,
-        up_ms: 93_250,
-    };
-    assert_eq!(vote.encode(), bytes(REVIVAL_VOTE));
-    assert_eq!(RevivalVote::decode(&bytes(REVIVAL_VOTE)).ok(), Some(vote));
 }
 
 /// Reads a record and checks that it is written as it was.
