--- a/src/coordination/peering/cancellations.rs
+++ b/src/coordination/peering/cancellations.rs
@@ -54,7 +54,7 @@
     if !advances_freshness {
         tracing::debug!(
             node_id,
-            "peer started too recently to vouch for its earlier cancellations"
+            "peer started too recently: its earlier cancellations stay unknown"
         );
     }
 }
--- a/src/coordination/peering/delegation/reachability_records.rs
+++ b/src/coordination/peering/delegation/reachability_records.rs
@@ -44,7 +44,7 @@
         .peers
         .views
         .get(leader)
-        .is_some_and(|view| now.saturating_duration_since(view.at) < HEARTBEAT_FRESH);
+        .is_some_and(|view| view.is_fresher_than(HEARTBEAT_FRESH, now));
     if leader_reachable || inner.leadership.is_some() {
         return 0;
     }
--- a/src/coordination/peering/handover.rs
+++ b/src/coordination/peering/handover.rs
@@ -153,9 +153,7 @@
         .peers
         .views
         .values()
-        .filter(|view| {
-            now.saturating_duration_since(view.at) < HEARTBEAT_FRESH && view.heartbeat.kv_served
-        })
+        .filter(|view| view.is_fresher_than(HEARTBEAT_FRESH, now) && view.heartbeat.kv_served)
         .map(|view| view.heartbeat.reachable_workers as usize)
         .max()
         .unwrap_or(0)
@@ -181,7 +179,7 @@
     *main_zone != node.settings.platform.zone
         && now.saturating_duration_since(own.lease.acquired_at) > min_leadership
         && inner.peers.views.values().any(|view| {
-            now.saturating_duration_since(view.at) < SUCCESSOR_HEARTBEAT_FRESH
+            view.is_fresher_than(SUCCESSOR_HEARTBEAT_FRESH, now)
                 && view.heartbeat.zone == *main_zone
                 && view.heartbeat.kv_served
                 && !view.heartbeat.ineligible
--- a/src/coordination/peering/heartbeat.rs
+++ b/src/coordination/peering/heartbeat.rs
@@ -77,7 +77,7 @@
     let begun = own.shard.progress().filter(has_begun);
     let rows: Vec<Progress> = begun.take(MAX_PROGRESS_ROWS).map(row).collect();
     if rows.is_empty() {
-        // Without any row the receiver would keep the counts that it has.
+        // The receiver ignores a frame without rows, and would show outdated counts.
         return own.shard.progress().take(1).map(row).collect();
     }
     rows
--- a/src/coordination/peering/lease_votes.rs
+++ b/src/coordination/peering/lease_votes.rs
@@ -121,7 +121,7 @@
 }
 
 /// Ends this controller's leases with a token lower than one that a peer holds. Their records in
-/// the store are gone, even if the store can't say so, and the later leader may need this
+/// the store have been deleted, even if the store can't be read, and the later leader may need this
 /// controller's vote, which a leader doesn't give.
 pub(super) fn end_superseded_leases(inner: &NodeState, later: FencingToken) {
     let own = inner.leadership.as_ref().map(|own| &own.lease);
--- a/src/coordination/requests/forwarding.rs
+++ b/src/coordination/requests/forwarding.rs
@@ -33,7 +33,7 @@
     let inner = node.lock();
     let served = |peer: &&Peer| {
         inner.peers.views.get(&peer.node_id).is_some_and(|view| {
-            view.heartbeat.kv_served && now.saturating_duration_since(view.at) < HEARTBEAT_FRESH
+            view.heartbeat.kv_served && view.is_fresher_than(HEARTBEAT_FRESH, now)
         })
     };
     let peers = node.settings.platform.others.iter();
