--- a/src/coordination/shard/autoscaler/backoff/tests.rs
+++ b/src/coordination/shard/autoscaler/backoff/tests.rs
@@ -3,7 +3,7 @@
 /// Found at full size: with eighteen kinds of which the cheap ones were used up,
 /// requesting these again every 15 s left no time to request the others.
 #[test]
-fn a_kind_that_is_used_up_is_left_alone_for_longer_each_time() {
+fn the_pause_doubles_with_each_shortage_in_a_row() {
     let start = Instant::now();
     let pause = Duration::from_secs(15);
     let kind = MachineKind {
@@ -24,6 +24,6 @@
     backoff.record_shortage(kind.clone(), pause, now);
     assert!(
         !backoff.is_active(&kind, now + pause),
-        "some were to be had since"
+        "machines were available since"
     );
 }
--- a/src/coordination/shard/autoscaler/boot_times/tests.rs
+++ b/src/coordination/shard/autoscaler/boot_times/tests.rs
@@ -47,7 +47,7 @@
     let (rented, now) = (Instant::now(), Instant::now() + Duration::from_secs(50));
     overdue(&mut boots, &[3.0, 4.0], rented, now);
     assert!(!boots.any_slow(now));
-    // Several are some, unless more have come up lately.
+    // Several are one, unless more have booted recently.
     for _ in 0..5 {
         boots.record_boot("m8", "north", rented, 2.5, now);
     }
