--- a/src/coordination/executor/shard_write.rs
+++ b/src/coordination/executor/shard_write.rs
@@ -127,10 +127,12 @@
     record: &SequenceRecord,
 ) -> Attempt {
     let mod_revision = match read_sequence(node).await {
-        Ok(Some((mod_revision, found))) if found == *record => {
-            return Attempt::Applied { mod_revision };
+        Ok(Some(found)) if found.record == *record => {
+            return Attempt::Applied {
+                mod_revision: found.mod_revision,
+            };
         }
-        Ok(found) => found.map_or(0, |(mod_revision, _)| mod_revision),
+        Ok(found) => found.map_or(0, |found| found.mod_revision),
         Err(_) => return Attempt::Unresolved,
     };
     if mod_revision != sequence.mod_revision {
@@ -145,12 +147,20 @@
     }
 }
 
-/// The sequence record and its modification revision; None if there is none that can be
-/// parsed.
-async fn read_sequence(node: &Node) -> Result<Option<(u64, SequenceRecord)>, KvError> {
+/// The sequence record in the store.
+struct StoredSequence {
+    record: SequenceRecord,
+    mod_revision: u64,
+}
+
+/// Reads the sequence record; None if there is none that can be parsed.
+async fn read_sequence(node: &Node) -> Result<Option<StoredSequence>, KvError> {
     let item = node.clients.kv.get(&keys::sequence(), KV_DEADLINE).await?;
     Ok(item.and_then(|item| {
         let record = serde_json::from_value(item.value).ok()?;
-        Some((item.mod_revision, record))
+        Some(StoredSequence {
+            record,
+            mod_revision: item.mod_revision,
+        })
     }))
 }
--- a/src/coordination/leadership/election.rs
+++ b/src/coordination/leadership/election.rs
@@ -80,7 +80,7 @@
 /// Waits until the shard has no leader and it is this candidate's turn to try.
 async fn wait_for_vacancy(node: &Node) -> Result<(), KvError> {
     loop {
-        let (record, revision) = read_leader_record(node).await?;
+        let LeaderRead { record, revision } = read_leader_record(node).await?;
         let holder = RecordHolder::of(record.as_ref(), node);
         node.lock().observed_leader = record;
         match holder {
@@ -102,9 +102,15 @@
     }
 }
 
-/// The leader record, if there is one that can be read, and the revision from which its
-/// next change can be watched.
-async fn read_leader_record(node: &Node) -> Result<(Option<LeaderRecord>, u64), KvError> {
+/// The leader record as the store held it.
+struct LeaderRead {
+    /// The record, if there is one that can be parsed.
+    record: Option<LeaderRecord>,
+    /// The revision of the store from which the record's next change can be watched.
+    revision: u64,
+}
+
+async fn read_leader_record(node: &Node) -> Result<LeaderRead, KvError> {
     let (items, revision) = node
         .clients
         .kv
@@ -114,7 +120,7 @@
         .into_iter()
         .find(|item| item.key == keys::leader())
         .and_then(|item| serde_json::from_value(item.value).ok());
-    Ok((record, revision))
+    Ok(LeaderRead { record, revision })
 }
 
 /// Leaves better placed candidates their head start; false if one of them won.
--- a/src/coordination/leadership/leader_loop.rs
+++ b/src/coordination/leadership/leader_loop.rs
@@ -32,17 +32,26 @@
 /// Pause between two summaries of the shard in the log.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(30);
 
+/// What a new leader has read of the shard.
+struct Recovery {
+    /// The shard's records.
+    state: RecoveredState,
+    /// The revision of the store from which changes of jobs have to be watched.
+    jobs_revision: u64,
+}
+
 /// Leads the shard until the lease ends.
 pub(super) async fn lead(node: &Arc<Node>, lease: Arc<ShardLease>) {
-    let Some((recovered, revision)) = recover_until_ended(node, &lease).await else {
+    let Some(recovery) = recover_until_ended(node, &lease).await else {
         return;
     };
-    begin_leadership(node, &lease, recovered);
+    begin_leadership(node, &lease, recovery.state);
     // The job index may know of jobs that ended since the records were read.
     node.notify_finished_jobs();
     pass_machine_types(node, &lease);
     // Both end by themselves when the lease has ended.
-    tokio::spawn(job_watch::watch_jobs(node.clone(), lease.clone(), revision));
+    let watch = job_watch::watch_jobs(node.clone(), lease.clone(), recovery.jobs_revision);
+    tokio::spawn(watch);
     tokio::spawn(polling::watch_machine_list(node.clone(), lease.clone()));
     decide_until_ended(node, &lease).await;
     node.lock().leadership = None;
@@ -63,15 +72,12 @@
 }
 
 /// Reads the shard's records, again after failures; None if the lease ended before.
-async fn recover_until_ended(
-    node: &Node,
-    lease: &Arc<ShardLease>,
-) -> Option<(RecoveredState, u64)> {
+async fn recover_until_ended(node: &Node, lease: &Arc<ShardLease>) -> Option<Recovery> {
     node.lock().recovering = Some(lease.clone());
     let mut retry = Backoff::default();
     while !lease.ended() {
         match read_records(node, lease).await {
-            Ok(read) => return Some(read),
+            Ok(recovery) => return Some(recovery),
             Err(error) => {
                 warn!(
                     fencing_token = %lease.fencing_token,
@@ -86,12 +92,13 @@
     None
 }
 
-/// The shard's records, and the revision from which changes of jobs have to be watched.
-async fn read_records(node: &Node, lease: &ShardLease) -> Result<(RecoveredState, u64), KvError> {
+async fn read_records(node: &Node, lease: &ShardLease) -> Result<Recovery, KvError> {
     let stored = StoredRecords::read(&node.clients.kv).await?;
     *lease.sequence.lock().await = stored.sequence();
-    let revision = stored.revision;
-    Ok((stored.parse(), revision))
+    Ok(Recovery {
+        jobs_revision: stored.revision,
+        state: stored.parse(),
+    })
 }
 
 fn begin_leadership(node: &Node, lease: &Arc<ShardLease>, recovered: RecoveredState) {
--- a/src/coordination/node/reachability.rs
+++ b/src/coordination/node/reachability.rs
@@ -47,24 +47,18 @@
 
     /// Whether the store has stopped serving this node.
     pub fn kv_lost(&self) -> bool {
-        let KvHealth {
-            last_served: served,
-            last_failed: failed,
-        } = self.clients.kv.health();
-        let Some(served) = served else {
+        let KvHealth { last_served, .. } = self.clients.kv.health();
+        let Some(last_served) = last_served else {
             return true;
         };
-        let since_served = self.now().saturating_duration_since(served);
-        failed.is_some_and(|failed| failed > served) && since_served > KV_LOST_AFTER
+        let since_served = self.now().saturating_duration_since(last_served);
+        self.kv_failing() && since_served > KV_LOST_AFTER
     }
 
     /// Whether the store's last answer to this node was none, or a refusal.
     pub fn kv_failing(&self) -> bool {
-        let KvHealth {
-            last_served: served,
-            last_failed: failed,
-        } = self.clients.kv.health();
-        failed.is_some() && failed > served
+        let health = self.clients.kv.health();
+        health.last_failed.is_some() && health.last_failed > health.last_served
     }
 
     /// Whether some other controller says that the store serves it.
--- a/src/coordination/node/state.rs
+++ b/src/coordination/node/state.rs
@@ -138,7 +138,7 @@
     /// heartbeat of this node.
     pub advance: Option<AdvanceDelegation>,
     /// When a worker's lease was last renewed by a delegation granted in advance.
-    pub answered_by_advance_delegation: Option<Instant>,
+    pub last_advance_renewal: Option<Instant>,
     /// Heartbeats of delegated workers under the leader's fencing token, which are to be
     /// written as an inventory.
     pub unwritten_heartbeats: PendingHeartbeats,
--- a/src/coordination/peering/heartbeat.rs
+++ b/src/coordination/peering/heartbeat.rs
@@ -48,12 +48,7 @@
             .is_some_and(|until| until > now),
         // An earlier incarnation may have answered workers until this one started.
         answered_by_advance_delegation_ago_ms: now
-            .saturating_duration_since(
-                inner
-                    .delegate
-                    .answered_by_advance_delegation
-                    .unwrap_or(node.started),
-            )
+            .saturating_duration_since(inner.delegate.last_advance_renewal.unwrap_or(node.started))
             .as_millis() as u64,
     }
 }
--- a/src/coordination/worker_leases/authority.rs
+++ b/src/coordination/worker_leases/authority.rs
@@ -102,7 +102,7 @@
         {
             return None;
         }
-        let previous = state.delegate.answered_by_advance_delegation.replace(now);
+        let previous = state.delegate.last_advance_renewal.replace(now);
         if previous.is_none() {
             info!(
                 fencing_token = %delegation.fencing_token,
