--- a/src/coordination/retry.rs
+++ b/src/coordination/retry.rs
@@ -5,7 +5,7 @@
 /// Counts the consecutive failures of one operation and waits longer after each, with
 /// jitter and a bound (see [`backoff`]).
 #[derive(Debug, Default)]
-pub struct Backoff {
+pub(super) struct Backoff {
     failures: u32,
     /// Failures that each wait is reckoned to have had before.
     offset: u32,
@@ -13,7 +13,7 @@
 
 impl Backoff {
     /// Waits as if so many failures had gone before the first.
-    pub fn starting_after(offset: u32) -> Self {
+    pub(super) fn starting_after(offset: u32) -> Self {
         Self {
             failures: 0,
             offset,
@@ -21,13 +21,13 @@
     }
 
     /// Notes a failure and waits until the next attempt may be made.
-    pub async fn wait(&mut self) {
+    pub(super) async fn wait(&mut self) {
         self.failures += 1;
         tokio::time::sleep(backoff(self.failures + self.offset)).await;
     }
 
     /// Notes a success: the next failure counts as the first.
-    pub fn reset(&mut self) {
+    pub(super) fn reset(&mut self) {
         self.failures = 0;
     }
 }
--- a/src/coordination/shard/autoscaler/mod.rs
+++ b/src/coordination/shard/autoscaler/mod.rs
@@ -66,7 +66,7 @@
 /// Invariant: a rental is requested from the cloud only after its record is durable, and the
 /// name of a request is never used again (see [`PendingRentals`]).
 #[derive(Debug, Default)]
-pub struct Autoscaler {
+pub(super) struct Autoscaler {
     rentals: PendingRentals,
     backoff: CapacityBackoff,
     boot_times: BootTimes,
--- a/src/coordination/shard/delegations/table.rs
+++ b/src/coordination/shard/delegations/table.rs
@@ -58,12 +58,12 @@
 
 impl Delegations {
     /// Whether the controller may renew worker leases.
-    pub fn is_granted(&self, node_id: &str) -> bool {
+    pub(crate) fn is_granted(&self, node_id: &str) -> bool {
         self.by_node.get(node_id) == Some(&Delegation::Granted)
     }
 
     /// The controllers that may renew worker leases.
-    pub fn granted(&self) -> impl Iterator<Item = &str> {
+    pub(crate) fn granted(&self) -> impl Iterator<Item = &str> {
         let granted = self
             .by_node
             .iter()
@@ -72,13 +72,13 @@
     }
 
     /// The controller may renew worker leases from now on.
-    pub fn grant(&mut self, node_id: &str, now: Instant) {
+    pub(crate) fn grant(&mut self, node_id: &str, now: Instant) {
         self.active_since.get_or_insert(now);
         self.by_node.insert(node_id.to_owned(), Delegation::Granted);
     }
 
     /// The deletion of the delegation's record is queued.
-    pub fn begin_revocation(&mut self, node_id: &str) {
+    pub(crate) fn begin_revocation(&mut self, node_id: &str) {
         if let Some(delegation) = self.by_node.get_mut(node_id) {
             *delegation = Delegation::Revoking;
         }
@@ -86,7 +86,7 @@
 
     /// The deletion of the delegation's record is durable. It may have been granted again
     /// since: then nothing changes.
-    pub fn revocation_written(&mut self, node_id: &str, now: Instant) {
+    pub(crate) fn revocation_written(&mut self, node_id: &str, now: Instant) {
         if let Some(delegation) = self.by_node.get_mut(node_id)
             && *delegation == Delegation::Revoking
         {
@@ -96,7 +96,7 @@
 
     /// Removes the delegations under which nobody can answer any more; returns whether
     /// there were any.
-    pub fn remove_ended(&mut self, now: Instant) -> bool {
+    pub(crate) fn remove_ended(&mut self, now: Instant) -> bool {
         let before = self.by_node.len();
         self.by_node
             .retain(|_, delegation| !delegation.has_ended(now));
@@ -107,34 +107,34 @@
     }
 
     /// Whether a delegate may have renewed worker leases that the leader doesn't know of.
-    pub fn any_active(&self) -> bool {
+    pub(crate) fn any_active(&self) -> bool {
         !self.by_node.is_empty()
     }
 
     /// For how long there has been a delegate without a break; none if there is none.
-    pub fn active_for(&self, now: Instant) -> Option<Duration> {
+    pub(crate) fn active_for(&self, now: Instant) -> Option<Duration> {
         self.active_since
             .map(|since| now.saturating_duration_since(since))
     }
 
     /// Sets what is known of renewals by advance delegations.
-    pub fn note_advance_renewals(&mut self, renewals: AdvanceRenewals) {
+    pub(crate) fn note_advance_renewals(&mut self, renewals: AdvanceRenewals) {
         self.advance_renewals = Some(renewals);
     }
 
     /// What is known of renewals by advance delegations; none until the peering code has
     /// reported them.
-    pub fn advance_renewals(&self) -> Option<AdvanceRenewals> {
+    pub(crate) fn advance_renewals(&self) -> Option<AdvanceRenewals> {
         self.advance_renewals
     }
 
     /// Sets the zones that are likely partitioned from the leader.
-    pub fn set_partitioned_zones(&mut self, zones: BTreeSet<String>) {
+    pub(crate) fn set_partitioned_zones(&mut self, zones: BTreeSet<String>) {
         self.partitioned_zones = zones;
     }
 
     /// Whether the zone is likely partitioned from the leader.
-    pub fn is_partitioned(&self, zone: &str) -> bool {
+    pub(crate) fn is_partitioned(&self, zone: &str) -> bool {
         self.partitioned_zones.contains(zone)
     }
 }
--- a/src/coordination/shard/health/failure_evidence.rs
+++ b/src/coordination/shard/health/failure_evidence.rs
@@ -24,7 +24,7 @@
 
 impl FailureEvidence {
     /// Whether the machine should get no new tasks until more is known.
-    pub fn is_quarantined(&self, now: Instant) -> bool {
+    pub(super) fn is_quarantined(&self, now: Instant) -> bool {
         let recent = |at: &Instant| now.saturating_duration_since(*at) < QUARANTINE;
         let unexplained = self.unexplained.iter().filter(|(_, at)| recent(at)).count();
         unexplained > 0 && self.sound.len() + unexplained >= JOBS_TO_QUARANTINE
--- a/src/coordination/shard/health/mod.rs
+++ b/src/coordination/shard/health/mod.rs
@@ -24,7 +24,7 @@
 
 pub use failure_history::FailureHistory;
 pub use machine_health::MachineHealth;
-pub use slowness::RunTimes;
+pub(super) use slowness::RunTimes;
 
 use failure_evidence::FailureEvidence;
 pub(in crate::coordination::shard) use failure_history::FailedAttempt;
--- a/src/coordination/shard/jobs/mod.rs
+++ b/src/coordination/shard/jobs/mod.rs
@@ -9,7 +9,8 @@
 mod progress;
 mod unfinished;
 
-pub use progress::{RunningTasks, TaskCounts};
+pub(super) use progress::RunningTasks;
+pub use progress::TaskCounts;
 pub use unfinished::UnfinishedJob;
 
 use std::collections::{BTreeSet, HashMap};
--- a/src/coordination/shard/jobs/progress.rs
+++ b/src/coordination/shard/jobs/progress.rs
@@ -21,19 +21,19 @@
 
 /// The running tasks by job, as last counted.
 #[derive(Debug, Default)]
-pub struct RunningTasks {
+pub(crate) struct RunningTasks {
     by_job: HashMap<JobId, u32>,
     counted_at: Option<Instant>,
 }
 
 impl RunningTasks {
     /// Running tasks of a job at the last count.
-    pub fn of(&self, job: &JobId) -> u32 {
+    pub(crate) fn of(&self, job: &JobId) -> u32 {
         self.by_job.get(job).copied().unwrap_or(0)
     }
 
     /// Counts again if the last count is old enough; returns whether it did.
-    pub fn recount_if_due(&mut self, machines: &Machines, now: Instant) -> bool {
+    pub(crate) fn recount_if_due(&mut self, machines: &Machines, now: Instant) -> bool {
         let is_due = self
             .counted_at
             .is_none_or(|at| now.saturating_duration_since(at) >= RECOUNT_PAUSE);
--- a/src/coordination/shard/machines/deleted.rs
+++ b/src/coordination/shard/machines/deleted.rs
@@ -8,23 +8,23 @@
 /// The machines that were deleted lately. A late heartbeat or an old machine list may still
 /// name them: they must not come back.
 #[derive(Debug, Default)]
-pub struct DeletedMachines {
+pub(crate) struct DeletedMachines {
     deleted_at: HashMap<MachineId, Instant>,
 }
 
 impl DeletedMachines {
     /// Whether a machine was deleted.
-    pub fn contains(&self, id: &str) -> bool {
+    pub(crate) fn contains(&self, id: &str) -> bool {
         self.deleted_at.contains_key(id)
     }
 
     /// A machine is deleted.
-    pub fn insert(&mut self, id: MachineId, now: Instant) {
+    pub(crate) fn insert(&mut self, id: MachineId, now: Instant) {
         self.deleted_at.insert(id, now);
     }
 
     /// Forgets machines that were deleted at least `retention` ago.
-    pub fn forget_older(&mut self, retention: Duration, now: Instant) {
+    pub(crate) fn forget_older(&mut self, retention: Duration, now: Instant) {
         self.deleted_at
             .retain(|_, at| now.saturating_duration_since(*at) < retention);
     }
--- a/src/coordination/shard/machines/mod.rs
+++ b/src/coordination/shard/machines/mod.rs
@@ -14,13 +14,13 @@
 mod set;
 mod worker_lease;
 
-pub use agent_epochs::{AgentEpochs, EpochChange, HeartbeatNumber};
+pub(super) use agent_epochs::{AgentEpochs, EpochChange, HeartbeatNumber};
 pub use attempt::{Attempt, Phase};
-pub use command_channel::CommandChannel;
-pub use deleted::DeletedMachines;
-pub use resources::Resources;
+pub(super) use command_channel::CommandChannel;
+pub(super) use deleted::DeletedMachines;
+pub(super) use resources::Resources;
 pub use set::{MachineLoad, Machines};
-pub use worker_lease::WorkerLease;
+pub(super) use worker_lease::WorkerLease;
 
 use admission::Admission;
 
--- a/src/coordination/shard/persistence/snapshot_rounds.rs
+++ b/src/coordination/shard/persistence/snapshot_rounds.rs
@@ -62,7 +62,7 @@
 
 impl SnapshotRounds {
     /// The chunks that were read from the store; no round is under way.
-    pub fn recovered(stored: BTreeMap<String, Value>) -> Self {
+    pub(super) fn recovered(stored: BTreeMap<String, Value>) -> Self {
         Self {
             stored,
             round: Round::default(),
@@ -71,7 +71,7 @@
 
     /// Whether the next round should start: none is under way and the last one started at
     /// least `interval` ago.
-    pub fn is_due(&self, interval: Duration, now: Instant) -> bool {
+    pub(super) fn is_due(&self, interval: Duration, now: Instant) -> bool {
         match self.round {
             Round::Idle { last_started, .. } => {
                 last_started.is_none_or(|last| now.saturating_duration_since(last) >= interval)
@@ -82,7 +82,7 @@
 
     /// Starts a round that makes the store's snapshot equal to `encoded`, and so makes the
     /// `covered` completions durable. Only chunks that changed are written.
-    pub fn begin(
+    pub(super) fn begin(
         &mut self,
         encoded: &BTreeMap<String, Value>,
         covered: Vec<CompletedAttempt>,
@@ -123,7 +123,7 @@
     }
 
     /// Something changed that a snapshot has to hold.
-    pub fn note_change(&mut self, now: Instant) {
+    pub(super) fn note_change(&mut self, now: Instant) {
         let oldest = match &mut self.round {
             Round::Idle { dirty_since, .. } => dirty_since,
             Round::UnderWay { dirty_after, .. } => dirty_after,
@@ -132,13 +132,13 @@
     }
 
     /// For how long the oldest change has not been durable; zero if all are.
-    pub fn unrecorded_for(&self, now: Instant) -> Duration {
+    pub(super) fn unrecorded_for(&self, now: Instant) -> Duration {
         let (Round::Idle { dirty_since, .. } | Round::UnderWay { dirty_since, .. }) = &self.round;
         dirty_since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 
     /// How many chunks wait for a transaction.
-    pub fn waiting_chunks(&self) -> usize {
+    pub(super) fn waiting_chunks(&self) -> usize {
         match &self.round {
             Round::Idle { .. } => 0,
             Round::UnderWay { waiting, .. } => waiting.len(),
@@ -146,7 +146,7 @@
     }
 
     /// The chunk that is to be written next.
-    pub fn next_chunk(&self) -> Option<&PendingWrite> {
+    pub(super) fn next_chunk(&self) -> Option<&PendingWrite> {
         match &self.round {
             Round::Idle { .. } => None,
             Round::UnderWay { waiting, .. } => waiting.front(),
@@ -154,7 +154,7 @@
     }
 
     /// Takes the chunk that is to be written next.
-    pub fn take_chunk(&mut self) -> Option<PendingWrite> {
+    pub(super) fn take_chunk(&mut self) -> Option<PendingWrite> {
         match &mut self.round {
             Round::Idle { .. } => None,
             Round::UnderWay { waiting, .. } => waiting.pop_front(),
@@ -162,7 +162,7 @@
     }
 
     /// The store holds this chunk now, or no longer if there is no value.
-    pub fn chunk_stored(&mut self, key: &str, value: Option<&Value>) {
+    pub(super) fn chunk_stored(&mut self, key: &str, value: Option<&Value>) {
         match value {
             Some(value) => self.stored.insert(key.to_owned(), value.clone()),
             None => self.stored.remove(key),
@@ -171,7 +171,7 @@
 
     /// Ends the round if all its chunks are stored; returns the completions that are
     /// durable from now on. Called only while no transaction is in flight.
-    pub fn complete(&mut self) -> Option<Vec<CompletedAttempt>> {
+    pub(super) fn complete(&mut self) -> Option<Vec<CompletedAttempt>> {
         let Round::UnderWay {
             started,
             dirty_after,
@@ -195,7 +195,7 @@
 
     /// Abandons the round, if one is under way: the next starts at once and encodes the
     /// snapshot anew.
-    pub fn abort(&mut self) {
+    pub(super) fn abort(&mut self) {
         if let Round::UnderWay {
             dirty_since,
             dirty_after,
--- a/src/coordination/shard/persistence/token_bucket.rs
+++ b/src/coordination/shard/persistence/token_bucket.rs
@@ -14,7 +14,7 @@
 impl TokenBucket {
     /// Adds what has accrued since the last refill, up to `capacity` tokens. The first
     /// refill gives one second's worth.
-    pub fn refill(&mut self, rate_per_s: f64, capacity: f64, now: Instant) {
+    pub(super) fn refill(&mut self, rate_per_s: f64, capacity: f64, now: Instant) {
         self.tokens = match self.refilled_at {
             Some(last) => {
                 let elapsed_s = now.saturating_duration_since(last).as_secs_f64();
@@ -26,12 +26,12 @@
     }
 
     /// Tokens left; negative while a debt is paid off.
-    pub fn available(&self) -> f64 {
+    pub(super) fn available(&self) -> f64 {
         self.tokens
     }
 
     /// Spends one token.
-    pub fn spend_one(&mut self) {
+    pub(super) fn spend_one(&mut self) {
         self.tokens -= 1.0;
     }
 }
--- a/src/coordination/shard/persistence/transaction.rs
+++ b/src/coordination/shard/persistence/transaction.rs
@@ -23,7 +23,7 @@
 
 impl TransactionBuilder {
     /// An empty transaction, for a store that takes `txn_ops` mutations in one.
-    pub fn new(txn_ops: usize) -> Self {
+    pub(super) fn new(txn_ops: usize) -> Self {
         Self {
             purposes: Vec::new(),
             mutations: Vec::new(),
@@ -34,27 +34,27 @@
     }
 
     /// How many mutations it may hold.
-    pub fn max_mutations(&self) -> usize {
+    pub(super) fn max_mutations(&self) -> usize {
         self.max_mutations
     }
 
     /// Whether it holds nothing yet.
-    pub fn is_empty(&self) -> bool {
+    pub(super) fn is_empty(&self) -> bool {
         self.mutations.is_empty()
     }
 
     /// Whether it holds nothing but chunks of the snapshot.
-    pub fn is_snapshot_only(&self) -> bool {
+    pub(super) fn is_snapshot_only(&self) -> bool {
         self.snapshot_only
     }
 
     /// Whether a mutation whose value takes up to `value_bytes` can be added for certain.
-    pub fn has_room_for_value(&self, value_bytes: usize) -> bool {
+    pub(super) fn has_room_for_value(&self, value_bytes: usize) -> bool {
         self.has_room() && self.bytes + value_bytes <= MAX_TXN_BYTES
     }
 
     /// Whether this mutation can be added. A single one of any size can.
-    pub fn has_room_for(&self, mutation: &Mutation) -> bool {
+    pub(super) fn has_room_for(&self, mutation: &Mutation) -> bool {
         let within_bytes = self.bytes + mutation_size(mutation) <= MAX_TXN_BYTES;
         self.has_room() && (within_bytes || self.is_empty())
     }
@@ -64,24 +64,24 @@
     }
 
     /// Adds a page of the roster.
-    pub fn push_roster_page(&mut self, mutation: Mutation) {
+    pub(super) fn push_roster_page(&mut self, mutation: Mutation) {
         self.snapshot_only = false;
         self.push_mutation(mutation);
     }
 
     /// Adds what follows once the roster's pages are durable.
-    pub fn append_roster_purposes(&mut self, purposes: &mut Vec<WritePurpose>) {
+    pub(super) fn append_roster_purposes(&mut self, purposes: &mut Vec<WritePurpose>) {
         self.purposes.append(purposes);
     }
 
     /// Adds a durable record.
-    pub fn push_record(&mut self, write: PendingWrite) {
+    pub(super) fn push_record(&mut self, write: PendingWrite) {
         self.snapshot_only = false;
         self.push(write);
     }
 
     /// Adds a chunk of the snapshot.
-    pub fn push_chunk(&mut self, write: PendingWrite) {
+    pub(super) fn push_chunk(&mut self, write: PendingWrite) {
         self.push(write);
     }
 
@@ -96,7 +96,7 @@
     }
 
     /// The transaction, ready to be sent.
-    pub fn build(self) -> ShardWrite {
+    pub(super) fn build(self) -> ShardWrite {
         ShardWrite {
             purposes: self.purposes,
             mutations: self.mutations,
--- a/src/coordination/shard/persistence/write_limits.rs
+++ b/src/coordination/shard/persistence/write_limits.rs
@@ -36,7 +36,7 @@
 
 impl WriteLimits {
     /// The most chunks that the budget ever allows at once, in mutations.
-    pub fn chunk_burst(&self) -> f64 {
+    pub(super) fn chunk_burst(&self) -> f64 {
         self.snapshot_writes_per_s.max(MIN_CHUNK_BURST)
     }
 }
--- a/src/coordination/shard/persistence/write_queue.rs
+++ b/src/coordination/shard/persistence/write_queue.rs
@@ -49,7 +49,7 @@
 
 impl WriteQueue {
     /// The queue of a new leader: the store holds these chunks of a snapshot.
-    pub fn recovered(chunks: BTreeMap<String, Value>) -> Self {
+    pub(crate) fn recovered(chunks: BTreeMap<String, Value>) -> Self {
         Self {
             snapshots: SnapshotRounds::recovered(chunks),
             ..Self::default()
@@ -57,22 +57,27 @@
     }
 
     /// Takes in an entry of a page of the stored roster.
-    pub fn load_roster_entry(&mut self, page: u32, machine: MachineId, record: RosterRecord) {
+    pub(crate) fn load_roster_entry(
+        &mut self,
+        page: u32,
+        machine: MachineId,
+        record: RosterRecord,
+    ) {
         self.roster.load(page, machine, record);
     }
 
     /// Progress of a task that a snapshot has to hold.
-    pub fn progress_changed(&mut self, now: Instant) {
+    pub(crate) fn progress_changed(&mut self, now: Instant) {
         self.snapshots.note_change(now);
     }
 
     /// Whether some progress has not been durable for longer than `bound`.
-    pub fn is_stale(&self, now: Instant, bound: Duration) -> bool {
+    pub(crate) fn is_stale(&self, now: Instant, bound: Duration) -> bool {
         self.snapshots.unrecorded_for(now) > bound
     }
 
     /// The queues and the snapshot budget, as text for operators.
-    pub fn describe(&self, now: Instant) -> String {
+    pub(crate) fn describe(&self, now: Instant) -> String {
         format!(
             "writes: {} facts, {} roster entries and {} chunks wait, {:.0} chunks allowed now, unrecorded for {:?}",
             self.records.len(),
@@ -84,7 +89,7 @@
     }
 
     /// Queues a record.
-    pub fn push_record(&mut self, purpose: WritePurpose, mutation: Mutation) {
+    pub(crate) fn push_record(&mut self, purpose: WritePurpose, mutation: Mutation) {
         self.records.push_back(PendingWrite { purpose, mutation });
     }
 
--- a/src/coordination/shard/reconciler/mod.rs
+++ b/src/coordination/shard/reconciler/mod.rs
@@ -15,7 +15,7 @@
 mod unreconciled;
 
 pub use recovery::{RecoveredMachine, RecoveredState};
-pub use unreconciled::UnreconciledMachines;
+pub(super) use unreconciled::UnreconciledMachines;
 
 use std::time::{Duration, Instant};
 
--- a/src/coordination/shard/reconciler/unreconciled.rs
+++ b/src/coordination/shard/reconciler/unreconciled.rs
@@ -10,7 +10,7 @@
 /// fencing token lists its tasks, or until its lease expires or it is deleted. Invariant:
 /// no machine is added after failover.
 #[derive(Debug, Default)]
-pub struct UnreconciledMachines {
+pub(crate) struct UnreconciledMachines {
     machines: BTreeSet<MachineId>,
     /// By machine, the tasks that the last leader's snapshot placed there; empty if the
     /// snapshot was too large to hold placements.
@@ -19,28 +19,28 @@
 
 impl UnreconciledMachines {
     /// Whether a machine is unreconciled.
-    pub fn contains(&self, id: &str) -> bool {
+    pub(crate) fn contains(&self, id: &str) -> bool {
         self.machines.contains(id)
     }
 
     /// Whether every machine is reconciled.
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.machines.is_empty()
     }
 
     /// How many machines are unreconciled.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.machines.len()
     }
 
     /// The unreconciled machines, in the order of their names.
-    pub fn iter(&self) -> impl Iterator<Item = &MachineId> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &MachineId> {
         self.machines.iter()
     }
 
     /// Tasks that the last snapshot placed on machines that are unreconciled now; None if
     /// it holds no placements.
-    pub fn snapshot_placements(&self) -> Option<u32> {
+    pub(crate) fn snapshot_placements(&self) -> Option<u32> {
         if self.snapshot_placements.is_empty() {
             return None;
         }
--- a/src/coordination/shard/tests/simulation/cloud.rs
+++ b/src/coordination/shard/tests/simulation/cloud.rs
@@ -101,7 +101,7 @@
     }
 
     /// The machines that are booted and not deleted.
-    pub fn machines(&self) -> Vec<String> {
+    pub(crate) fn machines(&self) -> Vec<String> {
         self.workers.keys().cloned().collect()
     }
 }
--- a/src/coordination/shard/tests/simulation/leader.rs
+++ b/src/coordination/shard/tests/simulation/leader.rs
@@ -21,12 +21,12 @@
 
 impl Simulation {
     /// The leader is lost; its messages that are under way still arrive.
-    pub fn crash_leader(&mut self) {
+    pub(crate) fn crash_leader(&mut self) {
         self.leader = None;
     }
 
     /// A new leader recovers the shard, once the key-value store works.
-    pub fn elect_leader(&mut self) {
+    pub(crate) fn elect_leader(&mut self) {
         if let Some(until) = self.store.outage_until.filter(|until| *until > self.now) {
             self.run(until - self.now);
         }
--- a/src/coordination/shard/tests/simulation/rules.rs
+++ b/src/coordination/shard/tests/simulation/rules.rs
@@ -17,7 +17,7 @@
 const LAUNCH_UNDER_WAY: Duration = Duration::from_secs(30);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Rule {
+pub(super) enum Rule {
     /// A task runs at most once at any time (`ran_twice`).
     SingleExecution,
     /// Only submitted jobs run.
@@ -38,7 +38,7 @@
 /// A rule that was broken, and what broke it.
 #[derive(Debug)]
 #[expect(dead_code, reason = "printed by the tests that fail")]
-pub struct Violation {
+pub(crate) struct Violation {
     rule: Rule,
     subject: String,
 }
--- a/src/coordination/shard/tests/simulation/users.rs
+++ b/src/coordination/shard/tests/simulation/users.rs
@@ -9,7 +9,7 @@
 use crate::protocol::users::{JobSpec, Stage};
 
 impl Simulation {
-    pub fn submit(&mut self, id: &str, spec: JobSpec) {
+    pub(crate) fn submit(&mut self, id: &str, spec: JobSpec) {
         if lasts(self.store.outage_until, self.now) {
             return;
         }
@@ -21,7 +21,7 @@
         self.on_leader(|shard| shard.job_accepted(id, mod_revision, record, now));
     }
 
-    pub fn cancel(&mut self, id: &str) {
+    pub(crate) fn cancel(&mut self, id: &str) {
         if lasts(self.store.outage_until, self.now) {
             return;
         }
@@ -35,13 +35,13 @@
         });
     }
 
-    pub fn open_jobs(&self) -> Vec<String> {
+    pub(crate) fn open_jobs(&self) -> Vec<String> {
         self.store.open_jobs().map(|(id, _)| id.clone()).collect()
     }
 
     /// Cancels the first job whose tasks are all completed while its final record is
     /// not written yet, if there is one.
-    pub fn cancel_completed_job(&mut self) {
+    pub(crate) fn cancel_completed_job(&mut self) {
         let completed = self
             .store
             .open_jobs()
@@ -53,7 +53,7 @@
     }
 
     /// Cancels all services, which would never end; returns how many.
-    pub fn cancel_services(&mut self) -> usize {
+    pub(crate) fn cancel_services(&mut self) -> usize {
         let services = self.store.open_services();
         for id in &services {
             self.cancel(id);
--- a/src/coordination/shard/tests/simulation/workers.rs
+++ b/src/coordination/shard/tests/simulation/workers.rs
@@ -128,7 +128,7 @@
 
     /// Holds all messages of a machine. Half of the time the leader has delegated
     /// the renewal of its lease in advance.
-    pub fn partition(&mut self, id: &str, time: Duration) {
+    pub(crate) fn partition(&mut self, id: &str, time: Duration) {
         let delegated = self.rng.random_bool(0.5);
         let fencing_token = delegated.then_some(self.store.leader_token);
         let now = self.now;
@@ -137,25 +137,25 @@
         });
     }
 
-    pub fn hang(&mut self, id: &str, time: Duration) {
+    pub(crate) fn hang(&mut self, id: &str, time: Duration) {
         let until = Some(self.now + time);
         self.set_fault(id, |worker| worker.hangs_until = until);
     }
 
     /// Neither answers nor commands reach the machine for a while.
-    pub fn block_inbound(&mut self, id: &str, time: Duration) {
+    pub(crate) fn block_inbound(&mut self, id: &str, time: Duration) {
         let until = Some(self.now + time);
         self.set_fault(id, |worker| worker.inbound_unreachable_until = until);
     }
 
     /// The machine's heartbeats reach no controller for a while.
-    pub fn block_outbound(&mut self, id: &str, time: Duration) {
+    pub(crate) fn block_outbound(&mut self, id: &str, time: Duration) {
         let until = Some(self.now + time);
         self.set_fault(id, |worker| worker.outbound_unreachable_until = until);
     }
 
     /// The machine stops for good, but stays listed until it is deleted.
-    pub fn kill(&mut self, id: &str) {
+    pub(crate) fn kill(&mut self, id: &str) {
         self.set_fault(id, |worker| {
             worker.dead = true;
             worker.tasks.clear();
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -200,11 +200,11 @@
 mod task_id {
     use super::*;
 
-    pub fn serialize<S: Serializer>(task: &TaskId, out: S) -> Result<S::Ok, S::Error> {
+    pub(super) fn serialize<S: Serializer>(task: &TaskId, out: S) -> Result<S::Ok, S::Error> {
         out.collect_str(task)
     }
 
-    pub fn deserialize<'de, D: Deserializer<'de>>(input: D) -> Result<TaskId, D::Error> {
+    pub(super) fn deserialize<'de, D: Deserializer<'de>>(input: D) -> Result<TaskId, D::Error> {
         let text = std::borrow::Cow::<str>::deserialize(input)?;
         TaskId::parse(&text).ok_or_else(|| D::Error::custom("not a task id"))
     }
--- a/tests/support/settings.rs
+++ b/tests/support/settings.rs
@@ -9,7 +9,7 @@
 
 /// Another controller, as this one's settings name it.
 #[derive(Clone)]
-pub struct Peer {
+pub(crate) struct Peer {
     pub node_id: String,
     pub internal: SocketAddr,
 }
@@ -17,7 +17,7 @@
 /// What differs from test to test. By default a controller has no peers, listens on free
 /// ports, and reaches neither a cloud nor a key-value store.
 #[derive(Clone)]
-pub struct ControllerSettings {
+pub(crate) struct ControllerSettings {
     pub node_id: String,
     pub front: SocketAddr,
     pub internal: SocketAddr,
@@ -32,7 +32,7 @@
 }
 
 impl ControllerSettings {
-    pub fn new(node_id: &str) -> Self {
+    pub(crate) fn new(node_id: &str) -> Self {
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         Self {
             node_id: node_id.to_owned(),
@@ -48,7 +48,7 @@
         }
     }
 
-    pub fn to_json(&self) -> Value {
+    pub(crate) fn to_json(&self) -> Value {
         let peer = |peer: &Peer| json!({ "label": peer.node_id, "area": "north", "address": peer.internal });
         json!({
             "label": self.node_id, "area": "north", "front": self.front,
--- a/tests/trial/nodes.rs
+++ b/tests/trial/nodes.rs
@@ -19,14 +19,14 @@
 use valegap::storage::{job_transition, keys};
 
 /// The deadline of a request to the key-value store.
-pub const DEADLINE: Duration = Duration::from_secs(2);
+pub(crate) const DEADLINE: Duration = Duration::from_secs(2);
 /// A controller that knows the machine types, without background tasks and peers.
-pub fn node(node_id: &str, kv: SocketAddr) -> Arc<Node> {
+pub(crate) fn node(node_id: &str, kv: SocketAddr) -> Arc<Node> {
     node_among(node_id, kv, Vec::new())
 }
 
 /// The same with peers.
-pub fn node_among(node_id: &str, kv: SocketAddr, peers: Vec<Peer>) -> Arc<Node> {
+pub(crate) fn node_among(node_id: &str, kv: SocketAddr, peers: Vec<Peer>) -> Arc<Node> {
     let settings = ControllerSettings {
         kv,
         peers,
@@ -55,20 +55,20 @@
 }
 
 /// A key-value store and two controllers.
-pub async fn two_nodes() -> (KvStore, Arc<Node>, Arc<Node>) {
+pub(crate) async fn two_nodes() -> (KvStore, Arc<Node>, Arc<Node>) {
     let store = KvStore::default();
     let kv = crate::support::serve(routes(store.clone())).await;
     (store, node("n0", kv), node("n1", kv))
 }
 
-pub fn submission(id: &str, cores: f64) -> Value {
+pub(crate) fn submission(id: &str, cores: f64) -> Value {
     json!({ "NameId": id, "Repertoire": "sums", "Section": "red", "Form": "batch",
         "Tempo": "standard", "Voices": 2, "Cores": cores, "Accelerators": 0.0, "MemGb": 1.0,
         "Score": "img", "ImageGb": 0.1, "OneZone": false, "Scatter": false, "Borrowed": false,
         "DurationS": 1.5, "BreathS": 0.0, "FermataS": 0.0 })
 }
 
-pub async fn submit(node: &Arc<Node>, body: &Value) -> UserResponse {
+pub(crate) async fn submit(node: &Arc<Node>, body: &Value) -> UserResponse {
     answer(
         node,
         UserRequest::Submit(body.to_string().into_bytes()),
@@ -77,7 +77,7 @@
     .await
 }
 
-pub async fn cancel(node: &Arc<Node>, id: &str) -> UserResponse {
+pub(crate) async fn cancel(node: &Arc<Node>, id: &str) -> UserResponse {
     answer(
         node,
         UserRequest::Cancel(id.to_owned()),
@@ -86,17 +86,17 @@
     .await
 }
 
-pub async fn poll(node: &Arc<Node>, id: &str) -> UserResponse {
+pub(crate) async fn poll(node: &Arc<Node>, id: &str) -> UserResponse {
     answer(node, UserRequest::Poll(id.to_owned()), RequestOrigin::User).await
 }
 
-pub fn stage(reply: &UserResponse) -> String {
+pub(crate) fn stage(reply: &UserResponse) -> String {
     let body: Value = serde_json::from_slice(&reply.body).expect("JSON");
     body["Stage"].as_str().unwrap_or_default().to_owned()
 }
 
 /// Writes that a job is done, as its leader does; false if it is finished already.
-pub async fn finish(node: &Arc<Node>, id: &str) -> bool {
+pub(crate) async fn finish(node: &Arc<Node>, id: &str) -> bool {
     let Some(item) = node
         .clients
         .kv
--- a/tests/trial/support/cloud.rs
+++ b/tests/trial/support/cloud.rs
@@ -39,7 +39,7 @@
 }
 
 /// The routes of a cloud whose machines send heartbeats to these controllers.
-pub fn router(controllers: Vec<(String, SocketAddr)>) -> Router {
+pub(crate) fn router(controllers: Vec<(String, SocketAddr)>) -> Router {
     let cloud = Cloud {
         controllers: Arc::new(controllers),
         state: Arc::default(),
--- a/tests/trial/support/cluster.rs
+++ b/tests/trial/support/cluster.rs
@@ -28,7 +28,7 @@
 const CLOCK_SKEW_MS: f64 = 10.0;
 
 /// A controller's process; it is killed when this is dropped.
-pub struct Controller {
+pub(crate) struct Controller {
     settings: ControllerSettings,
     process: Child,
 }
@@ -61,20 +61,20 @@
     }
 }
 
-pub struct Cluster {
+pub(crate) struct Cluster {
     controllers: Vec<Controller>,
     client: HttpClient,
 }
 
 impl Cluster {
     /// Three controllers whose node ids begin with this name.
-    pub async fn start(name: &str) -> Self {
+    pub(crate) async fn start(name: &str) -> Self {
         Self::start_on(KvStore::default(), name, WORKER_LEASE_S).await
     }
 
     /// The same on a key-value store of the test's own, with workers' leases that last
     /// this long.
-    pub async fn start_on(store: KvStore, name: &str, worker_lease_s: f64) -> Self {
+    pub(crate) async fn start_on(store: KvStore, name: &str, worker_lease_s: f64) -> Self {
         let node_ids = [0, 1, 2].map(|n| format!("{name}{n}"));
         let fronts = [0, 1, 2].map(|_| unused_address());
         let peers: Vec<Peer> = node_ids
@@ -111,17 +111,17 @@
     }
 
     /// How many controllers there are.
-    pub fn size(&self) -> usize {
+    pub(crate) fn size(&self) -> usize {
         self.controllers.len()
     }
 
     /// Kills a controller for good; the ones after it move up.
-    pub fn kill(&mut self, at: usize) {
+    pub(crate) fn kill(&mut self, at: usize) {
         drop(self.controllers.remove(at));
     }
 
     /// Kills a controller and starts it again at once.
-    pub fn restart(&mut self, at: usize) {
+    pub(crate) fn restart(&mut self, at: usize) {
         let killed = self.controllers.remove(at);
         let settings = killed.settings.clone();
         drop(killed);
@@ -129,7 +129,7 @@
     }
 
     /// The shard's leader: the one that answers heartbeats.
-    pub async fn leader(&self) -> usize {
+    pub(crate) async fn leader(&self) -> usize {
         let heartbeat = json!({ "Stand": "vm-none", "Addr": "", "Instrument": "m4",
             "Hall": "north", "Borrowed": false, "Rehearsal": 1, "Bar": 1, "Baton": 0,
             "CueS": null, "Voices": [] });
@@ -148,7 +148,7 @@
     }
 
     /// The operators' status page of a controller.
-    pub async fn status_page(&self, at: usize) -> String {
+    pub(crate) async fn status_page(&self, at: usize) -> String {
         let internal = self.controllers[at].settings.internal;
         let page = self
             .client
@@ -165,7 +165,7 @@
     }
 
     /// Sends one request to the user API of a controller.
-    pub async fn request(
+    pub(crate) async fn request(
         &self,
         at: usize,
         method: Method,
@@ -179,7 +179,7 @@
 
     /// Repeats a request to one controller until its answer is as wanted; returns the
     /// answer's body.
-    pub async fn retry(
+    pub(crate) async fn retry(
         &self,
         at: usize,
         method: Method,
@@ -209,20 +209,20 @@
     }
 
     /// Waits until a controller is ready to serve.
-    pub async fn wait_until_ready(&self, at: usize) {
+    pub(crate) async fn wait_until_ready(&self, at: usize) {
         let ready = |answer: &Answer, _: &Value| answer.status == 200;
         self.retry(at, Method::GET, "/ready", None, ready).await;
     }
 
     /// Submits a job to one controller until it is accepted, or was before.
-    pub async fn submit(&self, at: usize, job: &Value) -> Value {
+    pub(crate) async fn submit(&self, at: usize, job: &Value) -> Value {
         let accepted = |answer: &Answer, _: &Value| answer.status == 201 || answer.status == 200;
         self.retry(at, Method::POST, "/v1/jobs", Some(job), accepted)
             .await
     }
 
     /// Cancels a job at one controller until it is cancelled or done; returns its stage.
-    pub async fn cancel(&self, at: usize, id: &str) -> Value {
+    pub(crate) async fn cancel(&self, at: usize, id: &str) -> Value {
         let path = format!("/v1/jobs/{id}/cancel");
         let finished = |answer: &Answer, value: &Value| {
             answer.status == 200 && (value["Stage"] == "cancelled" || value["Stage"] == "done")
@@ -232,7 +232,7 @@
     }
 
     /// Polls a job at one controller until it is in this stage.
-    pub async fn wait_for_stage(&self, at: usize, id: &str, stage: &str) {
+    pub(crate) async fn wait_for_stage(&self, at: usize, id: &str, stage: &str) {
         let path = format!("/v1/jobs/{id}");
         let in_stage =
             |answer: &Answer, value: &Value| answer.status == 200 && value["Stage"] == stage;
@@ -270,7 +270,7 @@
 }
 
 /// A submission of a job, as its user sends it.
-pub fn submission(id: &str, kind: &str, tasks: u32) -> Value {
+pub(crate) fn submission(id: &str, kind: &str, tasks: u32) -> Value {
     json!({ "NameId": id, "Repertoire": "sums", "Section": "red", "Form": kind,
         "Tempo": "standard", "Voices": tasks, "Cores": 1.0, "Accelerators": 0.0, "MemGb": 1.0,
         "Score": "img", "ImageGb": 0.1, "OneZone": false, "Scatter": false, "Borrowed": false,
--- a/tests/trial/support/kv.rs
+++ b/tests/trial/support/kv.rs
@@ -122,7 +122,7 @@
 
 /// The simulated store.
 #[derive(Clone, Default)]
-pub struct KvStore {
+pub(crate) struct KvStore {
     store: Arc<Mutex<Store>>,
     changed: Arc<Notify>,
     delayed: Arc<Mutex<Delayed>>,
@@ -131,7 +131,7 @@
 impl KvStore {
     /// Restores recorded keys with their revisions, except those whose lease has
     /// expired since.
-    pub fn restore(&self, items: &[KeyValue]) {
+    pub(crate) fn restore(&self, items: &[KeyValue]) {
         let mut store = self.store.lock().expect("store");
         for item in items.iter().filter(|item| item.lease.is_none()) {
             let stored = StoredKey {
@@ -145,23 +145,23 @@
     }
 
     /// Commits a transaction without a sender; false if a precondition fails.
-    pub fn apply(&self, txn: Transaction) -> bool {
+    pub(crate) fn apply(&self, txn: Transaction) -> bool {
         self.execute(txn).status() == StatusCode::OK
     }
 
     /// The next transaction that writes this key gets no answer, and is committed only
     /// by [`Self::commit_delayed`].
-    pub fn delay_next_write(&self, key: &str) {
+    pub(crate) fn delay_next_write(&self, key: &str) {
         self.delayed.lock().expect("delayed").key = Some(key.to_owned());
     }
 
     /// How many transactions are delayed.
-    pub fn delayed(&self) -> usize {
+    pub(crate) fn delayed(&self) -> usize {
         self.delayed.lock().expect("delayed").transactions.len()
     }
 
     /// Commits the delayed transactions; for each, whether its preconditions held.
-    pub fn commit_delayed(&self) -> Vec<bool> {
+    pub(crate) fn commit_delayed(&self) -> Vec<bool> {
         let mut delayed = self.delayed.lock().expect("delayed");
         let transactions = std::mem::take(&mut delayed.transactions);
         drop(delayed);
@@ -170,7 +170,7 @@
     }
 
     /// The value of a key.
-    pub fn value(&self, key: &str) -> Option<Value> {
+    pub(crate) fn value(&self, key: &str) -> Option<Value> {
         let store = self.store.lock().expect("store");
         store.keys.get(key).map(|stored| stored.value.clone())
     }
@@ -203,7 +203,7 @@
 }
 
 /// The routes of a store.
-pub fn routes(service: KvStore) -> Router {
+pub(crate) fn routes(service: KvStore) -> Router {
     let ticking = service.clone();
     tokio::spawn(async move {
         loop {
--- a/tests/trial/support/mod.rs
+++ b/tests/trial/support/mod.rs
@@ -1,9 +1,9 @@
 //! What surrounds the controllers, simulated on loopback, and the controllers themselves.
 
-pub mod cloud;
-pub mod cluster;
-pub mod kv;
-pub mod worker;
+pub(crate) mod cloud;
+pub(crate) mod cluster;
+pub(crate) mod kv;
+pub(crate) mod worker;
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 use tokio::net::TcpListener;
 
 /// Serves a simulated service on a free port.
-pub async fn serve(router: Router) -> SocketAddr {
+pub(crate) async fn serve(router: Router) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let addr = listener.local_addr().expect("an address");
     tokio::spawn(async move {
--- a/tests/trial/support/worker.rs
+++ b/tests/trial/support/worker.rs
@@ -37,7 +37,7 @@
 static ATTEMPTS: Mutex<BTreeMap<(String, u64), GangAttempt>> = Mutex::new(BTreeMap::new());
 
 /// Uploads the description of a gang.
-pub fn upload_gang(job: &str, tasks: u32) {
+pub(crate) fn upload_gang(job: &str, tasks: u32) {
     GANGS.lock().expect("gangs").insert(job.to_owned(), tasks);
 }
 
@@ -169,7 +169,7 @@
 }
 
 /// Runs a worker until its machine is deleted.
-pub async fn run(id: String, spot: bool, controllers: Arc<Vec<(String, SocketAddr)>>) {
+pub(crate) async fn run(id: String, spot: bool, controllers: Arc<Vec<(String, SocketAddr)>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let addr = listener.local_addr().expect("an address").to_string();
     let machine: Shared = Arc::new(Mutex::new(Machine {
--- a/tests/upgrade/cluster.rs
+++ b/tests/upgrade/cluster.rs
@@ -47,7 +47,7 @@
 }
 
 /// The key-value store's keys, the workers, and the rentals that leaders requested.
-pub struct Cluster {
+pub(crate) struct Cluster {
     pub keys: BTreeMap<String, Value>,
     workers: BTreeMap<String, WorkerHeartbeat>,
     pub rentals: Vec<String>,
@@ -56,7 +56,7 @@
 }
 
 impl Cluster {
-    pub fn new(recorded: &Recorded) -> Self {
+    pub(crate) fn new(recorded: &Recorded) -> Self {
         let mut keys = recorded.values();
         // The record of the crashed leader is deleted with its lease.
         keys.remove(&keys::leader());
@@ -84,7 +84,7 @@
     }
 
     /// A new leader recovers the shard.
-    pub fn recover(&mut self) -> Shard {
+    pub(crate) fn recover(&mut self) -> Shard {
         self.fencing_token = FencingToken::new(self.fencing_token.revision() + 10);
         let stored = StoredRecords {
             jobs: self.items(keys::JOBS),
@@ -102,7 +102,7 @@
     }
 
     /// Executes all that a leader decides, until it decides no more.
-    pub fn reconcile(&mut self, shard: &mut Shard) {
+    pub(crate) fn reconcile(&mut self, shard: &mut Shard) {
         shard.reconcile(self.now);
         loop {
             let actions = shard.take_actions();
@@ -187,7 +187,7 @@
     }
 
     /// All workers send heartbeats, and execute the commands in the answers.
-    pub fn heartbeat(&mut self, shard: &mut Shard) {
+    pub(crate) fn heartbeat(&mut self, shard: &mut Shard) {
         let machines: Vec<String> = self.workers.keys().cloned().collect();
         for machine in machines {
             let Some(worker) = self.workers.get_mut(&machine) else {
@@ -204,7 +204,7 @@
     }
 
     /// A leader serves for one term.
-    pub fn serve(&mut self, shard: &mut Shard) {
+    pub(crate) fn serve(&mut self, shard: &mut Shard) {
         for _ in 0..TERM_S {
             self.now += Duration::from_secs(1);
             shard.tick(self.now);
@@ -214,7 +214,7 @@
     }
 
     /// Every second task that runs completes.
-    pub fn complete_some(&mut self) {
+    pub(crate) fn complete_some(&mut self) {
         for worker in self.workers.values_mut() {
             let running = worker.tasks.iter_mut();
             let running = running.filter(|line| line.state == TaskState::Running);
@@ -228,14 +228,14 @@
         }
     }
 
-    pub fn running(&self, job: &str) -> usize {
+    pub(crate) fn running(&self, job: &str) -> usize {
         let lines = self.workers.values().flat_map(|heartbeat| &heartbeat.tasks);
         let runs = |line: &&TaskStatus| &*line.task.job == job && line.state == TaskState::Running;
         lines.filter(runs).count()
     }
 
     /// What a leader of an older version would read now; it must be able to read all of it.
-    pub fn read_by(&self, version: Version) -> Reading {
+    pub(crate) fn read_by(&self, version: Version) -> Reading {
         let reading = version.read(&self.keys);
         let lost = &reading.unreadable;
         match version {
--- a/tests/upgrade/older.rs
+++ b/tests/upgrade/older.rs
@@ -158,7 +158,7 @@
 
 /// What an older owner makes of the stored keys.
 #[derive(Debug, Default, PartialEq)]
-pub struct Reading {
+pub(crate) struct Reading {
     /// Unfinished jobs by id, with their numbers of tasks.
     pub open: BTreeMap<String, u32>,
     /// Jobs that are over: by id, whether they are done.
@@ -177,7 +177,7 @@
 
 /// An older version, as far as its rules of reading differ.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Version {
+pub(crate) enum Version {
     /// 5161cb0.
     BeforeGangs,
     /// bee35ef.
@@ -190,7 +190,7 @@
 
 impl Version {
     /// Reads all keys as an owner of this version does.
-    pub fn read(self, keys: &BTreeMap<String, Value>) -> Reading {
+    pub(crate) fn read(self, keys: &BTreeMap<String, Value>) -> Reading {
         let mut reading = Reading::default();
         for (key, value) in keys {
             let read = match self {
