--- a/src/coordination/shard/autoscaler/capacity.rs
+++ b/src/coordination/shard/autoscaler/capacity.rs
@@ -203,7 +203,7 @@
 
     /// Whether a machine is about to be removed, or is booting in a zone that is partitioned.
     pub(super) fn is_leaving(&self, machine: &Machine) -> bool {
-        machine.deleting
+        machine.is_deleting()
             || machine.health.is_cordoned()
             || machine.preemption_notice.is_some()
             || machine.vanished
--- a/src/coordination/shard/autoscaler/drain.rs
+++ b/src/coordination/shard/autoscaler/drain.rs
@@ -37,7 +37,7 @@
     /// on them ends by itself.
     pub(super) fn consolidate(&mut self, capacities: &[Capacity], pick: bool, now: Instant) {
         let max_at_once = self.autoscaler_view().max_drained_at_once();
-        let draining = self.machines.ids(|m| m.draining && !m.deleting);
+        let draining = self.machines.ids(|m| m.draining && !m.is_deleting());
         let mut sources: Vec<MachineId> = draining
             .iter()
             .filter(|id| self.machines.get(id).is_some_and(hosts_services))
@@ -78,7 +78,7 @@
     pub(super) fn undrain_used(&mut self, capacities: &[Capacity]) {
         let used = capacities.iter().filter(|capacity| capacity.used);
         for id in used.filter_map(|capacity| capacity.machine.as_ref()) {
-            let drains = |m: &Machine| m.draining && !m.deleting;
+            let drains = |m: &Machine| m.draining && !m.is_deleting();
             if self.machines.get(id).is_some_and(drains)
                 && let Some(machine) = self.machines.get_mut(id)
             {
--- a/src/coordination/shard/autoscaler/scale_in.rs
+++ b/src/coordination/shard/autoscaler/scale_in.rs
@@ -84,10 +84,9 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        if machine.deleting {
+        if !machine.begin_deletion() {
             return;
         }
-        machine.deleting = true;
         tracing::info!(
             machine = %id,
             age_s = now.saturating_duration_since(machine.rented).as_secs(),
@@ -106,12 +105,10 @@
 
     /// Requests deletions again that the cloud has not answered.
     pub(super) fn retry_deletions(&mut self, now: Instant) {
-        let due = self
-            .machines
-            .ids(|m| m.deletion_retry.is_some_and(|at| at <= now));
+        let due = self.machines.ids(|m| m.deletion_retry_is_due(now));
         for id in &due {
             if let Some(machine) = self.machines.get_mut(id) {
-                machine.deletion_retry = None;
+                machine.note_deletion_retried();
             }
         }
         self.delete(&due);
@@ -123,7 +120,7 @@
             if done {
                 self.remove_deleted(id, now);
             } else if let Some(machine) = self.machines.get_mut(id) {
-                machine.deletion_retry = Some(now + CLOUD_RETRY);
+                machine.retry_deletion_at(now + CLOUD_RETRY);
             }
         }
         self.needs_pass = true;
@@ -170,7 +167,7 @@
             .filter(|capacity| !capacity.used)
             .filter_map(|capacity| capacity.machine.as_ref())
             .collect();
-        let machines = self.machines.values().filter(|m| !m.deleting);
+        let machines = self.machines.values().filter(|m| !m.is_deleting());
         machines
             .filter_map(|machine| {
                 let unused = unused.contains(&machine.id);
@@ -216,7 +213,7 @@
             return Some(DeletionReason::Drained);
         }
         let idle = machine
-            .idle_since
+            .idle_since()
             .is_some_and(|since| now.saturating_duration_since(since) >= self.policy.idle);
         let not_needed =
             idle && self.all_reconciled && unused && age + DELETION_LEAD > MINIMUM_BILLED;
--- a/src/coordination/shard/autoscaler/service_moves.rs
+++ b/src/coordination/shard/autoscaler/service_moves.rs
@@ -125,7 +125,7 @@
         }
         self.machines
             .values()
-            .filter(|m| *m.zone != *main_zone && m.token_acknowledged && !m.deleting)
+            .filter(|m| *m.zone != *main_zone && m.token_acknowledged && !m.is_deleting())
             .find_map(|machine| self.move_to_zone(machine, main_zone, capacities))
     }
 
@@ -184,7 +184,7 @@
         let mut sources = self
             .machines
             .values()
-            .filter(|m| m.draining && !m.deleting && hosts_services(m))
+            .filter(|m| m.draining && !m.is_deleting() && hosts_services(m))
             .peekable();
         if sources.peek().is_none() {
             return reserved;
@@ -211,7 +211,7 @@
         let mut hosts: Vec<ServiceHost> = self
             .machines
             .values()
-            .filter(|m| !m.draining && !m.deleting && hosts_services(m))
+            .filter(|m| !m.draining && !m.is_deleting() && hosts_services(m))
             .filter_map(|machine| {
                 let free = self.free_beside_services(machine)?;
                 Some(ServiceHost { machine, free })
--- a/src/coordination/shard/dispatch/answers.rs
+++ b/src/coordination/shard/dispatch/answers.rs
@@ -4,7 +4,7 @@
 
 use crate::coordination::shard::autoscaler::DeletionReason;
 use crate::coordination::shard::machines::HeartbeatNumber;
-use crate::coordination::shard::{Attempt, CommandOutcome, Phase, Shard};
+use crate::coordination::shard::{Attempt, CommandOutcome, Machine, Phase, Shard};
 use crate::protocol::workers::Command;
 use crate::protocol::{AttemptId, MachineId};
 
@@ -14,7 +14,7 @@
 
 impl Shard {
     /// A batch of commands was answered or failed. Called by the action executor once for
-    /// each [`super::super::Action::Command`].
+    /// each [`crate::coordination::shard::Action::Command`].
     pub fn command_answered(
         &mut self,
         id: &MachineId,
@@ -27,11 +27,7 @@
             return;
         };
         let batch = machine.commands.complete(number);
-        for command in sent {
-            if let Some(attempt) = machine.attempts.get_mut(&command.attempt_id()) {
-                note_outcome(attempt, command, &outcome);
-            }
-        }
+        note_outcomes(machine, sent, &outcome);
         let is_executed = matches!(outcome, CommandOutcome::Executed(_));
         match outcome {
             CommandOutcome::Executed(heartbeat) | CommandOutcome::Refused(heartbeat) => {
@@ -81,6 +77,15 @@
     }
 }
 
+/// Notes on a machine's attempts what became of the commands for them.
+fn note_outcomes(machine: &mut Machine, sent: &[Command], outcome: &CommandOutcome) {
+    for command in sent {
+        if let Some(attempt) = machine.attempts.get_mut(&command.attempt_id()) {
+            note_outcome(attempt, command, outcome);
+        }
+    }
+}
+
 /// Notes on an attempt what became of a command for it.
 fn note_outcome(attempt: &mut Attempt, command: &Command, outcome: &CommandOutcome) {
     attempt.in_flight = false;
--- a/src/coordination/shard/dispatch/mod.rs
+++ b/src/coordination/shard/dispatch/mod.rs
@@ -43,7 +43,7 @@
         let ids = self.machines.ids(|machine| {
             machine.load.has_pending_commands
                 && machine.token_acknowledged
-                && !machine.deleting
+                && !machine.is_deleting()
                 && machine.commands.is_free(now)
         });
         for id in ids {
--- a/src/coordination/shard/machines/mod.rs
+++ b/src/coordination/shard/machines/mod.rs
@@ -10,6 +10,8 @@
 mod attempt;
 mod command_channel;
 mod deleted;
+mod deletion;
+mod image_cache;
 mod resources;
 mod set;
 mod worker_lease;
@@ -23,6 +25,8 @@
 pub(super) use worker_lease::WorkerLease;
 
 use admission::Admission;
+use deletion::Deletion;
+use image_cache::ImageCache;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -62,20 +66,17 @@
     pub attempts: BTreeMap<AttemptId, Attempt>,
     /// What the attempts amount to, as last counted by [`Machines::refresh`].
     pub load: MachineLoad,
-    /// Images that it is assumed to cache, most recently used last.
-    pub images: Vec<String>,
+    images: ImageCache,
     /// When it was rented, as far as is known.
     pub rented: Instant,
-    /// Since when no attempt may run on it.
-    pub idle_since: Option<Instant>,
+    /// Since when it has been up without an attempt that may run on it.
+    idle_since: Option<Instant>,
     /// What attempts on it have shown of it.
     pub health: MachineHealth,
     /// Whether it is being drained, to be deleted once it is empty.
     pub draining: bool,
-    /// Whether its deletion was decided; it is never taken back.
-    pub deleting: bool,
-    /// When a deletion that got no answer is requested again.
-    pub deletion_retry: Option<Instant>,
+    /// How far its deletion is.
+    deletion: Deletion,
     /// Whether the cloud's machine list has held it.
     pub listed: bool,
     /// Whether the cloud's machine list lacks it though it should hold it.
@@ -101,13 +102,12 @@
             preemption_notice: None,
             attempts: BTreeMap::new(),
             load: MachineLoad::default(),
-            images: Vec::new(),
+            images: ImageCache::default(),
             rented: now,
             idle_since: None,
             health: MachineHealth::default(),
             draining: false,
-            deleting: false,
-            deletion_retry: None,
+            deletion: Deletion::default(),
             listed: false,
             vanished: false,
             commands: CommandChannel::default(),
@@ -140,7 +140,7 @@
 
     /// Whether the write of its roster entry has to be queued now; from then on it is.
     pub fn request_admission(&mut self) -> bool {
-        let is_due = self.admission == Admission::Unrecorded && !self.deleting;
+        let is_due = self.admission == Admission::Unrecorded && !self.is_deleting();
         if is_due {
             self.admission = Admission::Requested;
         }
@@ -158,9 +158,61 @@
         self.last_contact.is_none() && !self.is_admitted()
     }
 
-    /// Whether its worker is expected to send heartbeats to us.
+    /// Whether its deletion was decided.
+    pub fn is_deleting(&self) -> bool {
+        self.deletion != Deletion::None
+    }
+
+    /// Decides its deletion; false if it was decided before.
+    pub fn begin_deletion(&mut self) -> bool {
+        let is_new = !self.is_deleting();
+        if is_new {
+            self.deletion = Deletion::Pending;
+        }
+        is_new
+    }
+
+    /// Puts the next request to delete it off until a moment.
+    pub fn retry_deletion_at(&mut self, at: Instant) {
+        self.deletion = Deletion::RetryAt(at);
+    }
+
+    /// Whether its deletion has to be requested again now.
+    pub fn deletion_retry_is_due(&self, now: Instant) -> bool {
+        matches!(self.deletion, Deletion::RetryAt(at) if at <= now)
+    }
+
+    /// Its deletion is requested again.
+    pub fn note_deletion_retried(&mut self) {
+        self.deletion = Deletion::Pending;
+    }
+
+    /// Since when it has been up without an attempt that may run on it.
+    pub fn idle_since(&self) -> Option<Instant> {
+        self.idle_since
+    }
+
+    /// It is idle from now on: its worker has been heard from for the first time.
+    pub fn begin_idle(&mut self, now: Instant) {
+        self.idle_since = Some(now);
+    }
+
+    /// An attempt may run on it from now on.
+    pub fn note_busy(&mut self) {
+        self.idle_since = None;
+    }
+
+    /// An attempt on it has ended: it is idle from now on, or since before, unless another
+    /// attempt may run on it.
+    pub fn note_idle_if_unused(&mut self, now: Instant) {
+        if !self.busy() {
+            self.idle_since.get_or_insert(now);
+        }
+    }
+
+    /// Whether its worker is expected to send heartbeats to this leader.
     pub fn expects_heartbeats(&self) -> bool {
-        !self.deleting && !self.is_booting()
+        !self.is_deleting() && !self.is_booting()
     }
 
     /// Time since a heartbeat of its worker arrived, as an answer or by itself.
@@ -183,7 +235,7 @@
             && self.is_admitted()
             && self.epochs.is_live()
             && !self.commands.is_unreachable()
-            && !self.deleting
+            && !self.is_deleting()
             && !self.health.is_cordoned()
             && !self.health.is_quarantined(now)
             && !self.draining
@@ -219,19 +271,14 @@
         self.attempts.values().any(|a| !a.ended())
     }
 
-    /// Notes that an image is used; of the others, it is assumed to cache the `most` last
-    /// used in all.
-    pub fn use_image(&mut self, image: &str, most: usize) {
-        self.images.retain(|held| held != image);
-        self.images.push(image.to_owned());
-        if self.images.len() > most {
-            self.images.remove(0);
-        }
+    /// Notes that an image is used on it.
+    pub fn use_image(&mut self, image: &str) {
+        self.images.note_use(image);
     }
 
     /// Whether it is assumed to cache an image.
     pub fn has_image(&self, image: &str) -> bool {
-        self.images.iter().any(|held| held == image)
+        self.images.contains(image)
     }
 }
 
--- a/src/coordination/shard/reconciler/mod.rs
+++ b/src/coordination/shard/reconciler/mod.rs
@@ -116,7 +116,7 @@
         }
         let machine = self.machines.get_mut(&id)?;
         if machine.last_contact.is_none() {
-            machine.idle_since = Some(now);
+            machine.begin_idle(now);
         }
         machine.describe(
             &heartbeat.addr,
@@ -155,13 +155,7 @@
         };
         let number = HeartbeatNumber::from(heartbeat);
         if machine.epochs.is_outdated(number) {
-            // A copy or a late message, or the machine came back with a worker process
-            // that started over: only an answer of the machine itself shows which.
-            if number < machine.epochs.newest() && machine.commands.retry_is_due(now) {
-                let retry_at = now + OUTDATED_HEARTBEAT_PROBE_PAUSE;
-                machine.commands.retry_at(retry_at);
-                self.probe(id, heartbeat.agent_epoch);
-            }
+            self.probe_if_behind(id, number, now);
             return false;
         }
         machine.last_contact = Some(now);
@@ -185,6 +179,20 @@
         true
     }
 
+    /// Probes a machine whose heartbeat is older than the newest one: it is a late message, or
+    /// the worker process has started over, and only an answer of the machine shows which.
+    fn probe_if_behind(&mut self, id: &MachineId, number: HeartbeatNumber, now: Instant) {
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
+        if number < machine.epochs.newest() && machine.commands.retry_is_due(now) {
+            machine
+                .commands
+                .retry_at(now + OUTDATED_HEARTBEAT_PROBE_PAUSE);
+            self.probe(id, number.agent_epoch);
+        }
+    }
+
     /// The worker has seen this leader's fencing token: it refuses all older commands.
     fn note_token_acknowledged(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.get_mut(id)
--- a/src/coordination/shard/reconciler/outcomes.rs
+++ b/src/coordination/shard/reconciler/outcomes.rs
@@ -23,9 +23,7 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        if !machine.busy() {
-            machine.idle_since.get_or_insert(now);
-        }
+        machine.note_idle_if_unused(now);
         let Some(attempt) = machine.attempts.get_mut(key) else {
             return;
         };
--- a/src/coordination/shard/reconciler/removal.rs
+++ b/src/coordination/shard/reconciler/removal.rs
@@ -19,9 +19,7 @@
         let Some(attempt) = machine.attempts.remove(key) else {
             return;
         };
-        if !machine.busy() {
-            machine.idle_since.get_or_insert(now);
-        }
+        machine.note_idle_if_unused(now);
         if !attempt.ended() {
             self.release(id, &key.task);
         }
--- a/src/coordination/shard/reconciler/task_list.rs
+++ b/src/coordination/shard/reconciler/task_list.rs
@@ -6,9 +6,6 @@
 use crate::protocol::workers::{TaskState, TaskStatus};
 use crate::protocol::{AttemptId, MachineId};
 
-/// Images that a machine is assumed to cache; the worker decides what it really keeps.
-const CACHED_IMAGES: usize = 12;
-
 impl Shard {
     /// Brings a machine's attempts in line with the list of a worker that has acknowledged
     /// this leader's fencing token, and to which therefore no older command applies.
@@ -71,7 +68,7 @@
             tracing::debug!(machine = %id, task = %status.task, "task is running");
         }
         if let Some(spec) = attempt.spec.clone().filter(|_| phase.has_image()) {
-            machine.use_image(&spec.image, CACHED_IMAGES);
+            machine.use_image(&spec.image);
         }
         if let Phase::Ended(outcome) = phase
             && !had_ended
@@ -107,7 +104,7 @@
         }
         if let Some(machine) = self.machines.get_mut(id) {
             if is_live {
-                machine.idle_since = None;
+                machine.note_busy();
             }
             machine.attempts.insert(key.clone(), attempt);
         }
--- a/src/coordination/shard/scheduler/mod.rs
+++ b/src/coordination/shard/scheduler/mod.rs
@@ -184,7 +184,7 @@
             return;
         };
         job.put(index, machine_id);
-        machine.idle_since = None;
+        machine.note_busy();
         let task = TaskId {
             job: id.clone(),
             index,
--- a/src/coordination/shard/summary.rs
+++ b/src/coordination/shard/summary.rs
@@ -66,7 +66,7 @@
         }
         for machine in self.machines.values() {
             let state = match machine {
-                m if m.deleting => "being returned",
+                m if m.is_deleting() => "being returned",
                 m if m.draining => "being emptied",
                 m if m.last_contact.is_none() => "not heard yet",
                 m if m.open(now, &self.policy) => "open",
--- a/src/coordination/shard/tests/agent_epochs.rs
+++ b/src/coordination/shard/tests/agent_epochs.rs
@@ -64,16 +64,19 @@
     old.sequence = 1;
     script.receive(&old);
     let probe = script.probes().remove(0);
-    assert!(!script.machine("vm-1").deleting, "it may be a duplicate");
+    assert!(
+        !script.machine("vm-1").is_deleting(),
+        "it may be a duplicate"
+    );
     // The answer of a worker that has not restarted has newer numbers.
     let newer = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.answer(&probe, CommandOutcome::Executed(newer));
-    assert!(!script.machine("vm-1").deleting);
+    assert!(!script.machine("vm-1").is_deleting());
     script.now += Duration::from_secs(3);
     script.receive(&old);
     let probe = script.probes().remove(0);
     script.answer(&probe, CommandOutcome::Refused(old));
-    assert!(script.machine("vm-1").deleting);
+    assert!(script.machine("vm-1").is_deleting());
 }
 
 /// Found by the simulation with duplicated heartbeats: the first heartbeat from a machine was a
--- a/src/coordination/shard/tests/combined_faults.rs
+++ b/src/coordination/shard/tests/combined_faults.rs
@@ -85,7 +85,7 @@
     let policy = script.shard.policy.clone();
     assert!(!script.machine("vm-1").open(script.now, &policy));
     assert!(
-        !script.machine("vm-1").deleting,
+        !script.machine("vm-1").is_deleting(),
         "its heartbeats may arrive again"
     );
     assert!(script.machine("vm-2").open(script.now, &policy));
@@ -97,10 +97,10 @@
         answers(&mut script);
     }
     assert!(
-        script.machine("vm-1").deleting,
+        script.machine("vm-1").is_deleting(),
         "its tasks would be lost again and again"
     );
-    assert!(!script.machine("vm-2").deleting);
+    assert!(!script.machine("vm-2").is_deleting());
 }
 
 /// After a failover a machine that answers its probe gets work at once: its worker takes a while to
--- a/src/coordination/shard/tests/delegations.rs
+++ b/src/coordination/shard/tests/delegations.rs
@@ -32,14 +32,14 @@
     script.reconcile();
     advance_with_heartbeats_of(&mut script, "vm-2", 120);
     assert!(script.launches().is_empty(), "it may still run there");
-    assert!(!script.machine("vm-1").deleting);
+    assert!(!script.machine("vm-1").is_deleting());
     // The revocation is written at once here. The delegate may answer a little longer, and
     // the worker's lease runs from its last answer.
     script.shard.revoke("beta");
     script.reconcile();
     for _ in 0..26 {
         advance_with_heartbeats_of(&mut script, "vm-2", 1);
-        let at_once = script.machine("vm-1").deleting;
+        let at_once = script.machine("vm-1").is_deleting();
         assert!(script.launches().is_empty() || at_once);
     }
     assert_eq!(
--- a/src/coordination/shard/tests/failing_jobs.rs
+++ b/src/coordination/shard/tests/failing_jobs.rs
@@ -62,7 +62,7 @@
         script.answer(&batch, CommandOutcome::Executed(heartbeat));
     }
     for id in machines {
-        if script.shard.machines().contains(id) && !script.machine(id).deleting {
+        if script.shard.machines().contains(id) && !script.machine(id).is_deleting() {
             let heartbeat = heartbeat_with(script, id, behavior);
             script.shard.heartbeat(&heartbeat, script.now);
         }
@@ -160,7 +160,10 @@
         script.all_ended(id, AttemptOutcome::Done);
     }
     run_one_second(&mut script, &MACHINES, &faulty);
-    assert!(script.machine("vm-1").deleting, "sound jobs failed there");
+    assert!(
+        script.machine("vm-1").is_deleting(),
+        "sound jobs failed there"
+    );
 }
 
 /// One machine of many is faulty: the tasks that failed on it are not held back by a backoff.
@@ -223,7 +226,9 @@
     let remaining = MACHINES
         .iter()
         .filter(|id| script.shard.machines().contains(id));
-    let remaining = remaining.filter(|id| !script.machine(id).deleting).count();
+    let remaining = remaining
+        .filter(|id| !script.machine(id).is_deleting())
+        .count();
     assert!(remaining <= 1, "{remaining} machines are held for retries");
 }
 
--- a/src/coordination/shard/tests/failover.rs
+++ b/src/coordination/shard/tests/failover.rs
@@ -87,12 +87,12 @@
             };
             script.answer(&probe, outcome);
         }
-        let deleted = script.machine("vm-00").deleting;
+        let deleted = script.machine("vm-00").is_deleting();
         assert!(step > 0 || !deleted, "half of them are unreconciled");
         script.advance(Duration::from_millis(1100));
     }
-    assert!(script.machine("vm-00").deleting);
-    assert!(!script.machine("vm-20").deleting);
+    assert!(script.machine("vm-00").is_deleting());
+    assert!(!script.machine("vm-20").is_deleting());
 }
 
 /// Found in a full-size run: after a failover during a network partition, hundreds of
@@ -116,7 +116,7 @@
         script.advance(Duration::from_secs(1));
     }
     assert!(script.shard.wants_inventories(), "two are unreconciled");
-    let deleted = ["vm-1", "vm-2"].map(|id| script.machine(id).deleting);
+    let deleted = ["vm-1", "vm-2"].map(|id| script.machine(id).is_deleting());
     assert_eq!(deleted, [false, false], "run-1 may need both");
 }
 
--- a/src/coordination/shard/tests/scale/fleet.rs
+++ b/src/coordination/shard/tests/scale/fleet.rs
@@ -66,7 +66,7 @@
     }
     let open = cluster.script.shard.machines().values();
     let open = open
-        .filter(|m| m.agent_epoch() == Some(2) && m.token_acknowledged && !m.deleting)
+        .filter(|m| m.agent_epoch() == Some(2) && m.token_acknowledged && !m.is_deleting())
         .count();
     assert_eq!(open, MACHINES / 4);
 }
--- a/src/coordination/shard/tests/scale_in.rs
+++ b/src/coordination/shard/tests/scale_in.rs
@@ -12,7 +12,7 @@
 fn idle_for(script: &mut ScriptedShard, seconds: u64) {
     for _ in 0..seconds {
         script.advance(Duration::from_secs(1));
-        if !script.machine("vm-1").deleting {
+        if !script.machine("vm-1").is_deleting() {
             script.heartbeat("vm-1", Vec::new());
         }
     }
--- a/src/coordination/shard/tests/slow_boots.rs
+++ b/src/coordination/shard/tests/slow_boots.rs
@@ -92,7 +92,7 @@
         let machines = cluster.script.shard.machines().values();
         let due = |rented: std::time::Instant| rented + Duration::from_secs(20 * USUAL_BOOT_S);
         let now = cluster.script.now;
-        let present: Vec<_> = machines.filter(|m| !m.deleting).collect();
+        let present: Vec<_> = machines.filter(|m| !m.is_deleting()).collect();
         most_rented = most_rented.max(present.len());
         let ready = present.into_iter().filter(|m| due(m.rented) <= now);
         let ready: Vec<String> = ready.map(|m| m.id.to_string()).collect();
@@ -146,7 +146,7 @@
         cluster.advance(1);
     }
     let first = cluster.script.shard.machines().get(&names[0]);
-    assert!(first.is_none_or(|machine| machine.deleting));
+    assert!(first.is_none_or(|machine| machine.is_deleting()));
 }
 
 /// Best-effort jobs use free capacity: full-price machines are rented for their first start only,
