--- a/src/coordination/shard/machines/mod.rs
+++ b/src/coordination/shard/machines/mod.rs
@@ -291,3 +291,6 @@
     };
     at(0, 0)..=at(u32::MAX, u64::MAX)
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -7,10 +7,11 @@
 //! writes, `delegations` lease renewals by other controllers, `health` failing jobs and
 //! faulty machines.
 //!
-//! Three callers bring events: the leader loop (ticks, job changes, machine lists), the
-//! handlers of workers' heartbeats and users' requests, and the action executor (outcomes).
-//! After an event they call [`Shard::reconcile`] and hand what [`Shard::take_actions`]
-//! returns to the executor. Nothing here waits, sends or reads a clock.
+//! Events arrive from the leader loop (ticks, job changes, machine lists), the handlers of
+//! workers' heartbeats and of users' requests, the peering code (delegations), and the
+//! action executor (outcomes). After each event, what [`Shard::take_actions`] returns goes to
+//! the executor; the leader loop calls [`Shard::reconcile`] where [`Shard::needs_pass`] says
+//! so. Nothing here waits, sends or reads a clock.
 
 mod action;
 mod autoscaler;
@@ -84,8 +85,8 @@
     last_attempt_number: u64,
     /// The number of the newest batch of commands; it is unique within this leadership.
     last_batch_number: u64,
-    /// The zone of the controller that most machines are near to. Services are safest
-    /// there: that controller receives their heartbeats in a partition between zones.
+    /// The zone with a controller that holds most machines. Services are safest there: its
+    /// controller receives their heartbeats whatever the partition between zones.
     pub main_zone: Option<String>,
     /// Whether something changed that may allow or require new decisions.
     needs_pass: bool,
@@ -118,7 +119,7 @@
     }
 
     /// Makes a pass if something changed: decides what to start and stop, and emits the
-    /// commands and writes that follow. Callers make it after they have applied events.
+    /// commands and writes that follow.
     pub fn reconcile(&mut self, now: Instant) {
         if std::mem::take(&mut self.needs_pass) {
             // A stop of one gang task stops the gang: before placement, so that it sees
