--- a/src/coordination/shard/machines/deletion.rs
+++ b/src/coordination/shard/machines/deletion.rs
@@ -5,7 +5,7 @@
 /// How far the deletion of a machine is. Once decided it is never taken back: the machine's
 /// roster entry says so to the next leader.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Deletion {
+pub(super) enum Deletion {
     /// It is not to be deleted.
     #[default]
     None,
--- a/src/coordination/shard/machines/image_cache.rs
+++ b/src/coordination/shard/machines/image_cache.rs
@@ -6,13 +6,13 @@
 /// The images that a machine has used lately. Invariant: at most [`CAPACITY`] images, the
 /// most recently used last.
 #[derive(Debug, Default)]
-pub struct ImageCache {
+pub(super) struct ImageCache {
     images: Vec<String>,
 }
 
 impl ImageCache {
     /// Notes that an image is used; the least recently used one gives way to it.
-    pub fn note_use(&mut self, image: &str) {
+    pub(super) fn note_use(&mut self, image: &str) {
         self.images.retain(|held| held != image);
         self.images.push(image.to_owned());
         if self.images.len() > CAPACITY {
@@ -21,7 +21,7 @@
     }
 
     /// Whether an image is assumed to be cached.
-    pub fn contains(&self, image: &str) -> bool {
+    pub(super) fn contains(&self, image: &str) -> bool {
         self.images.iter().any(|held| held == image)
     }
 }
