--- a/src/cli.rs
+++ b/src/cli.rs
@@ -58,6 +58,7 @@
     }
 }
 
+/// Prints the values of both files as the process would use them, defaults included.
 fn print_effective(settings: &Settings) -> ExitCode {
     let platform = serde_json::to_string_pretty(&settings.platform);
     let operator = serde_lexpr::to_string(&settings.operator);
@@ -66,14 +67,12 @@
             println!("{platform}\n{operator}");
             ExitCode::SUCCESS
         }
-        (platform, operator) => {
-            let why = platform.err().map(|e| e.to_string());
-            let why = why.or(operator.err().map(|e| e.to_string()));
-            eprintln!(
-                "valegap: can't print the settings: {}",
-                why.unwrap_or_default()
-            );
-            ExitCode::FAILURE
-        }
+        (Err(error), _) => fail_to_print(&error),
+        (_, Err(error)) => fail_to_print(&error),
     }
 }
+
+fn fail_to_print(error: &dyn std::error::Error) -> ExitCode {
+    eprintln!("valegap: can't print the settings: {error}");
+    ExitCode::FAILURE
+}
--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -255,7 +255,7 @@
 /// A watch's answer.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct WatchPage {
-    /// The revision up to which the changes go.
+    /// The revision up to which the changes are complete.
     #[serde(rename = "Edition")]
     pub revision: u64,
     /// The changes, in order.
--- a/src/storage/job_index.rs
+++ b/src/storage/job_index.rs
@@ -114,8 +114,8 @@
         self.state().revision()
     }
 
-    /// A count that rises whenever some job may have ceased to be open: compared with an earlier
-    /// value, it tells whether [`Self::has_ended`] may give another answer.
+    /// A count that rises whenever some job may have ceased to be open. If it is above an earlier
+    /// value, [`Self::has_ended`] may give another answer.
     pub fn finished_count(&self) -> u64 {
         self.state().finished_count()
     }
--- a/src/storage/job_transition.rs
+++ b/src/storage/job_transition.rs
@@ -1,4 +1,4 @@
-//! Transitions of a job's durable state that the store has to commit before anybody is told.
+//! Transitions of a job's durable state that the store has to commit before anybody gets a confirmation.
 
 use super::keys;
 use super::records::FinalRecord;
--- a/src/storage/kv_client.rs
+++ b/src/storage/kv_client.rs
@@ -30,7 +30,7 @@
 mod http;
 mod latencies;
 
-/// How much longer than the store holds a watch its answer is awaited.
+/// How much longer than the store may wait for changes the answer to a watch is awaited.
 const WATCH_ANSWER_MARGIN: Duration = Duration::from_millis(1500);
 
 /// What became of a transaction.
--- a/src/storage/rate_limiter.rs
+++ b/src/storage/rate_limiter.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Reserves the next permit: the caller has to wait for so long before it goes on.
+    /// Reserves the next permit: the caller has to wait for so long before it proceeds.
     pub fn reserve(&self, now: Instant) -> Result<Duration, RateLimited> {
         let mut next_due = self.next_due();
         let due = next_due.unwrap_or(now);
