--- a/src/coordination/executor/jobs.rs
+++ b/src/coordination/executor/jobs.rs
@@ -14,9 +14,9 @@
 use crate::storage::records::{FinalRecord, JobRecord};
 use crate::storage::{job_transition, keys};
 
-/// What one attempt to finish a job came to.
-enum FinishAttempt {
-    /// The job is finished: by this attempt as the stage says, or by someone else.
+/// What one try to finish a job came to.
+enum FinishTry {
+    /// The job is finished: by this try as the stage says, or by someone else.
     Finished(Option<Stage>),
     /// It is not to be repeated: its record cannot be parsed, or another controller leads.
     Abandoned,
@@ -35,45 +35,40 @@
     let mut retry = Backoff::default();
     while !lease.ended() {
         match try_finish(node, lease, job, mod_revision).await {
-            FinishAttempt::Finished(stage) => {
+            FinishTry::Finished(stage) => {
                 node.with_shard(lease, "jobs", |shard, _| shard.job_finished(job, stage));
                 return;
             }
-            FinishAttempt::Abandoned => return,
-            FinishAttempt::Failed => retry.wait().await,
+            FinishTry::Abandoned => return,
+            FinishTry::Failed => retry.wait().await,
         }
     }
 }
 
-async fn try_finish(
-    node: &Node,
-    lease: &ShardLease,
-    job: &str,
-    mod_revision: u64,
-) -> FinishAttempt {
+async fn try_finish(node: &Node, lease: &ShardLease, job: &str, mod_revision: u64) -> FinishTry {
     let item = match node.clients.kv.get(&keys::job(job), KV_DEADLINE).await {
         Ok(Some(item)) => item,
-        Ok(None) => return FinishAttempt::Finished(None),
-        Err(_) => return FinishAttempt::Failed,
+        Ok(None) => return FinishTry::Finished(None),
+        Err(_) => return FinishTry::Failed,
     };
     let record = match serde_json::from_value::<JobRecord>(item.value) {
         Ok(record) => record,
         Err(error) => {
             error!(job, %error, "the record of a finished job cannot be parsed");
-            return FinishAttempt::Abandoned;
+            return FinishTry::Abandoned;
         }
     };
     let last = FinalRecord::new(Stage::Done, record.spec).within(node.value_bytes());
     let Ok(transaction) = job_transition::finish_job(job, mod_revision, &last) else {
-        return FinishAttempt::Abandoned;
+        return FinishTry::Abandoned;
     };
     let transaction = transaction.guard(keys::leader(), lease.fencing_token.revision());
     match node.clients.kv.txn(&transaction, KV_DEADLINE).await {
-        Ok(TransactionOutcome::Committed { .. }) => FinishAttempt::Finished(Some(Stage::Done)),
+        Ok(TransactionOutcome::Committed { .. }) => FinishTry::Finished(Some(Stage::Done)),
         Ok(TransactionOutcome::Conflict) if !may_still_lead(node, lease).await => {
-            FinishAttempt::Abandoned
+            FinishTry::Abandoned
         }
-        Ok(TransactionOutcome::Conflict) | Err(_) => FinishAttempt::Failed,
+        Ok(TransactionOutcome::Conflict) | Err(_) => FinishTry::Failed,
     }
 }
 
--- a/src/coordination/executor/shard_write.rs
+++ b/src/coordination/executor/shard_write.rs
@@ -27,16 +27,16 @@
     LeaseEnded,
 }
 
-/// What one attempt at a write came to.
-enum Attempt {
-    /// The store has applied the write, by this attempt or an earlier one.
+/// What one try of a write came to.
+enum WriteTry {
+    /// The store has applied the write, by this try or an earlier one.
     Applied {
         /// The sequence record's new modification revision.
         mod_revision: u64,
     },
     /// The store refuses the write as it is.
     TooLarge,
-    /// Another controller leads, or wrote the shard: the lease has been ended.
+    /// Another controller leads, or wrote the sequence record: the lease has been ended.
     Superseded,
     /// The write was not applied, as far as could be read: it has to be sent again.
     Unresolved,
@@ -48,52 +48,52 @@
     let record = SequenceRecord {
         format_version: FORMAT_VERSION,
         fencing_token: lease.fencing_token,
-        number: sequence.n + 1,
+        number: sequence.number + 1,
     };
     let Ok(transaction) = fenced_transaction(lease, *sequence, &record, write) else {
         return WriteOutcome::LeaseEnded;
     };
     let mut retry = Backoff::default();
     while !lease.ended() {
-        match attempt(node, lease, *sequence, &record, &transaction).await {
-            Attempt::Applied { mod_revision } => {
+        match try_write(node, lease, *sequence, &record, &transaction).await {
+            WriteTry::Applied { mod_revision } => {
                 *sequence = Sequence {
                     mod_revision,
-                    n: record.number,
+                    number: record.number,
                 };
                 return WriteOutcome::Applied;
             }
-            Attempt::TooLarge => return WriteOutcome::TooLarge,
-            Attempt::Superseded => return WriteOutcome::LeaseEnded,
-            Attempt::Unresolved => retry.wait().await,
+            WriteTry::TooLarge => return WriteOutcome::TooLarge,
+            WriteTry::Superseded => return WriteOutcome::LeaseEnded,
+            WriteTry::Unresolved => retry.wait().await,
         }
     }
     WriteOutcome::LeaseEnded
 }
 
-async fn attempt(
+async fn try_write(
     node: &Node,
     lease: &ShardLease,
     sequence: Sequence,
     record: &SequenceRecord,
     transaction: &Transaction,
-) -> Attempt {
+) -> WriteTry {
     match node.clients.kv.txn(transaction, KV_DEADLINE).await {
-        Ok(TransactionOutcome::Committed { revision }) => Attempt::Applied {
+        Ok(TransactionOutcome::Committed { revision }) => WriteTry::Applied {
             mod_revision: revision,
         },
         Ok(TransactionOutcome::Conflict) | Err(KvError::NoAnswer { .. }) => {
             resolve(node, lease, sequence, record).await
         }
-        Err(KvError::TooLarge { answer: reason, .. }) => {
-            error!(reason, "the store refused a shard write as too large");
-            Attempt::TooLarge
+        Err(KvError::TooLarge { answer, .. }) => {
+            error!(fencing_token = %lease.fencing_token, answer, "the store refused a shard write as too large");
+            WriteTry::TooLarge
         }
         Err(error) if error.is_protocol_error() => {
-            error!(%error, "unexpected answer to a shard write");
-            Attempt::Unresolved
+            error!(fencing_token = %lease.fencing_token, %error, "unexpected answer to a shard write");
+            WriteTry::Unresolved
         }
-        Err(_) => Attempt::Unresolved,
+        Err(_) => WriteTry::Unresolved,
     }
 }
 
@@ -125,25 +125,25 @@
     lease: &ShardLease,
     sequence: Sequence,
     record: &SequenceRecord,
-) -> Attempt {
+) -> WriteTry {
     let mod_revision = match read_sequence(node).await {
         Ok(Some(found)) if found.record == *record => {
-            return Attempt::Applied {
+            return WriteTry::Applied {
                 mod_revision: found.mod_revision,
             };
         }
         Ok(found) => found.map_or(0, |found| found.mod_revision),
-        Err(_) => return Attempt::Unresolved,
+        Err(_) => return WriteTry::Unresolved,
     };
     if mod_revision != sequence.mod_revision {
         warn!(fencing_token = %lease.fencing_token, "superseded: another leader wrote the shard");
         lease.end();
-        return Attempt::Superseded;
+        return WriteTry::Superseded;
     }
     if may_still_lead(node, lease).await {
-        Attempt::Unresolved
+        WriteTry::Unresolved
     } else {
-        Attempt::Superseded
+        WriteTry::Superseded
     }
 }
 
--- a/src/coordination/leadership/leader_loop.rs
+++ b/src/coordination/leadership/leader_loop.rs
@@ -48,8 +48,8 @@
     begin_leadership(node, &lease, recovery.state);
     // The job index may know of jobs that ended since the records were read.
     node.notify_finished_jobs();
-    pass_machine_types(node, &lease);
-    // Both end by themselves when the lease has ended.
+    provide_machine_types(node, &lease);
+    // Both tasks spawned here end when the lease has ended.
     let watch = job_watch::watch_jobs(node.clone(), lease.clone(), recovery.jobs_revision);
     tokio::spawn(watch);
     tokio::spawn(polling::watch_machine_list(node.clone(), lease.clone()));
@@ -120,7 +120,7 @@
     });
 }
 
-fn pass_machine_types(node: &Arc<Node>, lease: &Arc<ShardLease>) {
+fn provide_machine_types(node: &Arc<Node>, lease: &Arc<ShardLease>) {
     let types = node.lock().types.clone();
     node.with_shard(lease, "types", |shard, _| {
         if let Some(types) = types {
@@ -166,7 +166,7 @@
     }
 }
 
-/// One pass of decisions, over the timers as well if they are due.
+/// One pass of decisions: a tick, which includes the timers, if one is due.
 fn decide(node: &Arc<Node>, lease: &Arc<ShardLease>, tick_due: bool) {
     let activity = if tick_due { "ticks" } else { "passes" };
     node.with_shard(lease, activity, |shard, now| {
--- a/src/coordination/leadership/lease.rs
+++ b/src/coordination/leadership/lease.rs
@@ -44,7 +44,7 @@
     /// The record's modification revision, which the next write has to find.
     pub mod_revision: u64,
     /// The number of the last write.
-    pub n: u64,
+    pub number: u64,
 }
 
 /// The moment up to which a leader may act after a renewal sent at `sent` succeeded:
--- a/src/coordination/leadership/stored_records.rs
+++ b/src/coordination/leadership/stored_records.rs
@@ -66,7 +66,7 @@
         };
         Sequence {
             mod_revision: item.mod_revision,
-            n: parse::<SequenceRecord>(item).map_or(0, |record| record.number),
+            number: parse::<SequenceRecord>(item).map_or(0, |record| record.number),
         }
     }
 
--- a/src/coordination/peering/cancellations.rs
+++ b/src/coordination/peering/cancellations.rs
@@ -44,7 +44,7 @@
     let Some(jobs) = confirmed.jobs else {
         return;
     };
-    node.job_index.note_cancelled(jobs);
+    node.job_index.record_cancelled(jobs);
     node.notify_finished_jobs();
     let started = clock_drift::latest_start(Duration::from_millis(confirmed.up_ms), node.now());
     let advances_freshness = node
--- a/src/coordination/shard/jobs/mod.rs
+++ b/src/coordination/shard/jobs/mod.rs
@@ -144,7 +144,7 @@
 
     /// A task may be on a machine from now on. If it may be on another already, that one
     /// stays on record.
-    pub fn put(&mut self, index: u32, machine: &MachineId) {
+    pub fn add_placement(&mut self, index: u32, machine: &MachineId) {
         if let std::collections::hash_map::Entry::Vacant(free) = self.live.entry(index) {
             free.insert(machine.clone());
             self.unplaced.remove(&index);
@@ -153,7 +153,7 @@
     }
 
     /// A task has no attempt on a machine any more.
-    pub fn lift(&mut self, index: u32, machine: &MachineId) {
+    pub fn remove_placement(&mut self, index: u32, machine: &MachineId) {
         if self.live.get(&index) == Some(machine) {
             self.live.remove(&index);
             if self.done.contains(index) {
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -7,11 +7,12 @@
 //! writes, `delegations` lease renewals by other controllers, `health` failing jobs and
 //! faulty machines.
 //!
-//! Events arrive from the leader loop (ticks, job changes, machine lists), the handlers of
-//! workers' heartbeats and of users' requests, the peering code (delegations), and the
-//! action executor (outcomes). After each event, what [`Shard::take_actions`] returns goes to
-//! the executor; the leader loop calls [`Shard::reconcile`] where [`Shard::needs_pass`] says
-//! so. Nothing here waits, sends or reads a clock.
+//! Events arrive through `Node::with_shard`: from the leader loop (ticks, job changes, machine
+//! lists), the handlers of workers' heartbeats and of users' requests, the peering code
+//! (delegations), and the action executor (outcomes). After each event it spawns the executor
+//! for what [`Shard::take_actions`] returns, and wakes the leader loop if
+//! [`Shard::needs_pass`] says so, which then calls [`Shard::reconcile`]. Nothing here waits,
+//! sends or reads a clock.
 
 mod action;
 mod autoscaler;
@@ -78,21 +79,23 @@
     autoscaler: autoscaler::Autoscaler,
     /// What is not durable yet in the key-value store.
     writes: persistence::WriteQueue,
-    /// Which other controllers may renew worker leases.
+    /// Which other controllers may renew workers' leases.
     delegations: delegations::Delegations,
     /// The number of the newest attempt. It never repeats, whatever a controller lost:
     /// numbers begin with the fencing token.
     last_attempt_number: u64,
     /// The number of the newest batch of commands; it is unique within this leadership.
     last_batch_number: u64,
-    /// The zone with a controller that holds most machines. Services are safest there: its
-    /// controller receives their heartbeats whatever the partition between zones.
+    /// The zone in which the leader had better run: that of most machines, as the handover of
+    /// leadership judges it. Services are safest there, since its controller receives their
+    /// heartbeats whatever the partition between zones.
     pub main_zone: Option<String>,
     /// Whether something changed that may allow or require new decisions.
     needs_pass: bool,
+    /// Tasks that heartbeats list as running, recounted at intervals.
     running: RunningTasks,
     /// Actions decided since the last [`Shard::take_actions`], in order. Each pass bounds
-    /// what it adds: by the machines, and by the scheduler's limits.
+    /// what it adds: by the number of machines, and by the scheduler's limits.
     out: Vec<Action>,
 }
 
--- a/src/coordination/shard/persistence/write_queue.rs
+++ b/src/coordination/shard/persistence/write_queue.rs
@@ -79,7 +79,7 @@
     /// The queues and the snapshot budget, as text for operators.
     pub(crate) fn describe(&self, now: Instant) -> String {
         format!(
-            "writes: {} facts, {} roster entries and {} chunks wait, {:.0} chunks allowed now, unrecorded for {:?}",
+            "writes: {} records, {} roster entries and {} chunks wait, {:.0} chunks allowed now, unrecorded for {:?}",
             self.records.len(),
             self.roster_purposes.len(),
             self.snapshots.waiting_chunks(),
--- a/src/coordination/shard/reconciler/removal.rs
+++ b/src/coordination/shard/reconciler/removal.rs
@@ -30,7 +30,7 @@
     /// elsewhere.
     pub(in crate::coordination::shard) fn release(&mut self, id: &MachineId, task: &TaskId) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.lift(task.index, id);
+            job.remove_placement(task.index, id);
             let job_id = job.id.clone();
             self.drop_job_if_empty(&job_id);
         }
--- a/src/coordination/shard/reconciler/task_list.rs
+++ b/src/coordination/shard/reconciler/task_list.rs
@@ -89,7 +89,7 @@
                     attempt.want_stop(Duration::ZERO);
                 }
                 if is_live {
-                    job.put(task.index, id);
+                    job.add_placement(task.index, id);
                 }
             }
             _ if is_live => {
--- a/src/coordination/shard/scheduler/mod.rs
+++ b/src/coordination/shard/scheduler/mod.rs
@@ -66,8 +66,8 @@
         if self.writes.is_stale(now, self.policy.staleness) {
             return;
         }
-        let levels = self.scheduler_view().waiting_by_priority(now);
-        if levels.is_empty() {
+        let by_priority = self.scheduler_view().waiting_by_priority(now);
+        if by_priority.is_empty() {
             return;
         }
         self.machines.refresh();
@@ -75,9 +75,9 @@
         let wall_ms = self.wall_ms(now);
         self.serve_starving_jobs(&mut pass, wall_ms, now);
         let mut progress = PassProgress::default();
-        for teams in levels.into_values() {
+        for teams in by_priority.into_values() {
             let queues = TeamQueues::new(teams, self.scheduler_view(), wall_ms);
-            self.place_level(queues, &mut pass, &mut progress, now);
+            self.place_priority(queues, &mut pass, &mut progress, now);
             if progress.is_full() {
                 self.needs_pass = true;
                 return;
@@ -88,7 +88,7 @@
 
     /// Places jobs of one priority, a team's turn at a time, until none finds a machine or
     /// the pass is full.
-    fn place_level(
+    fn place_priority(
         &mut self,
         mut queues: TeamQueues,
         pass: &mut SchedulingPass,
@@ -103,13 +103,13 @@
             }
             let view = self.scheduler_view();
             let job = view.jobs.get(&id);
-            let left = job.map_or(0, |job| view.placeable_tasks(job));
-            if placed > 0 && left > 0 {
+            let left_to_place = job.map_or(0, |job| view.placeable_tasks(job));
+            if placed > 0 && left_to_place > 0 {
                 continue;
             }
             queues.pop(&team);
             // Nothing is preempted for a job that fails wherever it runs.
-            if left > 0 && !job.is_some_and(Job::is_crash_looping) {
+            if left_to_place > 0 && !job.is_some_and(Job::is_crash_looping) {
                 progress.unplaced_jobs.push(id);
             }
         }
@@ -183,7 +183,7 @@
         else {
             return;
         };
-        job.put(index, machine_id);
+        job.add_placement(index, machine_id);
         machine.note_busy();
         let task = TaskId {
             job: id.clone(),
--- a/src/coordination/shard/summary.rs
+++ b/src/coordination/shard/summary.rs
@@ -1,6 +1,5 @@
-//! Overviews of the shard: a line for the log, and the text of the status page.
-//!
-//! The status page serves the text over HTTP, so its wording stays as it is.
+//! Overviews of the shard: a line for the log, and the text of the status page, which is for
+//! people: no program may rely on its form.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -16,7 +15,7 @@
         let waiting: u32 = self.jobs.values().map(Job::waiting).sum();
         let [ordinary, spot] = [false, true].map(|spot| self.cores_of(spot));
         format!(
-            "jobs {} waiting {} machines {} attempts {} unresolved {} ordinary {} spot {}",
+            "jobs {} waiting {} machines {} attempts {} unreconciled {} on-demand {} spot {}",
             self.jobs.len(),
             waiting,
             self.machines.len(),
@@ -66,14 +65,14 @@
         }
         for machine in self.machines.values() {
             let state = match machine {
-                m if m.is_deleting() => "being returned",
-                m if m.draining => "being emptied",
-                m if m.last_contact.is_none() => "not heard yet",
-                m if m.open(now, &self.policy) => "open",
-                _ => "closed",
+                m if m.is_deleting() => "deleting",
+                m if m.draining => "draining",
+                m if m.last_contact.is_none() => "no contact yet",
+                m if m.open(now, &self.policy) => "schedulable",
+                _ => "not schedulable",
             };
             text.push_str(&format!(
-                "{} {} {}{}: {state}, {} attempts, silent {:?}\n",
+                "{} {} {}{}: {state}, {} attempts, last contact {:?} ago\n",
                 machine.id,
                 machine.machine_type,
                 machine.zone,
--- a/src/coordination/shard_events.rs
+++ b/src/coordination/shard_events.rs
@@ -81,7 +81,7 @@
     /// The lease of the shard, if the job index knows of more finished jobs than when the
     /// shard was last notified; counts as notified from now on.
     fn lease_to_notify(&self) -> Option<Arc<ShardLease>> {
-        let finished = self.job_index.finished_count();
+        let finished = self.job_index.change_count();
         let mut state = self.lock();
         let own = state.leadership.as_mut()?;
         let notified = own.finished_notified.replace(finished) == Some(finished);
--- a/src/coordination/worker_heartbeats.rs
+++ b/src/coordination/worker_heartbeats.rs
@@ -17,7 +17,7 @@
     Renewed(HeartbeatResponse),
     /// 503: the machine is known to be deleted, or the worker obeys a higher fencing token.
     Refused,
-    /// 421: this controller may not renew the lease; the one named, if any, may.
+    /// 421: this controller may not renew the lease. It names the leader, if known.
     Redirected(Redirect),
 }
 
@@ -33,7 +33,7 @@
 /// The shard's answer; `None` if this controller doesn't hold a live lease on the shard.
 fn answer_as_leader(node: &Arc<Node>, heartbeat: &WorkerHeartbeat) -> Option<HeartbeatDecision> {
     let lease = node.live_lease()?;
-    let outcome = node.with_shard(&lease, "reports", |shard, now| {
+    let outcome = node.with_shard(&lease, "heartbeats", |shard, now| {
         shard.heartbeat(heartbeat, now)
     })?;
     // The shard's decision takes time: the lease has to be live after it.
@@ -46,8 +46,8 @@
         HeartbeatOutcome::Answer(commands) => commands,
     };
     if !node.may_renew_leases(now) {
-        let nobody = Redirect { leader: None };
-        return Some(HeartbeatDecision::Redirected(nobody));
+        let without_leader = Redirect { leader: None };
+        return Some(HeartbeatDecision::Redirected(without_leader));
     }
     Some(HeartbeatDecision::Renewed(HeartbeatResponse {
         fencing_token: lease.fencing_token,
@@ -69,11 +69,12 @@
     }))
 }
 
-/// A leader past its deadline may get its lease extended: its shard takes in the heartbeat.
+/// Applies the heartbeat to this controller's own shard if its lease has that token: votes may
+/// still revive the lease.
 fn inform_own_shard(node: &Arc<Node>, fencing_token: FencingToken, heartbeat: &WorkerHeartbeat) {
     let lease = node.lease();
     if let Some(lease) = lease.filter(|lease| lease.fencing_token == fencing_token) {
-        node.with_shard(&lease, "reports", |shard, now| {
+        node.with_shard(&lease, "heartbeats", |shard, now| {
             shard.heartbeat(heartbeat, now)
         });
     }
--- a/src/storage/job_index.rs
+++ b/src/storage/job_index.rs
@@ -96,7 +96,7 @@
     }
 
     /// Records cancellations that another controller has confirmed to users.
-    pub fn note_cancelled(&self, cancelled: Vec<CancelledJob>) {
+    pub fn record_cancelled(&self, cancelled: Vec<CancelledJob>) {
         let mut state = self.state();
         for CancelledJob { job, revision } in cancelled {
             state.record_cancelled(&job, revision);
@@ -116,8 +116,8 @@
 
     /// A count that rises whenever some job may have ceased to be open. If it is above an earlier
     /// value, [`Self::has_ended`] may give another answer.
-    pub fn finished_count(&self) -> u64 {
-        self.state().finished_count()
+    pub fn change_count(&self) -> u64 {
+        self.state().change_count()
     }
 
     /// Whether the job whose record had this revision is known to have ended.
--- a/src/storage/job_index/state.rs
+++ b/src/storage/job_index/state.rs
@@ -28,7 +28,7 @@
     /// The latest revision of a cancellation that was dropped from `cancelled`.
     cancelled_dropped: u64,
     /// Rises whenever a job may have ceased to be open.
-    finished_count: u64,
+    change_count: u64,
 }
 
 impl IndexState {
@@ -36,8 +36,8 @@
         self.revision
     }
 
-    pub(super) fn finished_count(&self) -> u64 {
-        self.finished_count
+    pub(super) fn change_count(&self) -> u64 {
+        self.change_count
     }
 
     pub(super) fn final_state(&self, id: &str) -> Option<FinalState> {
@@ -85,7 +85,7 @@
 
     pub(super) fn record_final(&mut self, id: &str, state: FinalState, revision: u64) {
         self.open.remove(id);
-        self.finished_count += 1;
+        self.change_count += 1;
         if self.finished.insert(id.to_owned(), state).is_none() {
             self.finished_order.push_back(id.to_owned());
         }
@@ -116,7 +116,7 @@
             .filter_map(|item| item.key.strip_prefix(keys::JOBS));
         self.open = ids.map(str::to_owned).collect();
         self.revision = Some(revision);
-        self.finished_count += 1;
+        self.change_count += 1;
     }
 
     /// Applies all changes of job records up to a revision.
@@ -145,7 +145,7 @@
             WatchEvent::Delete { key, .. } => {
                 if let Some(id) = key.strip_prefix(keys::JOBS) {
                     self.open.remove(id);
-                    self.finished_count += 1;
+                    self.change_count += 1;
                 }
             }
         }
--- a/src/storage/job_index/tests.rs
+++ b/src/storage/job_index/tests.rs
@@ -65,13 +65,13 @@
         job: format!("run-{number}"),
         revision: number,
     };
-    job_index.note_cancelled(vec![cancelled(8), cancelled(5)]);
+    job_index.record_cancelled(vec![cancelled(8), cancelled(5)]);
     assert_eq!(
         job_index.cancelled_after(4),
         Some(vec![cancelled(5), cancelled(8)])
     );
     assert_eq!(job_index.cancelled_after(5), Some(vec![cancelled(8)]));
-    job_index.note_cancelled((100..2_099).map(cancelled).collect());
+    job_index.record_cancelled((100..2_099).map(cancelled).collect());
     assert_eq!(job_index.cancelled_after(4), None, "5 was dropped");
     assert_eq!(
         job_index.cancelled_after(5).map(|jobs| jobs.len()),
