--- a/src/storage/rate_limiter.rs
+++ b/src/storage/rate_limiter.rs
@@ -21,7 +21,7 @@
 }
 
 /// A token bucket: it grants permits at a steady rate in the order of the calls, and those that
-/// were not used for up to [`BURST`] at once.
+/// were not used for up to `BURST` at once.
 pub struct RateLimiter {
     /// Time between two permits.
     interval: Duration,
