--- a/src/coordination/shard/tests/delegations.rs
+++ b/src/coordination/shard/tests/delegations.rs
@@ -126,7 +126,7 @@
             let answered = answered.map(|time| start + time);
             script.shard.note_advance_renewals(answered, script.now);
             script.advance(Duration::ZERO);
-            script.shard.summary().contains("unresolved 1")
+            script.shard.summary().contains("unreconciled 1")
         };
     // Under an earlier fencing token, from just before this one began.
     assert!(unreconciled_tasks(
--- a/src/coordination/shard/tests/scale/fleet.rs
+++ b/src/coordination/shard/tests/scale/fleet.rs
@@ -27,7 +27,7 @@
     cluster.execute_actions();
     let shard = &cluster.script.shard;
     assert!(
-        shard.summary().contains("unresolved 0"),
+        shard.summary().contains("unreconciled 0"),
         "{}",
         shard.summary()
     );
