--- a/src/coordination/executor/jobs.rs
+++ b/src/coordination/executor/jobs.rs
@@ -9,7 +9,7 @@
 use crate::coordination::leadership::lease::ShardLease;
 use crate::coordination::node::{KV_DEADLINE, Node};
 use crate::coordination::retry::Backoff;
-use crate::protocol::users::Stage;
+use crate::protocol::users::JobStage;
 use crate::storage::kv_client::TransactionOutcome;
 use crate::storage::records::{FinalRecord, JobRecord};
 use crate::storage::{job_transition, keys};
@@ -17,7 +17,7 @@
 /// What one try to finish a job came to.
 enum FinishTry {
     /// The job is finished: by this try as the stage says, or by someone else.
-    Finished(Option<Stage>),
+    Finished(Option<JobStage>),
     /// It is not to be repeated: its record cannot be parsed, or another controller leads.
     Abandoned,
     /// The store didn't answer, or the job's record changed meanwhile.
@@ -58,13 +58,13 @@
             return FinishTry::Abandoned;
         }
     };
-    let last = FinalRecord::new(Stage::Done, record.spec).within(node.value_bytes());
+    let last = FinalRecord::new(JobStage::Done, record.spec).within(node.value_bytes());
     let Ok(transaction) = job_transition::finish_job(job, mod_revision, &last) else {
         return FinishTry::Abandoned;
     };
     let transaction = transaction.guard(keys::leader(), lease.fencing_token.revision());
     match node.clients.kv.txn(&transaction, KV_DEADLINE).await {
-        Ok(TransactionOutcome::Committed { .. }) => FinishTry::Finished(Some(Stage::Done)),
+        Ok(TransactionOutcome::Committed { .. }) => FinishTry::Finished(Some(JobStage::Done)),
         Ok(TransactionOutcome::Conflict) if !may_still_lead(node, lease).await => {
             FinishTry::Abandoned
         }
--- a/src/coordination/leadership/election.rs
+++ b/src/coordination/leadership/election.rs
@@ -15,7 +15,7 @@
 use crate::coordination::retry::Backoff;
 use crate::protocol::kv::WatchEvent;
 use crate::storage::keys;
-use crate::storage::kv_client::KvError;
+use crate::storage::kv_client::{KeyList, KvError};
 use crate::storage::records::LeaderRecord;
 
 /// How long the store holds one watch of the leader record without a change.
@@ -111,7 +111,7 @@
 }
 
 async fn read_leader_record(node: &Node) -> Result<LeaderRead, KvError> {
-    let (items, revision) = node
+    let KeyList { items, revision } = node
         .clients
         .kv
         .list(&keys::leader_prefix(), KV_DEADLINE)
--- a/src/coordination/leadership/job_watch.rs
+++ b/src/coordination/leadership/job_watch.rs
@@ -10,7 +10,7 @@
 use crate::coordination::shard::{Shard, UnfinishedJob};
 use crate::protocol::kv::{KeyValue, WatchEvent};
 use crate::storage::keys;
-use crate::storage::kv_client::KvError;
+use crate::storage::kv_client::{KeyList, KvError};
 
 /// How long the store holds one watch of the jobs without a change.
 const JOB_WATCH_WAIT: Duration = Duration::from_secs(3);
@@ -95,7 +95,7 @@
 /// Reads all unfinished jobs, since the store no longer holds all changes since the last
 /// watch; the revision from which the next watch has to begin.
 async fn resync(node: &Arc<Node>, lease: &Arc<ShardLease>) -> Result<u64, KvError> {
-    let (items, revision) = node.clients.kv.list(keys::JOBS, KV_DEADLINE).await?;
+    let KeyList { items, revision } = node.clients.kv.list(keys::JOBS, KV_DEADLINE).await?;
     let jobs: Vec<_> = items
         .into_iter()
         .filter_map(parse_job)
--- a/src/coordination/leadership/leader_loop.rs
+++ b/src/coordination/leadership/leader_loop.rs
@@ -1,6 +1,7 @@
 //! What a controller does from the moment it acquired the shard until its lease ends:
 //! it recovers the shard's state, and then decides, after events and at intervals.
 
+use std::fmt;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -58,9 +59,27 @@
     info!(fencing_token = %lease.fencing_token, "leadership ended");
 }
 
+/// Why a leader ends its leadership of its own accord.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum StepDownReason {
+    /// It receives too few workers' heartbeats, and another controller receives more.
+    TooFewWorkersReachable,
+    /// A controller in the zone of most machines can lead.
+    SuccessorInMainZone,
+}
+
+impl fmt::Display for StepDownReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::TooFewWorkersReachable => "another controller reaches more workers",
+            Self::SuccessorInMainZone => "a controller in the main zone can lead",
+        })
+    }
+}
+
 /// Ends a leadership at once, so that another controller can begin.
-pub async fn step_down(node: &Node, lease: &ShardLease, reason: &str) {
-    info!(fencing_token = %lease.fencing_token, reason, "stepping down");
+pub async fn step_down(node: &Node, lease: &ShardLease, reason: StepDownReason) {
+    info!(fencing_token = %lease.fencing_token, %reason, "stepping down");
     lease.end();
     if let Err(error) = node.clients.kv.revoke_lease(lease.id, KV_DEADLINE).await {
         warn!(
--- a/src/coordination/leadership/mod.rs
+++ b/src/coordination/leadership/mod.rs
@@ -25,4 +25,4 @@
 mod renewal;
 pub mod stored_records;
 
-pub use leader_loop::step_down;
+pub use leader_loop::{StepDownReason, step_down};
--- a/src/coordination/leadership/stored_records.rs
+++ b/src/coordination/leadership/stored_records.rs
@@ -42,7 +42,7 @@
             keys::rental_prefix(),
             keys::sequence(),
         );
-        let ((jobs, revision), (roster, _), (snapshot, _), (pending_rentals, _), sequence) = tokio::try_join!(
+        let (jobs, roster, snapshot, pending_rentals, sequence) = tokio::try_join!(
             kv.list(keys::JOBS, RECORDS_READ_DEADLINE),
             kv.list(&roster, RECORDS_READ_DEADLINE),
             kv.list(&snapshot, RECORDS_READ_DEADLINE),
@@ -50,12 +50,12 @@
             kv.get(&sequence, RECORDS_READ_DEADLINE),
         )?;
         Ok(Self {
-            jobs,
-            roster,
-            snapshot,
-            pending_rentals,
+            revision: jobs.revision,
+            jobs: jobs.items,
+            roster: roster.items,
+            snapshot: snapshot.items,
+            pending_rentals: pending_rentals.items,
             sequence,
-            revision,
         })
     }
 
--- a/src/coordination/peering/delegation/delegate.rs
+++ b/src/coordination/peering/delegation/delegate.rs
@@ -61,9 +61,9 @@
         node.clients.kv.list(&prefix, DELEGATION_TIME),
         node.catch_up()
     );
-    let (items, _) = listed?;
+    let records = listed?;
     caught_up?;
-    Ok(find_delegation(node, &items, sent))
+    Ok(find_delegation(node, &records.items, sent))
 }
 
 /// A delegation ends when the leader that gave it is replaced.
--- a/src/coordination/peering/delegation/inventories.rs
+++ b/src/coordination/peering/delegation/inventories.rs
@@ -20,10 +20,10 @@
 /// the shard.
 pub(super) async fn read_inventories(node: &Arc<Node>, lease: &Arc<ShardLease>) {
     let prefix = keys::inventory_prefix();
-    let Ok((pages, _)) = node.clients.kv.list(&prefix, KV_DEADLINE).await else {
+    let Ok(pages) = node.clients.kv.list(&prefix, KV_DEADLINE).await else {
         return;
     };
-    let pages = pages.into_iter().filter_map(decode_page);
+    let pages = pages.items.into_iter().filter_map(decode_page);
     let heartbeats = whole_heartbeats(pages, lease.fencing_token);
     node.with_shard(lease, "delegations", |shard, now| {
         for heartbeat in &heartbeats {
--- a/src/coordination/peering/delegation/reachability_records.rs
+++ b/src/coordination/peering/delegation/reachability_records.rs
@@ -57,7 +57,7 @@
     node: &Node,
 ) -> Option<BTreeMap<String, usize>> {
     let prefix = keys::reachability_prefix();
-    let (items, _) = node.clients.kv.list(&prefix, KV_DEADLINE).await.ok()?;
+    let records = node.clients.kv.list(&prefix, KV_DEADLINE).await.ok()?;
     let wall_ms = node.clock.wall_ms();
     let fresh_count = |item: KeyValue| {
         let node_id = item.key.strip_prefix(&prefix)?.to_owned();
@@ -65,5 +65,5 @@
         let fresh = wall_ms.abs_diff(record.counted_at_ms) < RECORD_FRESH_MS;
         (fresh && node_id != node.node_id()).then_some((node_id, record.reachable_workers as usize))
     };
-    Some(items.into_iter().filter_map(fresh_count).collect())
+    Some(records.items.into_iter().filter_map(fresh_count).collect())
 }
--- a/src/coordination/peering/handover.rs
+++ b/src/coordination/peering/handover.rs
@@ -6,7 +6,7 @@
 
 use super::delegation::workers_reachable_elsewhere;
 use super::{HEARTBEAT_FRESH, LEADER_GRACE, eligibility};
-use crate::coordination::leadership::step_down;
+use crate::coordination::leadership::{StepDownReason, step_down};
 use crate::coordination::node::Node;
 use crate::coordination::node::state::NodeState;
 use crate::coordination::shard::ReachableMachines;
@@ -82,11 +82,9 @@
         if self.low_reachability_rounds >= MAX_LOW_REACHABILITY_ROUNDS {
             self.low_reachability_rounds = 0;
             eligibility::mark_ineligible(node);
-            let reason = "another controller reaches more workers";
-            step_down(node, &lease, reason).await;
+            step_down(node, &lease, StepDownReason::TooFewWorkersReachable).await;
         } else if successor_in_main_zone(node) {
-            let reason = "a controller in the main zone can lead";
-            step_down(node, &lease, reason).await;
+            step_down(node, &lease, StepDownReason::SuccessorInMainZone).await;
         }
     }
 }
--- a/src/coordination/requests/cancellation.rs
+++ b/src/coordination/requests/cancellation.rs
@@ -6,7 +6,7 @@
 use super::response::UserResponse;
 use crate::coordination::node::Node;
 use crate::protocol::kv::{KeyValue, KvRequest};
-use crate::protocol::users::Stage;
+use crate::protocol::users::JobStage;
 use crate::storage::kv_client::{KvError, Refusal, TransactionOutcome};
 use crate::storage::records::{FinalRecord, JobRecord};
 use crate::storage::{job_transition, keys};
@@ -45,14 +45,17 @@
 ) -> Result<Option<UserResponse>, KvError> {
     let job: JobRecord = serde_json::from_value(open.value)
         .map_err(|source| KvError::undecodable_record(&open.key, source))?;
-    let record = FinalRecord::new(Stage::Cancelled, job.spec).within(node.value_bytes());
+    let record = FinalRecord::new(JobStage::Cancelled, job.spec).within(node.value_bytes());
     let transaction = job_transition::finish_job(id, open.mod_revision, &record)
         .map_err(|source| KvError::unencodable("a final record", source))?;
     match write_in_turn(node, &transaction).await? {
         TransactionOutcome::Committed { revision } => {
             node.job_index.record_final(id, &record, revision);
             node.notify_finished_jobs();
-            Ok(Some(UserResponse::after_cancellation(id, Stage::Cancelled)))
+            Ok(Some(UserResponse::after_cancellation(
+                id,
+                JobStage::Cancelled,
+            )))
         }
         TransactionOutcome::Conflict => Ok(None),
     }
--- a/src/coordination/requests/response.rs
+++ b/src/coordination/requests/response.rs
@@ -5,7 +5,7 @@
 use super::admission::Inadmissible;
 use super::request::InvalidRequest;
 use crate::coordination::shard::TaskCounts;
-use crate::protocol::users::{JobView, Stage};
+use crate::protocol::users::{JobStage, JobView};
 
 const OK: u16 = 200;
 const CREATED: u16 = 201;
@@ -32,7 +32,7 @@
     }
 
     /// A job's stage alone, without the counts of its tasks.
-    fn stage(status: u16, id: &str, stage: Stage) -> Self {
+    fn stage(status: u16, id: &str, stage: JobStage) -> Self {
         let view = JobView {
             id: id.to_owned(),
             stage,
@@ -43,7 +43,7 @@
     }
 
     /// A job's stage and the counts of its tasks.
-    fn counts(id: &str, stage: Stage, counts: TaskCounts) -> Self {
+    fn counts(id: &str, stage: JobStage, counts: TaskCounts) -> Self {
         let view = JobView {
             id: id.to_owned(),
             stage,
@@ -55,27 +55,27 @@
 
     /// The job has been accepted by this request.
     pub(super) fn accepted(id: &str) -> Self {
-        Self::stage(CREATED, id, Stage::Pending)
+        Self::stage(CREATED, id, JobStage::Pending)
     }
 
     /// The state in which a cancellation has left or found the job.
-    pub(super) fn after_cancellation(id: &str, stage: Stage) -> Self {
+    pub(super) fn after_cancellation(id: &str, stage: JobStage) -> Self {
         Self::stage(OK, id, stage)
     }
 
     /// The state of an unfinished job.
     pub(super) fn unfinished_job(id: &str, counts: TaskCounts) -> Self {
         let stage = if counts.running > 0 {
-            Stage::Running
+            JobStage::Running
         } else {
-            Stage::Pending
+            JobStage::Pending
         };
         Self::counts(id, stage, counts)
     }
 
     /// The final state of a job with this many tasks.
-    pub(super) fn finished_job(id: &str, stage: Stage, tasks: u32) -> Self {
-        let done = if stage == Stage::Done { tasks } else { 0 };
+    pub(super) fn finished_job(id: &str, stage: JobStage, tasks: u32) -> Self {
+        let done = if stage == JobStage::Done { tasks } else { 0 };
         Self::counts(id, stage, TaskCounts { done, running: 0 })
     }
 
--- a/src/coordination/requests/response/tests.rs
+++ b/src/coordination/requests/response/tests.rs
@@ -44,7 +44,7 @@
         r#"{"NameId":"run-1","Stage":"pending"}"#,
     );
     assert_bytes(
-        UserResponse::after_cancellation("run-1", Stage::Cancelled),
+        UserResponse::after_cancellation("run-1", JobStage::Cancelled),
         200,
         r#"{"NameId":"run-1","Stage":"cancelled"}"#,
     );
@@ -59,12 +59,12 @@
         r#"{"NameId":"run-1","Stage":"running","done":2,"running":1}"#,
     );
     assert_bytes(
-        UserResponse::finished_job("run-1", Stage::Done, 7),
+        UserResponse::finished_job("run-1", JobStage::Done, 7),
         200,
         r#"{"NameId":"run-1","Stage":"done","done":7,"running":0}"#,
     );
     assert_bytes(
-        UserResponse::finished_job("run-1", Stage::Cancelled, 7),
+        UserResponse::finished_job("run-1", JobStage::Cancelled, 7),
         200,
         r#"{"NameId":"run-1","Stage":"cancelled","done":0,"running":0}"#,
     );
--- a/src/coordination/shard/jobs/lifecycle.rs
+++ b/src/coordination/shard/jobs/lifecycle.rs
@@ -7,7 +7,7 @@
 use super::{Job, UnfinishedJob};
 use crate::coordination::shard::{Action, Shard};
 use crate::protocol::JobId;
-use crate::protocol::users::Stage;
+use crate::protocol::users::JobStage;
 use crate::storage::records::{FinalRecord, JobRecord};
 
 impl Shard {
@@ -52,14 +52,14 @@
 
     /// A job's record was deleted: the job is done or cancelled. A watch reports only the
     /// deletion (`None`); a controller that moved the record itself knows the stage.
-    pub fn job_finished(&mut self, id: &str, stage: Option<Stage>) {
+    pub fn job_finished(&mut self, id: &str, stage: Option<JobStage>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         if job.final_stage.is_none() {
-            job.final_stage = Some(stage.unwrap_or(Stage::Cancelled));
+            job.final_stage = Some(stage.unwrap_or(JobStage::Cancelled));
             let stage = stage.map_or("done or cancelled", |stage| match stage {
-                Stage::Done => "done",
+                JobStage::Done => "done",
                 _ => "cancelled",
             });
             tracing::info!(
--- a/src/coordination/shard/jobs/mod.rs
+++ b/src/coordination/shard/jobs/mod.rs
@@ -19,7 +19,7 @@
 
 use super::health::RunTimes;
 use super::{FailureHistory, GangAttempt};
-use crate::protocol::users::{JobKind, JobSpec, Stage};
+use crate::protocol::users::{JobKind, JobSpec, JobStage};
 use crate::protocol::{JobId, MachineId};
 use crate::storage::records::JobRecord;
 use crate::storage::task_set::TaskSet;
@@ -53,7 +53,7 @@
     /// Run times of its completed tasks, to find machines that are slower.
     pub ran: RunTimes,
     /// Its final stage, once it is finished.
-    pub final_stage: Option<Stage>,
+    pub final_stage: Option<JobStage>,
     /// Whether the write of its final record was requested.
     pub finish_sent: bool,
     /// Some of its tasks would start too late on low-cost machines: they may also use those
--- a/src/coordination/shard/tests/combined_faults.rs
+++ b/src/coordination/shard/tests/combined_faults.rs
@@ -7,7 +7,7 @@
 use super::scripted_workers::run_commands;
 use crate::coordination::shard::{CommandOutcome, RecoveredState, UnfinishedJob};
 use crate::protocol::cloud::{ListedMachine, MachineState};
-use crate::protocol::users::Stage;
+use crate::protocol::users::JobStage;
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState};
 
 fn second(n: u64) -> Duration {
@@ -28,7 +28,9 @@
     for id in ["vm-2", "vm-3"] {
         script.heartbeat(id, Vec::new());
     }
-    script.shard.job_finished("run-1", Some(Stage::Cancelled));
+    script
+        .shard
+        .job_finished("run-1", Some(JobStage::Cancelled));
     script.submit("run-2", spec("red", 8.0, 2));
     let launched = script.launches().len();
     assert_eq!(launched, 1, "vm-1 may still use the other half");
@@ -156,7 +158,9 @@
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
     run_commands(&mut script, "vm-1");
-    script.shard.job_finished("run-1", Some(Stage::Cancelled));
+    script
+        .shard
+        .job_finished("run-1", Some(JobStage::Cancelled));
     script.reconcile();
     let delayed = script.batches();
     assert_eq!(delayed.len(), 1);
--- a/src/coordination/shard/tests/failing_jobs.rs
+++ b/src/coordination/shard/tests/failing_jobs.rs
@@ -6,7 +6,7 @@
 use super::fixtures::{self, policy, record, task_status};
 use super::scripted_shard::{ScriptedShard, TOKEN, stops};
 use crate::coordination::shard::{CommandOutcome, Policy, RecoveredState, UnfinishedJob};
-use crate::protocol::users::{JobKind, JobSpec, Stage};
+use crate::protocol::users::{JobKind, JobSpec, JobStage};
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState, TaskStatus, WorkerHeartbeat};
 
 const MACHINES: [&str; 6] = ["vm-1", "vm-2", "vm-3", "vm-4", "vm-5", "vm-6"];
@@ -243,7 +243,9 @@
     let tried = (0..80).any(|_| run_one_second(&mut script, &MACHINES, &fetches) > 0);
     assert!(tried);
     assert!(!script.shard.jobs()["run-9"].live().is_empty());
-    script.shard.job_finished("run-9", Some(Stage::Cancelled));
+    script
+        .shard
+        .job_finished("run-9", Some(JobStage::Cancelled));
     script.reconcile();
     let commands: Vec<Command> = script
         .batches()
--- a/src/coordination/shard/tests/gangs/faults.rs
+++ b/src/coordination/shard/tests/gangs/faults.rs
@@ -5,7 +5,7 @@
 use super::super::scripted_shard::ScriptedShard;
 use super::{gang, run_gang_of_two, second};
 use crate::coordination::shard::{Action, CommandOutcome};
-use crate::protocol::users::{JobSpec, Stage};
+use crate::protocol::users::{JobSpec, JobStage};
 use crate::protocol::workers::{AttemptOutcome, TaskState};
 
 /// A gang that uses all of its team's quota limit: its next attempt waits until no task of the
@@ -77,7 +77,9 @@
     assert_eq!(live, 1, "it may run in the partitioned zone");
     // The partition ends: there is capacity for half of it in each zone.
     script.shard.set_partitioned_zones([].into());
-    script.shard.job_finished("run-1", Some(Stage::Cancelled));
+    script
+        .shard
+        .job_finished("run-1", Some(JobStage::Cancelled));
     script.all_ended("vm-3", AttemptOutcome::Stopped);
     script.advance(second(1));
     let mut started: Vec<String> = script
@@ -133,7 +135,9 @@
     script.all_ended(&done, AttemptOutcome::Done);
     let finishes = |action: &Action| matches!(action, Action::Finish { .. });
     assert!(script.actions.iter().any(finishes));
-    script.shard.job_finished("run-1", Some(Stage::Cancelled));
+    script
+        .shard
+        .job_finished("run-1", Some(JobStage::Cancelled));
     script.advance(second(1));
     assert_eq!(script.execute_launches(), []);
     script.all_ended(&other, AttemptOutcome::Done);
--- a/src/coordination/shard/tests/gangs/placement.rs
+++ b/src/coordination/shard/tests/gangs/placement.rs
@@ -8,7 +8,7 @@
 use super::{gang, second};
 use crate::coordination::shard::RentalOutcome;
 use crate::protocol::cloud::MachineType;
-use crate::protocol::users::{JobSpec, Priority, Stage};
+use crate::protocol::users::{JobSpec, JobStage, Priority};
 use crate::protocol::workers::{AttemptOutcome, TaskState};
 
 #[test]
@@ -41,7 +41,9 @@
     assert_eq!(script.execute_launches().len(), 3);
     script.submit("run-2", limited(2));
     assert_eq!(script.execute_launches(), []);
-    script.shard.job_finished("run-1", Some(Stage::Cancelled));
+    script
+        .shard
+        .job_finished("run-1", Some(JobStage::Cancelled));
     script.reconcile();
     assert_eq!(script.execute_stops().len(), 3);
     for id in ["vm-1", "vm-2", "vm-3"] {
--- a/src/coordination/shard/tests/scale_in.rs
+++ b/src/coordination/shard/tests/scale_in.rs
@@ -6,7 +6,7 @@
 use super::scripted_shard::ScriptedShard;
 use super::scripted_workers::run_commands;
 use crate::coordination::shard::{Action, Policy, RecoveredState};
-use crate::protocol::users::{JobSpec, Stage};
+use crate::protocol::users::{JobSpec, JobStage};
 
 /// Lets time pass, in which the machine sends heartbeats without tasks.
 fn idle_for(script: &mut ScriptedShard, seconds: u64) {
@@ -34,7 +34,9 @@
         script.shard.heartbeat(&heartbeat, script.now);
     }
     assert_eq!(script.deletions(), 0, "it has tasks");
-    script.shard.job_finished("run-1", Some(Stage::Cancelled));
+    script
+        .shard
+        .job_finished("run-1", Some(JobStage::Cancelled));
     script.heartbeat("vm-1", Vec::new());
     script
 }
@@ -72,7 +74,9 @@
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("red", 1.0, 1));
     run_commands(&mut script, "vm-1");
-    script.shard.job_finished("run-1", Some(Stage::Cancelled));
+    script
+        .shard
+        .job_finished("run-1", Some(JobStage::Cancelled));
     idle_for(&mut script, 100);
     assert_eq!(script.deletions(), 0, "one came less than two minutes ago");
     idle_for(&mut script, 40);
--- a/src/coordination/shard/tests/simulation/kv_store.rs
+++ b/src/coordination/shard/tests/simulation/kv_store.rs
@@ -12,7 +12,7 @@
 use crate::coordination::shard::{RecoveredMachine, RecoveredState, UnfinishedJob};
 use crate::protocol::FencingToken;
 use crate::protocol::kv::Mutation;
-use crate::protocol::users::{JobKind, Stage};
+use crate::protocol::users::{JobKind, JobStage};
 use crate::storage::keys;
 use crate::storage::records::{FORMAT_VERSION, FinalRecord, JobRecord};
 use crate::storage::roster::decode_page;
@@ -88,7 +88,7 @@
     }
 
     /// Replaces a job's record with its final one; `None` if there is no such job.
-    pub(super) fn finish_job(&mut self, id: &str, stage: Stage) -> Option<()> {
+    pub(super) fn finish_job(&mut self, id: &str, stage: JobStage) -> Option<()> {
         let record = self.jobs.remove(id)?.record;
         self.revision += 1;
         let last = FinalRecord {
@@ -174,8 +174,8 @@
         if !self.truth.all_completed(&job, stored.record.spec.tasks) {
             self.violate(Rule::DoneOnlyWhenCompleted, &job);
         }
-        self.store.finish_job(&job, Stage::Done);
-        let stage = Stage::Done;
+        self.store.finish_job(&job, JobStage::Done);
+        let stage = JobStage::Done;
         self.send(Message::JobFinished { job, stage });
     }
 }
--- a/src/coordination/shard/tests/simulation/network.rs
+++ b/src/coordination/shard/tests/simulation/network.rs
@@ -9,7 +9,7 @@
 use super::Simulation;
 use crate::coordination::shard::{CommandOutcome, RentalOutcome, ShardWrite};
 use crate::protocol::cloud::Rental;
-use crate::protocol::users::Stage;
+use crate::protocol::users::JobStage;
 use crate::protocol::workers::{Command, WorkerHeartbeat};
 use crate::protocol::{FencingToken, MachineId};
 
@@ -94,7 +94,7 @@
     /// A watch event: the job has a final record.
     JobFinished {
         job: String,
-        stage: Stage,
+        stage: JobStage,
     },
     Rent {
         leader: u64,
--- a/src/coordination/shard/tests/simulation/users.rs
+++ b/src/coordination/shard/tests/simulation/users.rs
@@ -6,7 +6,7 @@
 use super::network::Message;
 use super::{Simulation, lasts};
 use crate::coordination::shard::tests::fixtures::record;
-use crate::protocol::users::{JobSpec, Stage};
+use crate::protocol::users::{JobSpec, JobStage};
 
 impl Simulation {
     pub(crate) fn submit(&mut self, id: &str, spec: JobSpec) {
@@ -25,13 +25,13 @@
         if lasts(self.store.outage_until, self.now) {
             return;
         }
-        if self.store.finish_job(id, Stage::Cancelled).is_none() {
+        if self.store.finish_job(id, JobStage::Cancelled).is_none() {
             return;
         }
         self.truth.cancelled_at.insert(id.to_owned(), self.now);
         self.send(Message::JobFinished {
             job: id.to_owned(),
-            stage: Stage::Cancelled,
+            stage: JobStage::Cancelled,
         });
     }
 
--- a/src/coordination/tests/cancellation_freshness.rs
+++ b/src/coordination/tests/cancellation_freshness.rs
@@ -19,7 +19,7 @@
 use crate::protocol::TaskId;
 use crate::protocol::kv::WatchEvent;
 use crate::protocol::peer_messages::{CancellationsRequest, ConfirmedCancellations};
-use crate::protocol::users::{JobSpec, Stage, Submission, parse_submission};
+use crate::protocol::users::{JobSpec, JobStage, Submission, parse_submission};
 use crate::protocol::workers::{Command, TaskState, TaskStatus};
 use crate::storage::keys;
 use crate::storage::records::{FORMAT_VERSION, FinalRecord, JobRecord};
@@ -93,7 +93,7 @@
     /// The key-value store refuses the leader only, and serves the peer, which cancels the
     /// job and confirms that to its user.
     fn peer_cancels(&self) {
-        let last = FinalRecord::new(Stage::Cancelled, spec());
+        let last = FinalRecord::new(JobStage::Cancelled, spec());
         self.peer
             .job_index
             .record_final("run-000001", &last, CANCELLED);
@@ -220,7 +220,7 @@
 #[tokio::test]
 async fn confirmed_cancellations_are_complete_or_absent() {
     let mut outage = Outage::new().await;
-    let last = FinalRecord::new(Stage::Cancelled, spec());
+    let last = FinalRecord::new(JobStage::Cancelled, spec());
     for n in 0..3_000 {
         let id = format!("run-1{n:05}");
         outage
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -122,7 +122,7 @@
 /// A job's state as users see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Stage {
+pub enum JobStage {
     /// No task is running.
     Pending,
     /// Some task is running.
@@ -141,7 +141,7 @@
     pub id: String,
     /// Its state.
     #[serde(rename = "Stage")]
-    pub stage: Stage,
+    pub stage: JobStage,
     /// How many of its tasks are done.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub done: Option<u32>,
--- a/src/storage/job_index.rs
+++ b/src/storage/job_index.rs
@@ -17,7 +17,7 @@
 use crate::clock::Clock;
 use crate::protocol::kv::WatchEvent;
 use crate::protocol::peer_messages::CancelledJob;
-use crate::protocol::users::Stage;
+use crate::protocol::users::JobStage;
 
 mod state;
 
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FinalState {
     /// Done or cancelled.
-    pub stage: Stage,
+    pub stage: JobStage,
     /// How many tasks the job had.
     pub tasks: u32,
 }
@@ -178,8 +178,8 @@
                 Err(error) => return Err(error),
             }
         }
-        let (items, revision) = kv.list(keys::JOBS, RELOAD_DEADLINE).await?;
-        self.state().load(&items, revision);
+        let open = kv.list(keys::JOBS, RELOAD_DEADLINE).await?;
+        self.state().load(&open.items, open.revision);
         Ok(())
     }
 }
--- a/src/storage/job_index/state.rs
+++ b/src/storage/job_index/state.rs
@@ -5,7 +5,7 @@
 use super::{FinalState, JobStatus};
 use crate::protocol::kv::{KeyValue, WatchEvent};
 use crate::protocol::peer_messages::CancelledJob;
-use crate::protocol::users::Stage;
+use crate::protocol::users::JobStage;
 use crate::storage::keys;
 use crate::storage::records::FinalRecord;
 
@@ -77,7 +77,7 @@
         // The number of tasks doesn't matter: users see none of a cancelled job as done.
         let tasks = self.final_state(id).map_or(0, |state| state.tasks);
         let state = FinalState {
-            stage: Stage::Cancelled,
+            stage: JobStage::Cancelled,
             tasks,
         };
         self.record_final(id, state, revision);
@@ -89,7 +89,7 @@
         if self.finished.insert(id.to_owned(), state).is_none() {
             self.finished_order.push_back(id.to_owned());
         }
-        if state.stage == Stage::Cancelled {
+        if state.stage == JobStage::Cancelled {
             self.cancelled.insert(revision, id.to_owned());
         }
         self.drop_oldest();
--- a/src/storage/job_index/tests.rs
+++ b/src/storage/job_index/tests.rs
@@ -13,7 +13,7 @@
 
 fn done(tasks: u32) -> FinalState {
     FinalState {
-        stage: Stage::Done,
+        stage: JobStage::Done,
         tasks,
     }
 }
--- a/src/storage/kv_client.rs
+++ b/src/storage/kv_client.rs
@@ -33,6 +33,15 @@
 /// How much longer than the store may wait for changes the answer to a watch is awaited.
 const WATCH_ANSWER_MARGIN: Duration = Duration::from_millis(1500);
 
+/// All keys with a prefix.
+#[derive(Debug)]
+pub struct KeyList {
+    /// The keys, in order.
+    pub items: Vec<KeyValue>,
+    /// A store revision no later than that of any page read: a watch after it misses no change.
+    pub revision: u64,
+}
+
 /// What became of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TransactionOutcome {
@@ -97,13 +106,8 @@
         }
     }
 
-    /// Reads all keys with a prefix in order, page by page, with a revision no later than that of
-    /// any page: a watch after it misses no change. The deadline is that of each page.
-    pub async fn list(
-        &self,
-        prefix: &str,
-        deadline: Duration,
-    ) -> Result<(Vec<KeyValue>, u64), KvError> {
+    /// Reads all keys with a prefix in order, page by page. The deadline is that of each page.
+    pub async fn list(&self, prefix: &str, deadline: Duration) -> Result<KeyList, KvError> {
         let mut items = Vec::new();
         let mut revision = None;
         let mut after = String::new();
@@ -124,7 +128,7 @@
             items.extend(page.items);
             match last {
                 Some(last) if page.more => after = last,
-                _ => return Ok((items, revision)),
+                _ => return Ok(KeyList { items, revision }),
             }
         }
     }
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -8,7 +8,7 @@
 
 use crate::protocol::FencingToken;
 use crate::protocol::cloud::Rental;
-use crate::protocol::users::{JobSpec, Stage};
+use crate::protocol::users::{JobSpec, JobStage};
 use crate::protocol::workers::WorkerHeartbeat;
 
 /// The only shard so far: every key of a shard's state carries its number.
@@ -42,7 +42,7 @@
     #[serde(rename = "v")]
     pub format_version: u32,
     /// The final state: done or cancelled.
-    pub stage: Stage,
+    pub stage: JobStage,
     /// How many tasks it had.
     pub tasks: u32,
     /// Its description, by which the resources of tasks that still run are accounted.
@@ -51,7 +51,7 @@
 
 impl FinalRecord {
     /// The final record of a job with this description.
-    pub fn new(stage: Stage, spec: JobSpec) -> Self {
+    pub fn new(stage: JobStage, spec: JobSpec) -> Self {
         Self {
             format_version: FORMAT_VERSION,
             stage,
--- a/tests/trial/nodes.rs
+++ b/tests/trial/nodes.rs
@@ -12,7 +12,7 @@
 use valegap::coordination::node::Node;
 use valegap::coordination::requests::{RequestOrigin, UserRequest, UserResponse, answer};
 use valegap::protocol::cloud::MachineType;
-use valegap::protocol::users::{Stage, Submission, parse_submission};
+use valegap::protocol::users::{JobStage, Submission, parse_submission};
 use valegap::settings::{Operator, Platform, Settings};
 use valegap::storage::kv_client::TransactionOutcome;
 use valegap::storage::records::FinalRecord;
@@ -108,7 +108,7 @@
     };
     let body = submission(id, 1.0).to_string();
     let Submission { spec, .. } = parse_submission(body.as_bytes()).expect("a submission");
-    let last = FinalRecord::new(Stage::Done, spec);
+    let last = FinalRecord::new(JobStage::Done, spec);
     let txn = job_transition::finish_job(id, item.mod_revision, &last).expect("a transaction");
     matches!(
         node.clients.kv.txn(&txn, DEADLINE).await,
--- a/tests/upgrade/cluster.rs
+++ b/tests/upgrade/cluster.rs
@@ -141,7 +141,7 @@
                 let last =
                     json!({ "v": 2, "stage": "done", "tasks": tasks, "spec": record["spec"] });
                 self.keys.insert(keys::final_job(&job), last);
-                shard.job_finished(&job, Some(valegap::protocol::users::Stage::Done));
+                shard.job_finished(&job, Some(valegap::protocol::users::JobStage::Done));
             }
             Action::Delete(machines) => {
                 for machine in &machines {
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -7,7 +7,7 @@
 use serde::de::DeserializeOwned;
 use valegap::protocol::FencingToken;
 use valegap::protocol::peers::{PeerAnswer, PeerHeartbeat, PeerRequest, Progress};
-use valegap::protocol::users::{JobKind, Stage};
+use valegap::protocol::users::{JobKind, JobStage};
 use valegap::storage::records::{
     DelegateRecord, FinalRecord, JobRecord, LeaderRecord, ReachabilityRecord, RosterRecord,
     SequenceRecord,
@@ -133,7 +133,7 @@
     let job: JobRecord = round_trip(JOB_RECORD);
     assert_eq!((job.spec.kind, job.spec.tasks), (JobKind::Batch, 16));
     let last: FinalRecord = round_trip(FINAL_RECORD);
-    assert_eq!(last.stage, Stage::Cancelled);
+    assert_eq!(last.stage, JobStage::Cancelled);
     assert_eq!(round_trip::<LeaderRecord>(LEADER_RECORD).lease, 4);
     assert!(round_trip::<DelegateRecord>(DELEGATE_RECORD).inventory);
     assert_eq!(
@@ -151,7 +151,7 @@
     let mut job: JobRecord = round_trip(JOB_RECORD);
     job.spec.machine_types = Some((0..200).map(|n| format!("kind-{n:0100}")).collect());
     job.spec.image = "ä".repeat(100);
-    let whole = FinalRecord::new(Stage::Done, job.spec);
+    let whole = FinalRecord::new(JobStage::Done, job.spec);
     assert!(serde_json::to_vec(&whole).expect("JSON").len() > 16_384);
     let last = whole.clone().within(512);
     assert!(serde_json::to_vec(&last).expect("JSON").len() <= 512);
