--- a/src/coordination/leadership/candidacy.rs
+++ b/src/coordination/leadership/candidacy.rs
@@ -2,9 +2,9 @@
 
 use std::time::{Duration, Instant};
 
+use super::lease::MAX_LEASE_EXTENSION;
 use crate::coordination::node::Node;
 use crate::coordination::node::state::NodeState;
-use crate::coordination::peering::lease_votes::LONGEST_EXTENSION;
 
 /// How long a candidate outside the zone of most machines waits before it tries.
 const FAR_ZONE_DELAY: Duration = Duration::from_millis(150);
@@ -24,7 +24,7 @@
         let now = self.now();
         let state = self.lock();
         let earlier_vote = (!state.candidacy.previous_incarnation_ended)
-            .then_some(self.started + LONGEST_EXTENSION);
+            .then_some(self.started + MAX_LEASE_EXTENSION);
         state
             .candidacy
             .extension_granted_until
--- a/src/coordination/leadership/lease.rs
+++ b/src/coordination/leadership/lease.rs
@@ -10,6 +10,10 @@
 use crate::protocol::FencingToken;
 use crate::settings::Operator;
 
+/// Longest time for which a vote is given. A process that has just started waits this long before
+/// it campaigns: its earlier incarnation may have voted.
+pub const MAX_LEASE_EXTENSION: Duration = Duration::from_secs(1);
+
 /// One term of leadership, identified by its fencing token.
 ///
 /// A leader acts only while [`ShardLease::live`]: until its deadline, which runs
--- a/src/coordination/leadership/renewal.rs
+++ b/src/coordination/leadership/renewal.rs
@@ -7,7 +7,7 @@
 use tokio::task::JoinSet;
 use tracing::{info, warn};
 
-use super::lease::{self, ShardLease};
+use super::lease::{self, MAX_LEASE_EXTENSION, ShardLease};
 use crate::coordination::clock_drift;
 use crate::coordination::node::Node;
 use crate::coordination::peering::lease_votes;
@@ -136,7 +136,7 @@
 /// campaign for the shard. Past its deadline it may resume if no other controller can
 /// have acquired the shard since its last successful renewal was sent.
 async fn extend_by_votes(node: &Arc<Node>, lease: &ShardLease) {
-    let time = lease_votes::LONGEST_EXTENSION;
+    let time = MAX_LEASE_EXTENSION;
     let sent = node.now();
     let granted = if lease.live(sent) {
         lease_votes::all_grant_extension(node, time).await
--- a/src/coordination/node/state.rs
+++ b/src/coordination/node/state.rs
@@ -1,11 +1,11 @@
 //! What a controller knows, behind the one lock of its [`Node`](super::Node).
 
 use std::collections::HashMap;
+use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use crate::coordination::leadership::lease::ShardLease;
-use crate::coordination::peering::eligibility::UnreachableWorkers;
 use crate::coordination::shard::{Shard, TaskCounts};
 use crate::coordination::worker_leases::advance_delegation::{AdvanceDelegation, AdvanceGrants};
 use crate::coordination::worker_leases::cancellation_freshness::CancellationFreshness;
@@ -98,6 +98,15 @@
     pub at: Instant,
 }
 
+/// Workers that a former leader couldn't reach.
+#[derive(Debug, Clone)]
+pub struct UnreachableWorkers {
+    /// Some of their addresses, to be probed.
+    pub(in crate::coordination) addresses: Vec<SocketAddr>,
+    /// When they were unreachable.
+    pub(in crate::coordination) since: Instant,
+}
+
 /// What decides whether a controller may campaign for the shard, and may grant another
 /// leader an extension.
 #[derive(Default)]
--- a/src/coordination/peering/eligibility.rs
+++ b/src/coordination/peering/eligibility.rs
@@ -6,12 +6,13 @@
 
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 use hyper::{Method, StatusCode};
 
 use super::ROUND_DEADLINE;
 use crate::coordination::node::Node;
+use crate::coordination::node::state::UnreachableWorkers;
 
 /// Largest number of workers that are probed in a round.
 const MAX_PROBED_WORKERS: usize = 8;
@@ -22,13 +23,6 @@
 /// Time after which probing ends in any case: deleted machines never answer.
 const MAX_PROBING: Duration = Duration::from_secs(600);
 
-/// Workers that a former leader couldn't reach.
-#[derive(Debug, Clone)]
-pub struct UnreachableWorkers {
-    addresses: Vec<SocketAddr>,
-    since: Instant,
-}
-
 /// Marks this controller, the leader, as ineligible until some of the workers that it can't
 /// reach answer again.
 pub(in crate::coordination) fn mark_ineligible(node: &Node) {
--- a/src/coordination/peering/lease_votes.rs
+++ b/src/coordination/peering/lease_votes.rs
@@ -11,7 +11,7 @@
 use super::ROUND_DEADLINE;
 use super::client::{call_peer, post_frame};
 use crate::coordination::clock_drift;
-use crate::coordination::leadership::lease::ShardLease;
+use crate::coordination::leadership::lease::{MAX_LEASE_EXTENSION, ShardLease};
 use crate::coordination::node::Node;
 use crate::coordination::node::state::NodeState;
 use crate::protocol::FencingToken;
@@ -19,10 +19,6 @@
 use crate::protocol::peers::{PeerAnswer, PeerRequest};
 use crate::settings::platform::Peer;
 
-/// Longest time for which a vote is given. A process that has just started waits this long before
-/// it campaigns: its earlier incarnation may have voted.
-pub const LONGEST_EXTENSION: Duration = Duration::from_secs(1);
-
 /// Votes on a lease extension; true if this controller abstains from campaigning for this long.
 ///
 /// The vote is refused while the key-value store serves this controller: then the leader alone
@@ -32,7 +28,7 @@
     let kv_failing = node.kv_failing();
     let mut inner = node.lock();
     let may_lead = inner.candidacy.acquiring || inner.leadership.is_some();
-    if !kv_failing || may_lead || time > LONGEST_EXTENSION {
+    if !kv_failing || may_lead || time > MAX_LEASE_EXTENSION {
         return false;
     }
     // This controller's clock may run fast against the leader's.
--- a/src/coordination/shard/autoscaler/backoff.rs
+++ b/src/coordination/shard/autoscaler/backoff.rs
@@ -6,7 +6,7 @@
 use super::machine_kind::MachineKind;
 
 /// How often in a row the pause after a shortage doubles at the most.
-const MAX_DOUBLINGS: u32 = 3;
+const MAX_SHORTAGE_DOUBLINGS: u32 = 3;
 
 /// A shortage of one kind of machine.
 #[derive(Debug, Clone, Copy)]
@@ -37,7 +37,7 @@
     pub(super) fn record_shortage(&mut self, kind: MachineKind, pause: Duration, now: Instant) {
         let before = self.shortages.get(&kind).map_or(0, |known| known.in_a_row);
         let shortage = Shortage {
-            until: now + pause * (1 << before.min(MAX_DOUBLINGS)),
+            until: now + pause * (1 << before.min(MAX_SHORTAGE_DOUBLINGS)),
             in_a_row: before + 1,
         };
         self.shortages.insert(kind, shortage);
--- a/src/coordination/shard/autoscaler/boot_estimates.rs
+++ b/src/coordination/shard/autoscaler/boot_estimates.rs
@@ -12,14 +12,14 @@
 
 /// Multiple of the usual boot time after which a machine is overdue; the margin is added.
 const OVERDUE_BOOTS: f64 = 2.0;
-const OVERDUE_MARGIN: Duration = Duration::from_secs(3);
+const BOOT_OVERDUE_MARGIN: Duration = Duration::from_secs(3);
 
 /// Multiple of the usual boot time that a boot often takes.
 pub(super) const BOOT_MARGIN: f64 = 1.2;
 
 /// Whether a machine of this age should have booted.
 fn is_overdue(age: Duration, usual: Duration) -> bool {
-    age > usual.mul_f64(OVERDUE_BOOTS) + OVERDUE_MARGIN
+    age > usual.mul_f64(OVERDUE_BOOTS) + BOOT_OVERDUE_MARGIN
 }
 
 impl AutoscalerView<'_> {
--- a/src/coordination/shard/health/slowness.rs
+++ b/src/coordination/shard/health/slowness.rs
@@ -12,10 +12,10 @@
 /// The same as a share of the job's tasks: the first to complete are the shortest.
 const MIN_COMPLETED_SHARE: f64 = 0.5;
 /// A task is overdue after so many times the mean run time of its job's completed tasks, and
-/// [`OVERDUE_MARGIN`] more.
+/// [`RUN_TIME_MARGIN`] more.
 const OVERDUE_MULTIPLE: f64 = 2.5;
 /// Time added to that multiple, for short tasks, whose run times vary more.
-const OVERDUE_MARGIN: Duration = Duration::from_secs(5);
+const RUN_TIME_MARGIN: Duration = Duration::from_secs(5);
 
 /// Run times of one job's completed tasks.
 #[derive(Debug, Clone, Copy, Default)]
@@ -36,7 +36,7 @@
     fn overdue_after(&self, tasks: u32) -> Option<Duration> {
         let enough = self.count >= MIN_COMPLETED
             && f64::from(self.count) >= f64::from(tasks) * MIN_COMPLETED_SHARE;
-        enough.then(|| (self.total / self.count).mul_f64(OVERDUE_MULTIPLE) + OVERDUE_MARGIN)
+        enough.then(|| (self.total / self.count).mul_f64(OVERDUE_MULTIPLE) + RUN_TIME_MARGIN)
     }
 }
 
