--- a/src/coordination/worker_leases/authority.rs
+++ b/src/coordination/worker_leases/authority.rs
@@ -8,7 +8,7 @@
 //! These are methods of [`Node`] because they combine the state behind its lock with its
 //! settings and with the health of its client for the store.
 
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 use tracing::{info, warn};
 
@@ -36,13 +36,11 @@
         let bound = cancellation_freshness::bound(&self.settings);
         let may = known.is_some_and(|known| now < known + bound);
         // Before the first catch-up read there is nothing to suspend, nor to log.
-        if state.renewals_suspended == may && known.is_some() {
+        if let Some(known) = known
+            && state.renewals_suspended == may
+        {
             state.renewals_suspended = !may;
-            if may {
-                info!("renewals of workers' leases resumed: cancellations are known");
-            } else {
-                warn!("renewals of workers' leases suspended: cancellations may be unknown");
-            }
+            log_renewals_changed(may, now.saturating_duration_since(known), bound);
         }
         may
     }
@@ -133,3 +131,18 @@
                 < advance_delegation::LEADER_UNREACHABLE_AFTER
     })
 }
+
+fn log_renewals_changed(may: bool, staleness: Duration, bound: Duration) {
+    let (staleness_s, bound_s) = (staleness.as_secs_f64(), bound.as_secs_f64());
+    if may {
+        info!(
+            staleness_s,
+            bound_s, "renewals of workers' leases resumed: cancellations are known"
+        );
+    } else {
+        warn!(
+            staleness_s,
+            bound_s, "renewals of workers' leases suspended: cancellations may be unknown"
+        );
+    }
+}
