--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -32,7 +32,7 @@
 //! | `Stand`, `Stands` | `machine`, `machines` | a machine's name |
 //! | `NameId` | `id` | a machine's name in the list (a job's id for users) |
 //! | `Addr` | `addr` | a worker's address |
-//! | `JobStage` | `state` | a machine's state |
+//! | `Stage` | `state` | a machine's state |
 //! | `HeldS` | `age_s` | time since a machine's rental was requested |
 //! | **workers** | | |
 //! | `Rehearsal` | `agent_epoch` | counts the expiries of a worker's lease |
@@ -41,7 +41,7 @@
 //! | `CueS` | `preemption_notice_s` | time until the cloud takes a spot machine away |
 //! | `Voices`, `Voice` | `tasks`, `task` | tasks; their number in a submission |
 //! | `Take` | `attempt` | an attempt's number |
-//! | `JobStage` | `state` | an attempt's state; `flushing` is `Saving` |
+//! | `Stage` | `state` | an attempt's state; `flushing` is `Saving` |
 //! | `Coda` | `outcome` | why an attempt ended: `halted` is `Stopped`, `full` `NoRoom`, `in_use` `Busy`, `peers` `GangPeerLost`, `alone` `GangIncomplete` |
 //! | `Cues`, `CueKind` | `commands`, the variants of `Command` | commands to a worker |
 //! | `RestS` | `grace_s` | time to save a checkpoint after a stop command |
@@ -59,7 +59,7 @@
 //! | `BreathS` | `checkpoint_s` | time between two checkpoints |
 //! | `FermataS` | `save_s` | time to save a checkpoint at a stop |
 //! | `CurtainS` | `deadline_s` | time until the job should be done |
-//! | `JobStage` | `stage` | a job's state |
+//! | `Stage` | `stage` | a job's state |
 //! | `done`, `running` | the same | counts of tasks |
 
 pub mod cloud;
