--- a/src/coordination/shard/tests/agent_epochs.rs
+++ b/src/coordination/shard/tests/agent_epochs.rs
@@ -69,8 +69,7 @@
         "it may be a duplicate"
     );
     // The answer of a worker that has not restarted has newer numbers.
-    let newer = script.heartbeat_of("vm-1", TOKEN, Vec::new());
-    script.answer(&probe, CommandOutcome::Executed(newer));
+    script.execute(&probe, Vec::new());
     assert!(!script.machine("vm-1").is_deleting());
     script.now += Duration::from_secs(3);
     script.receive(&old);
--- a/src/coordination/shard/tests/combined_faults.rs
+++ b/src/coordination/shard/tests/combined_faults.rs
@@ -75,8 +75,7 @@
             script.heartbeat(id, Vec::new());
         }
         for batch in script.probes() {
-            let heartbeat = script.heartbeat_of(&batch.machine, TOKEN, Vec::new());
-            script.answer(&batch, CommandOutcome::Executed(heartbeat));
+            script.execute(&batch, Vec::new());
         }
         script.advance(second(1));
     };
@@ -121,8 +120,7 @@
     };
     script.shard.listed(&[listed], script.now);
     for batch in script.batches() {
-        let heartbeat = script.heartbeat_of(&batch.machine, TOKEN, Vec::new());
-        script.answer(&batch, CommandOutcome::Executed(heartbeat));
+        script.execute(&batch, Vec::new());
     }
     assert_eq!(script.launches().len(), 1);
 }
@@ -137,8 +135,7 @@
     for _ in 0..10 {
         script.advance(second(2));
         for batch in script.probes() {
-            let heartbeat = script.heartbeat_of(&batch.machine, TOKEN, Vec::new());
-            script.answer(&batch, CommandOutcome::Executed(heartbeat));
+            script.execute(&batch, Vec::new());
         }
     }
     assert_eq!(script.machine("vm-1").lease.expires_at(), lease_expires_at);
@@ -171,12 +168,7 @@
         .keys()
         .next()
         .map(|id| id.number);
-    let line = task_status(
-        "run-1/0",
-        attempt_number.expect("it runs"),
-        TaskState::Running,
-        None,
-    );
+    let line = running_task("run-1/0", attempt_number.expect("it runs"));
     let commands = script.heartbeat("vm-1", vec![line]);
     assert_eq!(stops(&commands), 1);
 }
--- a/src/coordination/shard/tests/delegations.rs
+++ b/src/coordination/shard/tests/delegations.rs
@@ -6,9 +6,7 @@
     ADVANCE_DELEGATION, ended_task, record, recovered_job, roster_machine, running_task, spec,
 };
 use super::scripted_shard::{ScriptedShard, TOKEN};
-use crate::coordination::shard::{
-    CommandOutcome, RecoveredState, UnfinishedJob, delegate_commands,
-};
+use crate::coordination::shard::{RecoveredState, UnfinishedJob, delegate_commands};
 use crate::protocol::TaskId;
 use crate::protocol::workers::{AttemptOutcome, Command};
 
@@ -25,8 +23,7 @@
         panic!("not a launch");
     };
     let runs = vec![running_task(&task.to_string(), attempt)];
-    let heartbeat = script.heartbeat_of("vm-1", TOKEN, runs.clone());
-    script.answer(&batch, CommandOutcome::Executed(heartbeat));
+    script.execute(&batch, runs.clone());
     script.heartbeat("vm-1", runs);
     script.shard.delegate("beta", script.now);
     script.reconcile();
--- a/src/coordination/shard/tests/failover.rs
+++ b/src/coordination/shard/tests/failover.rs
@@ -21,8 +21,7 @@
         ..RecoveredState::default()
     });
     let probes = script.batches();
-    let heartbeat = script.heartbeat_of("vm-1", TOKEN, Vec::new());
-    script.answer(&probes[0], CommandOutcome::Executed(heartbeat));
+    script.execute(&probes[0], Vec::new());
     assert!(script.launches().is_empty(), "vm-2 may hold the task");
     // A job that no earlier leader can have known starts at once.
     script.submit("run-2", spec("blue", 1.0, 1));
@@ -62,8 +61,7 @@
         script.shard.jobs()["run-1"].live().is_empty(),
         "nor is it placed"
     );
-    let heartbeat = script.heartbeat_of("vm-1", TOKEN, Vec::new());
-    script.answer(&probes[0], CommandOutcome::Executed(heartbeat));
+    script.execute(&probes[0], Vec::new());
     assert_eq!(script.launches().len(), 1);
 }
 
@@ -127,8 +125,7 @@
     let mut script = ScriptedShard::new(recovered_job(2, &["vm-1", "vm-2"]));
     let running = running_task("run-1/0", 7);
     let probe = script.probes().remove(0);
-    let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![running]);
-    script.answer(&probe, CommandOutcome::Executed(heartbeat));
+    script.execute(&probe, vec![running]);
     script.advance(Duration::from_millis(300));
     assert!(
         script.launches().is_empty(),
@@ -151,8 +148,7 @@
     let mut script = ScriptedShard::new(recovered);
     let running = |n| running_task(&format!("run-1/{n}"), 7);
     let probe = script.probes().remove(0);
-    let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![running(0), running(1)]);
-    script.answer(&probe, CommandOutcome::Executed(heartbeat));
+    script.execute(&probe, vec![running(0), running(1)]);
     script.heartbeat("vm-1", vec![running(0)]);
     script.advance(Duration::from_millis(300));
     // Two others may be on vm-2, in the same zone.
--- a/src/coordination/shard/tests/health.rs
+++ b/src/coordination/shard/tests/health.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use super::fixtures::{record, roster_machine, spec, task_status};
-use super::scripted_shard::{CommandBatch, ScriptedShard, TOKEN, launched_attempt, stops};
+use super::fixtures::{record, roster_machine, running_task, spec, task_status};
+use super::scripted_shard::{CommandBatch, ScriptedShard, launched_attempt, stops};
 use crate::coordination::shard::{Action, CommandOutcome, RecoveredState, UnfinishedJob};
 use crate::protocol::MachineId;
 use crate::protocol::users::JobKind;
@@ -18,14 +18,8 @@
     job.kind = JobKind::Service;
     script.submit("run-1", job);
     let batch = script.launches().remove(0);
-    let line = task_status(
-        "run-1/0",
-        launched_attempt(&batch.commands),
-        TaskState::Running,
-        None,
-    );
-    let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![line]);
-    script.answer(&batch, CommandOutcome::Executed(heartbeat));
+    let line = running_task("run-1/0", launched_attempt(&batch.commands));
+    script.execute(&batch, vec![line]);
     script.heartbeat("vm-2", Vec::new());
     // vm-1 misses its heartbeats, and its probes stay unanswered.
     for _ in 0..12 {
@@ -62,8 +56,7 @@
     let batches = script.launches();
     for batch in &batches {
         let running = launched_tasks(batch, TaskState::Running, None);
-        let heartbeat = script.heartbeat_of(&batch.machine, TOKEN, running);
-        script.answer(batch, CommandOutcome::Executed(heartbeat));
+        script.execute(batch, running);
     }
     let (quick, slow) = (&batches[0], &batches[1]);
     script.now += Duration::from_secs(10);
--- a/src/coordination/shard/tests/heartbeats.rs
+++ b/src/coordination/shard/tests/heartbeats.rs
@@ -2,11 +2,10 @@
 
 use std::time::Duration;
 
-use super::fixtures::{spec, task_status};
+use super::fixtures::{running_task, spec};
 use super::scripted_shard::{CommandBatch, ScriptedShard, TOKEN, launched_attempt};
 use crate::coordination::shard::{CommandOutcome, HeartbeatOutcome};
 use crate::protocol::MachineId;
-use crate::protocol::workers::TaskState;
 
 /// It was sent before the launch, so that the task it does not list is still there.
 #[test]
@@ -16,14 +15,8 @@
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
     let batch = script.launches().remove(0);
-    let line = task_status(
-        "run-1/0",
-        launched_attempt(&batch.commands),
-        TaskState::Running,
-        None,
-    );
-    let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![line]);
-    script.answer(&batch, CommandOutcome::Executed(heartbeat));
+    let line = running_task("run-1/0", launched_attempt(&batch.commands));
+    script.execute(&batch, vec![line]);
     // Its sequence number is older than that of the answer.
     script.receive(&late);
     assert!(script.launches().is_empty());
@@ -95,8 +88,7 @@
     let heartbeat = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
     let batch = script.launches().remove(0);
-    let answer = script.heartbeat_of("vm-1", TOKEN, Vec::new());
-    script.answer(&batch, CommandOutcome::Executed(answer));
+    script.execute(&batch, Vec::new());
     script.now += Duration::from_secs(10);
     script.shard.heartbeat(&heartbeat, script.now);
     assert!(script.machine("vm-1").lease.expires_at() > script.now + Duration::from_secs(26));
--- a/src/coordination/shard/tests/launches.rs
+++ b/src/coordination/shard/tests/launches.rs
@@ -40,8 +40,7 @@
         let attempt_number = launched_attempt(&batch.commands);
         if outcome_known {
             let line = task_status("run-1/0", attempt_number, TaskState::Fetching, None);
-            let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![line]);
-            script.answer(&batch, CommandOutcome::Executed(heartbeat));
+            script.execute(&batch, vec![line]);
         } else {
             script.answer(&batch, CommandOutcome::NoAnswer);
             // The next heartbeat is answered with the same launch.
--- a/src/coordination/shard/tests/preemption.rs
+++ b/src/coordination/shard/tests/preemption.rs
@@ -5,7 +5,7 @@
 use super::fixtures::{roster_machine, spec};
 use super::scripted_shard::{ScriptedShard, TOKEN, stops};
 use super::scripted_workers::run_commands;
-use crate::coordination::shard::{CommandOutcome, RecoveredState};
+use crate::coordination::shard::RecoveredState;
 use crate::protocol::users::{JobKind, JobSpec, Priority};
 use crate::protocol::workers::Command;
 
@@ -26,8 +26,7 @@
     let mut first = spec("blue", 8.0, 1);
     first.priority = Priority::Prod;
     script.submit("run-2", first);
-    let heartbeat = script.heartbeat_of("vm-1", TOKEN, Vec::new());
-    script.answer(&probe, CommandOutcome::Executed(heartbeat));
+    script.execute(&probe, Vec::new());
     let batches = script.launches();
     assert_eq!(batches.len(), 1);
     assert!(matches!(
--- a/src/coordination/shard/tests/scale/cluster.rs
+++ b/src/coordination/shard/tests/scale/cluster.rs
@@ -5,14 +5,14 @@
 
 use serde_json::Value;
 
-use super::super::fixtures::{self, machine_types, policy, record, task_status};
+use super::super::fixtures::{self, machine_types, policy, record, running_task};
 use super::super::scripted_shard::{ScriptedShard, TOKEN};
 use crate::coordination::shard::{
     Action, CommandOutcome, Policy, RecoveredMachine, RecoveredState, Shard, UnfinishedJob,
 };
 use crate::protocol::kv::Mutation;
 use crate::protocol::users::JobSpec;
-use crate::protocol::workers::{Command, TaskState, WorkerHeartbeat};
+use crate::protocol::workers::{Command, WorkerHeartbeat};
 use crate::protocol::{FencingToken, MachineId, TaskId};
 use crate::storage::keys;
 use crate::storage::roster::decode_page;
@@ -81,9 +81,8 @@
     pub(super) fn heartbeat_of(&mut self, n: usize) -> WorkerHeartbeat {
         let fencing_token = self.script.shard.fencing_token.revision();
         let tasks = self.running.get(&n).into_iter().flatten();
-        let tasks = tasks.map(|(task, attempt_number)| {
-            task_status(&task.to_string(), *attempt_number, TaskState::Running, None)
-        });
+        let tasks =
+            tasks.map(|(task, attempt_number)| running_task(&task.to_string(), *attempt_number));
         let tasks = tasks.collect();
         let mut heartbeat = self.script.heartbeat_of(&name(n), fencing_token, tasks);
         heartbeat.zone = zone(n).into();
--- a/src/coordination/shard/tests/scripted_shard.rs
+++ b/src/coordination/shard/tests/scripted_shard.rs
@@ -193,6 +193,12 @@
             .command_answered(machine, *number, commands, outcome, self.now);
         self.reconcile();
     }
+
+    /// A worker executes a batch and answers with the tasks it lists.
+    pub(super) fn execute(&mut self, batch: &CommandBatch, tasks: Vec<TaskStatus>) {
+        let heartbeat = self.heartbeat_of(&batch.machine, TOKEN, tasks);
+        self.answer(batch, CommandOutcome::Executed(heartbeat));
+    }
 }
 
 /// Decisions.
--- a/src/coordination/shard/tests/scripted_workers.rs
+++ b/src/coordination/shard/tests/scripted_workers.rs
@@ -1,7 +1,7 @@
 //! Workers that do what the shard expects of them: they execute all commands, and their
 //! heartbeats list the attempts that the shard has on record for their machines.
 
-use super::fixtures::task_status;
+use super::fixtures::{running_task, task_status};
 use super::scripted_shard::{CommandBatch, ScriptedShard, TOKEN};
 use crate::coordination::shard::{Attempt, CommandOutcome, Phase};
 use crate::protocol::AttemptId;
@@ -52,7 +52,7 @@
     pub(super) fn running_heartbeat(&mut self, id: &str) -> WorkerHeartbeat {
         let attempts = self.machine(id).attempts.keys();
         let tasks = attempts
-            .map(|id| task_status(&id.task.to_string(), id.number, TaskState::Running, None))
+            .map(|id| running_task(&id.task.to_string(), id.number))
             .collect();
         self.heartbeat_of(id, TOKEN, tasks)
     }
--- a/src/coordination/shard/tests/snapshots.rs
+++ b/src/coordination/shard/tests/snapshots.rs
@@ -4,7 +4,7 @@
 
 use super::fixtures::{ended_task, record, running_task, spec};
 use super::scripted_shard::{ScriptedShard, TOKEN, launched_attempt};
-use crate::coordination::shard::{Action, CommandOutcome, HeartbeatOutcome, ShardWrite};
+use crate::coordination::shard::{Action, HeartbeatOutcome, ShardWrite};
 use crate::protocol::workers::{AttemptOutcome, Command};
 
 /// What the snapshot does not record, the next leader would have to find out.
@@ -45,8 +45,7 @@
     let batch = script.launches().remove(0);
     let attempt_number = launched_attempt(&batch.commands);
     let running = |n: u64| running_task(&format!("run-1/{n}"), attempt_number + n);
-    let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![running(0), running(1)]);
-    script.answer(&batch, CommandOutcome::Executed(heartbeat));
+    script.execute(&batch, vec![running(0), running(1)]);
     let done = ended_task("run-1/0", attempt_number, AttemptOutcome::Done);
     let clears = |commands: &[Command]| {
         commands
