--- a/src/coordination/shard/autoscaler/backoff.rs
+++ b/src/coordination/shard/autoscaler/backoff.rs
@@ -1,49 +1,57 @@
-//! Exponential backoff per kind of machine after the cloud had too few of it.
+//! Exponential backoff for machine kinds of which the cloud had too few machines.
+//!
+//! Scale-out records shortages and resets them; `offer` skips kinds that are in backoff.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use super::machine_kind::MachineKind;
 
-/// How often in a row the pause after a shortage doubles at the most.
+/// Most times that consecutive shortages double the pause.
 const MAX_SHORTAGE_DOUBLINGS: u32 = 3;
 
-/// A shortage of one kind of machine.
+/// The current run of consecutive shortages of one machine kind.
 #[derive(Debug, Clone, Copy)]
 struct Shortage {
-    /// The kind is not requested again before this.
-    until: Instant,
-    /// How often in a row the cloud had too few.
-    in_a_row: u32,
+    /// Machines of the kind are not requested before this time.
+    backoff_until: Instant,
+    /// Number of consecutive shortages.
+    consecutive: u32,
 }
 
-/// The kinds of machines that are not requested for a while.
+/// The machine kinds that are in backoff after a shortage.
 ///
-/// Each shortage in a row doubles the pause: where many kinds are used up, requesting each of
-/// them again in turn would never reach the one that is still available.
+/// Each consecutive shortage of a kind doubles its pause. With a constant pause, if many kinds were
+/// exhausted, requesting each of them again in turn would never reach a kind that is still
+/// available.
 #[derive(Debug, Default)]
 pub(super) struct CapacityBackoff {
     shortages: HashMap<MachineKind, Shortage>,
 }
 
 impl CapacityBackoff {
-    /// Whether a kind had better not be requested now.
+    /// Whether the backoff of a machine kind is still running.
     pub(super) fn is_active(&self, kind: &MachineKind, now: Instant) -> bool {
         let shortage = self.shortages.get(kind);
-        shortage.is_some_and(|shortage| shortage.until > now)
+        shortage.is_some_and(|shortage| shortage.backoff_until > now)
     }
 
-    /// The cloud had too few of a kind; `pause` is the one after a first shortage.
+    /// Records that the cloud had too few machines of a kind. `pause` is the pause after a first
+    /// shortage.
     pub(super) fn record_shortage(&mut self, kind: MachineKind, pause: Duration, now: Instant) {
-        let before = self.shortages.get(&kind).map_or(0, |known| known.in_a_row);
+        let previous = self
+            .shortages
+            .get(&kind)
+            .map_or(0, |known| known.consecutive);
         let shortage = Shortage {
-            until: now + pause * (1 << before.min(MAX_SHORTAGE_DOUBLINGS)),
-            in_a_row: before + 1,
+            backoff_until: now + pause * (1 << previous.min(MAX_SHORTAGE_DOUBLINGS)),
+            consecutive: previous + 1,
         };
         self.shortages.insert(kind, shortage);
     }
 
-    /// Machines of a kind are available again: a whole request was met, or one was deleted.
+    /// Ends the backoff of a kind because machines of it are available again: the cloud met a whole
+    /// request, or a machine of the kind was deleted.
     pub(super) fn reset(&mut self, kind: &MachineKind) {
         self.shortages.remove(kind);
     }
--- a/src/coordination/shard/autoscaler/boot_times/tests.rs
+++ b/src/coordination/shard/autoscaler/boot_times/tests.rs
@@ -27,7 +27,7 @@
         boots.record_boot("m8", "north", now, ratio, now);
     }
     assert_eq!(boots.slowness("m8", "north", now), 1.0);
-    assert!(!boots.any_slow(now));
+    assert!(!boots.is_any_pool_slow(now));
 }
 
 #[test]
@@ -37,7 +37,7 @@
     boots.record_boot("m8", "north", now, 20.0, now);
     assert_eq!(boots.slowness("m8", "north", now), 20.0);
     assert_eq!(boots.slowness("m8", "south", now), 1.0);
-    let later = now + BOOT_MEMORY;
+    let later = now + BOOT_RETENTION;
     assert_eq!(boots.slowness("m8", "north", later), 1.0);
 }
 
@@ -46,16 +46,19 @@
     let mut boots = BootTimes::default();
     let (rented, now) = (Instant::now(), Instant::now() + Duration::from_secs(50));
     overdue(&mut boots, &[3.0, 4.0], rented, now);
-    assert!(!boots.any_slow(now));
+    assert!(!boots.is_any_pool_slow(now));
     // Several are one, unless more have booted recently.
     for _ in 0..5 {
         boots.record_boot("m8", "north", rented, 2.5, now);
     }
     overdue(&mut boots, &[3.0, 4.0, 5.0, 6.0], rented, now);
     assert_eq!(boots.slowness("m8", "north", now), 2.5);
-    let later = now + RECENT_BOOT;
+    let later = now + RECENT_BOOT_WINDOW;
     overdue(&mut boots, &[3.0, 4.0, 5.0, 6.0], rented, later);
-    assert_eq!(boots.slowness("m8", "north", later), 5.0 * OVERDUE_FACTOR);
+    assert_eq!(
+        boots.slowness("m8", "north", later),
+        5.0 * OVERDUE_AGE_FACTOR
+    );
 }
 
 /// Found in a recorded day: machines that were rented while boots took twenty times as long
@@ -65,11 +68,11 @@
     let mut boots = BootTimes::default();
     let (rented, now) = (Instant::now(), Instant::now() + Duration::from_secs(50));
     overdue(&mut boots, &[5.0, 5.0, 5.0], rented, now);
-    assert!(boots.any_slow(now));
+    assert!(boots.is_any_pool_slow(now));
     let up = now + Duration::from_secs(10);
     boots.record_boot("m8", "north", now, 1.0, up);
     overdue(&mut boots, &[6.0, 6.0, 6.0], rented, up);
-    assert!(!boots.any_slow(up));
+    assert!(!boots.is_any_pool_slow(up));
 }
 
 /// Where none boots, abandoning them all would only start the wait again.
@@ -84,7 +87,7 @@
         // Those that were rented together are abandoned together.
         boots.record_abandoned(&north(), now);
         boots.record_abandoned(&north(), now);
-        now += RECENT_BOOT;
+        now += RECENT_BOOT_WINDOW;
     }
     boots.record_boot("m8", "north", now, 6.0, now);
     assert_eq!(boots.wait_factor("m8", "north", now), 6.0);
--- a/src/coordination/shard/autoscaler/demand.rs
+++ b/src/coordination/shard/autoscaler/demand.rs
@@ -1,4 +1,4 @@
-//! The demand for capacity: waiting tasks, foreseen arrivals and reserved quota.
+//! Demand for capacity: waiting tasks, forecast arrivals and reserved quota.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -11,27 +11,27 @@
 use crate::protocol::JobId;
 use crate::protocol::users::{JobKind, JobSpec};
 
-/// Most waiting tasks of one job that a plan looks at.
-const MAX_TASKS_PER_JOB: u32 = 5000;
+/// Most waiting tasks of one job that a plan takes into account.
+const MAX_WAITING_TASKS_PER_JOB: u32 = 5000;
 
-/// Tasks that need capacity.
+/// A number of tasks of the same specification that need capacity.
 pub(super) struct Demand {
     pub spec: Arc<JobSpec>,
-    pub count: u32,
-    /// The job whose waiting tasks these are; None for tasks of jobs still to come.
+    pub tasks: u32,
+    /// The job whose waiting tasks these are; None for tasks of future jobs.
     pub job: Option<JobId>,
     pub filter: OfferFilter,
-    /// Seconds until they should start; None if it does not matter. A machine that boots
-    /// later is worth less.
+    /// Seconds until the tasks should start; None if the start time does not matter. An offer whose
+    /// machine would be ready later than that is ranked as more expensive.
     pub slack_s: Option<f64>,
 }
 
 impl Demand {
-    /// A demand that belongs to no waiting job and has no time to start.
-    pub(super) fn in_advance(spec: Arc<JobSpec>, count: u32, filter: OfferFilter) -> Self {
+    /// Creates a demand for tasks of jobs that may arrive, without a start time.
+    pub(super) fn for_future_jobs(spec: Arc<JobSpec>, tasks: u32, filter: OfferFilter) -> Self {
         Self {
             spec,
-            count,
+            tasks,
             job: None,
             filter,
             slack_s: None,
@@ -39,69 +39,71 @@
     }
 }
 
-/// Which machines are rented for a demand.
+/// Which machines may be rented for a demand.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum OfferFilter {
-    /// The cheapest.
+    /// The cheapest machines, on-demand or spot.
     Any,
-    /// On-demand machines if there are any, since they are not reclaimed.
+    /// On-demand machines if any are available, because the cloud does not reclaim them.
     OnDemandFirst,
-    /// Only spot machines: the tasks can wait for capacity.
+    /// Only spot machines, because the tasks can wait for capacity.
     SpotOnly,
 }
 
-/// The queue up to and with some job, in the order in which jobs get capacity.
-pub(super) struct Queue {
+/// Running totals of the job queue, up to and including the job added last.
+pub(super) struct QueueTotals {
     usage: Usage,
-    /// Core-seconds of batch work.
+    /// Core-seconds of the batch tasks in the queue.
     pub core_seconds: f64,
 }
 
-/// All demands, in the order in which they get capacity.
+/// All demands of a plan, and the jobs that may use more expensive machines.
 #[derive(Default)]
 pub(super) struct Demands {
-    pub demands: Vec<Demand>,
-    /// Jobs that cannot wait for low-cost machines alone.
-    pub accepting_extra_cost: Vec<JobId>,
+    pub in_order: Vec<Demand>,
+    /// Jobs that would start too late on machines that cost nothing extra.
+    pub jobs_accepting_extra_cost: Vec<JobId>,
 }
 
 impl<'a> AutoscalerView<'a> {
-    /// All demands at a wall-clock time in milliseconds.
+    /// All demands at the wall-clock time `wall_ms`, in the order in which they get capacity:
+    /// waiting tasks, then forecast arrivals, then reserved quota.
     pub(super) fn demands(&self, capacities: &[Capacity], wall_ms: u64, now: Instant) -> Demands {
-        let used = self.scheduler.usage();
-        let mut demands = self.queued_demands(capacities, &used, wall_ms);
-        demands.demands.extend(self.foreseen_demands(now));
-        demands.demands.extend(self.quota_demands(&used, now));
+        let usage = self.scheduler.usage();
+        let mut demands = self.queued_demands(capacities, &usage, wall_ms);
+        demands.in_order.extend(self.forecast_demands(now));
+        demands.in_order.extend(self.quota_demands(&usage, now));
         demands
     }
 
-    /// The demands of the waiting tasks.
-    fn queued_demands(&self, capacities: &[Capacity], used: &Usage, wall: u64) -> Demands {
+    /// The demands of waiting tasks. Each job yields up to two: one for its urgent tasks, on any
+    /// machine, and one for the others, on spot machines only.
+    fn queued_demands(&self, capacities: &[Capacity], usage: &Usage, wall_ms: u64) -> Demands {
         let mut queued = Demands::default();
-        let mut queue = Queue {
-            usage: used.clone(),
+        let mut queue = QueueTotals {
+            usage: usage.clone(),
             core_seconds: 0.0,
         };
-        for job in self.waiting_jobs(wall) {
-            let Some(count) = self.enqueue(job, &mut queue) else {
+        for job in self.waiting_jobs(wall_ms) {
+            let Some(tasks) = self.enqueue(job, &mut queue) else {
                 continue;
             };
-            let urgency = self.urgency(job, count, &queue, capacities, wall);
+            let urgency = self.urgency(job, tasks, &queue, capacities, wall_ms);
             if urgency.accepts_extra_cost {
-                queued.accepting_extra_cost.push(job.id.clone());
+                queued.jobs_accepting_extra_cost.push(job.id.clone());
             }
-            let patient = count - urgency.urgent;
-            for (count, filter) in [
-                (urgency.urgent, OfferFilter::Any),
-                (patient, OfferFilter::SpotOnly),
+            let deferrable = tasks - urgency.urgent_tasks;
+            for (tasks, filter) in [
+                (urgency.urgent_tasks, OfferFilter::Any),
+                (deferrable, OfferFilter::SpotOnly),
             ] {
-                if count > 0 {
-                    queued.demands.push(Demand {
+                if tasks > 0 {
+                    queued.in_order.push(Demand {
                         spec: job.spec.clone(),
-                        count,
+                        tasks,
                         job: Some(job.id.clone()),
                         filter,
-                        slack_s: self.start_slack(job, wall),
+                        slack_s: self.start_slack(job, wall_ms),
                     });
                 }
             }
@@ -109,37 +111,41 @@
         queued
     }
 
-    /// The jobs with waiting tasks, in the order in which they get capacity.
-    fn waiting_jobs(&self, wall: u64) -> Vec<&'a Job> {
-        let waits = |job: &&Job| {
-            let crash_loops = job.spec.is_gang() && job.is_crash_looping();
-            job.waiting().min(job.retry_budget()) > 0 && !crash_loops
+    /// The jobs with waiting tasks that may be attempted, in the order in which they get capacity.
+    /// Gangs that crash repeatedly are left out.
+    fn waiting_jobs(&self, wall_ms: u64) -> Vec<&'a Job> {
+        let needs_capacity = |job: &&Job| {
+            let is_crash_looping_gang = job.spec.is_gang() && job.is_crash_looping();
+            job.waiting().min(job.retry_budget()) > 0 && !is_crash_looping_gang
         };
-        let mut jobs: Vec<&Job> = self.jobs.values().filter(waits).collect();
+        let mut jobs: Vec<&Job> = self.jobs.values().filter(needs_capacity).collect();
         jobs.sort_by_cached_key(|job| {
             (
                 Reverse(job.spec.priority),
-                self.scheduler.queue_key(job, wall),
+                self.scheduler.queue_key(job, wall_ms),
             )
         });
         jobs
     }
 
-    /// Adds a job's waiting tasks to the queue as far as its team's quota limit lets them run,
-    /// and returns their number; None for a gang that could run only in part.
-    fn enqueue(&self, job: &Job, queue: &mut Queue) -> Option<u32> {
-        let waiting = job.waiting().min(job.retry_budget()).min(MAX_TASKS_PER_JOB);
-        let mut count = 0;
-        while count < waiting && self.scheduler.within_quota_limit(&queue.usage, &job.spec) {
+    /// Adds a job's waiting tasks to the queue totals, as far as its team's quota limit allows, and
+    /// returns how many were added; None for a gang of which the limit allows only part.
+    fn enqueue(&self, job: &Job, queue: &mut QueueTotals) -> Option<u32> {
+        let waiting = job
+            .waiting()
+            .min(job.retry_budget())
+            .min(MAX_WAITING_TASKS_PER_JOB);
+        let mut tasks = 0;
+        while tasks < waiting && self.scheduler.within_quota_limit(&queue.usage, &job.spec) {
             queue.usage.add(&job.spec, 1);
-            count += 1;
+            tasks += 1;
         }
-        if job.spec.is_gang() && count < waiting {
+        if job.spec.is_gang() && tasks < waiting {
             return None;
         }
         if job.spec.kind == JobKind::Batch {
-            queue.core_seconds += f64::from(count) * job.spec.cores * job.spec.duration_s;
+            queue.core_seconds += f64::from(tasks) * job.spec.cores * job.spec.duration_s;
         }
-        Some(count)
+        Some(tasks)
     }
 }
--- a/src/coordination/shard/autoscaler/drain.rs
+++ b/src/coordination/shard/autoscaler/drain.rs
@@ -1,5 +1,8 @@
-//! Consolidation: draining little used machines. Their services move one by one to machines
-//! that hold the image already; a machine that is empty then is deleted.
+//! Consolidation: draining machines that services use little.
+//!
+//! The services of a machine being drained move one at a time to machines that already cache their
+//! image; once the machine is empty, scale-in deletes it. Called by each plan while no machine is
+//! unreconciled.
 
 use std::time::{Duration, Instant};
 
@@ -11,31 +14,39 @@
 use crate::protocol::MachineId;
 use crate::protocol::users::JobSpec;
 
-/// A machine is drained at this age at the earliest.
-const MIN_AGE: Duration = Duration::from_secs(60);
+/// Minimum time since rental before a machine is drained.
+const MIN_DRAIN_AGE: Duration = Duration::from_secs(60);
 
-/// Share of a machine's cores that its services may use at the most if it is to be drained.
-const MAX_FILL: f64 = 0.6;
+/// A machine is drained only if its services use at most this share of its cores.
+const MAX_SERVICE_CORE_SHARE: f64 = 0.6;
 
-/// One machine in so many is drained at once, and one at the least. With four machines in some
-/// thirty, wider searches improved neither the price nor the score.
-const DRAIN_ONE_IN: usize = 40;
+/// One machine per this many is drained at the same time, in addition to one that always may be.
+/// Wider searches, with four machines drained at once of about thirty, improved neither the price
+/// nor the score.
+const MACHINES_PER_DRAIN: usize = 40;
 
-/// Candidates that are tried beyond the number of machines that may be drained.
-const EXTRA_CANDIDATES: usize = 8;
+/// Number of candidates tried in addition to the number of machines that may be drained, since the
+/// services of some candidates fit nowhere else.
+const EXTRA_DRAIN_CANDIDATES: usize = 8;
 
-/// A machine that is worth draining.
+/// A machine whose drain would save money.
 struct DrainCandidate<'a> {
     machine: &'a Machine,
     cores: f64,
-    /// The part of its price that its services do not use.
-    saving: f64,
+    /// The part of the machine's hourly price that its services do not use.
+    saved_price: f64,
 }
 
 impl Shard {
-    /// Goes on with the machines being drained and, if `pick`, drains further ones. Batch work
-    /// on them ends by itself.
-    pub(super) fn consolidate(&mut self, capacities: &[Capacity], pick: bool, now: Instant) {
+    /// Moves services off the machines being drained and, if `may_start_drains`, drains further
+    /// machines. Batch tasks on them end by themselves. When there is nothing to drain and capacity
+    /// is held for quota, moves a service into the main zone instead.
+    pub(super) fn consolidate(
+        &mut self,
+        capacities: &[Capacity],
+        may_start_drains: bool,
+        now: Instant,
+    ) {
         let max_at_once = self.autoscaler_view().max_drained_at_once();
         let draining = self.machines.ids(|m| m.draining && !m.is_deleting());
         let mut sources: Vec<MachineId> = draining
@@ -43,15 +54,15 @@
             .filter(|id| self.machines.get(id).is_some_and(hosts_services))
             .cloned()
             .collect();
-        let had_none = sources.is_empty();
-        let max_new = if pick {
+        let had_no_sources = sources.is_empty();
+        let max_new_drains = if may_start_drains {
             max_at_once.saturating_sub(draining.len())
         } else {
             0
         };
         for id in self
             .autoscaler_view()
-            .pick_for_drain(capacities, max_new, now)
+            .machines_to_drain(capacities, max_new_drains, now)
         {
             if let Some(machine) = self.machines.get_mut(&id) {
                 tracing::info!(machine = %id, "machine drain started");
@@ -65,7 +76,7 @@
         {
             self.stop_service(&next);
         }
-        if had_none
+        if had_no_sources
             && sources.is_empty()
             && self.policy.holds_capacity()
             && let Some(next) = self.autoscaler_view().next_move_to_main_zone(capacities)
@@ -74,12 +85,12 @@
         }
     }
 
-    /// Ends the drain of machines that the plan uses.
-    pub(super) fn undrain_used(&mut self, capacities: &[Capacity]) {
-        let used = capacities.iter().filter(|capacity| capacity.used);
+    /// Ends the drain of each machine that the plan needs.
+    pub(super) fn cancel_drains_of_used_machines(&mut self, capacities: &[Capacity]) {
+        let used = capacities.iter().filter(|capacity| capacity.is_used);
         for id in used.filter_map(|capacity| capacity.machine.as_ref()) {
-            let drains = |m: &Machine| m.draining && !m.is_deleting();
-            if self.machines.get(id).is_some_and(drains)
+            let is_draining = |m: &Machine| m.draining && !m.is_deleting();
+            if self.machines.get(id).is_some_and(is_draining)
                 && let Some(machine) = self.machines.get_mut(id)
             {
                 machine.draining = false;
@@ -90,98 +101,113 @@
 }
 
 impl<'a> AutoscalerView<'a> {
-    /// How many machines are drained at once. Where capacity is held for quota anyway, moving
-    /// few services is worth more than one machine less.
+    /// Most machines that are drained at the same time. If capacity is held for quota anyway,
+    /// moving few services is worth more than saving one machine.
     fn max_drained_at_once(&self) -> usize {
         if self.policy.holds_capacity() {
             1
         } else {
-            1 + self.machines.len() / DRAIN_ONE_IN
+            1 + self.machines.len() / MACHINES_PER_DRAIN
         }
     }
 
-    /// Up to `max` machines whose drain saves most and whose services fit on other machines.
-    fn pick_for_drain(&self, capacities: &[Capacity], max: usize, now: Instant) -> Vec<MachineId> {
-        if max == 0 {
+    /// Up to `max_drains` machines whose drain saves most and whose services fit on other machines,
+    /// without using the cores that forecast services need.
+    fn machines_to_drain(
+        &self,
+        capacities: &[Capacity],
+        max_drains: usize,
+        now: Instant,
+    ) -> Vec<MachineId> {
+        if max_drains == 0 {
             return Vec::new();
         }
         let mut candidates: Vec<DrainCandidate> = capacities
             .iter()
-            .filter(|capacity| !capacity.used && capacity.is_up())
+            .filter(|capacity| !capacity.is_used && capacity.is_in_service())
             .filter_map(|capacity| self.drain_candidate(capacity, now))
             .collect();
         if candidates.is_empty() {
             return Vec::new();
         }
-        candidates.sort_by(|a, b| b.saving.total_cmp(&a.saving));
+        candidates.sort_by(|a, b| b.saved_price.total_cmp(&a.saved_price));
         let mut hosts = self.service_hosts(capacities);
-        let free: f64 = hosts.iter().map(|host| host.free.cores.max(0.0)).sum();
-        let mut spare = free - self.foreseen_service_cores(now);
+        let free_cores: f64 = hosts.iter().map(|host| host.free.cores.max(0.0)).sum();
+        let mut spare_cores = free_cores - self.foreseen_service_cores(now);
         let mut picked = Vec::new();
-        for candidate in candidates.into_iter().take(max + EXTRA_CANDIDATES) {
-            if picked.len() < max
-                && spare >= candidate.cores
-                && reserve_hosts(candidate.machine, &mut hosts)
+        for candidate in candidates
+            .into_iter()
+            .take(max_drains + EXTRA_DRAIN_CANDIDATES)
+        {
+            if picked.len() < max_drains
+                && spare_cores >= candidate.cores
+                && try_reserve_hosts(candidate.machine, &mut hosts)
             {
-                spare -= candidate.cores;
+                spare_cores -= candidate.cores;
                 picked.push(candidate.machine.id.clone());
             }
         }
         picked
     }
 
-    /// A machine as a candidate to be drained; None if it is not worth it.
+    /// Describes a machine as a drain candidate; None if it is too new, a spot machine, empty, too
+    /// full or not accepting tasks.
     fn drain_candidate(&self, capacity: &Capacity, now: Instant) -> Option<DrainCandidate<'a>> {
         let machine = self.machines.get(capacity.machine.as_ref()?)?;
-        let kind = self.machine_types.get(&*machine.machine_type)?;
+        let machine_type = self.machine_types.get(&*machine.machine_type)?;
         let free = self.free_beside_services(machine)?;
-        let fill = 1.0 - free.cores / kind.cores.max(1e-9);
-        let settled = machine.open(now, self.policy)
-            && now.saturating_duration_since(machine.rented) >= MIN_AGE;
-        let eligible = settled && !machine.spot && !machine.load.idle() && fill <= MAX_FILL;
-        eligible.then(|| DrainCandidate {
+        let service_core_share = 1.0 - free.cores / machine_type.cores.max(1e-9);
+        let is_settled = machine.open(now, self.policy)
+            && now.saturating_duration_since(machine.rented) >= MIN_DRAIN_AGE;
+        let is_eligible = is_settled
+            && !machine.spot
+            && !machine.load.idle()
+            && service_core_share <= MAX_SERVICE_CORE_SHARE;
+        is_eligible.then(|| DrainCandidate {
             machine,
-            cores: kind.cores,
-            saving: kind.price * (1.0 - fill),
+            cores: machine_type.cores,
+            saved_price: machine_type.price * (1.0 - service_core_share),
         })
     }
 
-    /// The machines that services of drained ones could move to.
+    /// The machines to which the services of drained machines could move, with the resources that
+    /// are free for them.
     fn service_hosts(&self, capacities: &[Capacity]) -> Vec<ServiceHost<'a>> {
         capacities
             .iter()
             .filter(|capacity| capacity.readiness == Readiness::Busy)
             .filter_map(|capacity| {
                 let machine = self.machines.get(capacity.machine.as_ref()?)?;
-                // Where capacity is held for quota, batch work beside services stays.
+                // If capacity is held for quota, batch tasks beside services stay, so only what is
+                // free now counts.
                 let free = if self.policy.holds_capacity() {
                     capacity.free
                 } else {
                     self.free_beside_services(machine)?
                 };
-                let hosts = hosts_services(machine) && !machine.draining;
-                hosts.then_some(ServiceHost { machine, free })
+                let can_host = hosts_services(machine) && !machine.draining;
+                can_host.then_some(ServiceHost { machine, free })
             })
             .collect()
     }
 }
 
-/// Reserves hosts for all services of a machine, which then is no host itself; false, and
-/// nothing reserved, if they do not all fit.
-fn reserve_hosts(source: &Machine, hosts: &mut Vec<ServiceHost>) -> bool {
+/// Reserves capacity for all services of a machine on the hosts, and removes the machine itself
+/// from the hosts. If a service fits on no host, nothing is reserved and the result is false.
+fn try_reserve_hosts(source: &Machine, hosts: &mut Vec<ServiceHost>) -> bool {
     let mut reserved: Vec<(usize, &JobSpec)> = Vec::new();
     for service in live_services(source) {
         let host = hosts
             .iter()
             .position(|host| host.machine.id != source.id && host.can_host(service.spec));
-        let Some(at) = host else {
-            for (at, spec) in reserved {
-                hosts[at].free.add_task(spec);
+        let Some(host_index) = host else {
+            for (host_index, spec) in reserved {
+                hosts[host_index].free.add_task(spec);
             }
             return false;
         };
-        hosts[at].free.subtract_task(service.spec);
-        reserved.push((at, service.spec));
+        hosts[host_index].free.subtract_task(service.spec);
+        reserved.push((host_index, service.spec));
     }
     hosts.retain(|host| host.machine.id != source.id);
     true
--- a/src/coordination/shard/autoscaler/machine_kind.rs
+++ b/src/coordination/shard/autoscaler/machine_kind.rs
@@ -1,20 +1,22 @@
-//! Kinds of machines that can be rented: how they are named, billed and booted.
+//! Machine kinds, the units in which machines are rented, and constants and conversions for
+//! billing, retries and boot times.
 
 use std::time::Duration;
 
 use crate::coordination::shard::Machine;
 use crate::protocol::cloud::{MachineType, Rental};
 
-/// The cloud bills a machine for this long at least.
-pub(super) const MINIMUM_BILLED: Duration = Duration::from_secs(60);
+/// Minimum charge: the cloud bills each machine for at least this long.
+pub(super) const MIN_BILLED_TIME: Duration = Duration::from_secs(60);
 
-/// Pause before an unanswered rental or deletion is requested again.
-pub(super) const CLOUD_RETRY: Duration = Duration::from_secs(1);
+/// Pause before a rental or deletion that the cloud did not answer is requested again.
+pub(super) const CLOUD_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Upper bound of the boot time that is taken over from a machine type, in seconds.
-const MAX_STARTUP_S: f64 = 1e6;
+/// Upper bound in seconds of the boot time that is accepted from a machine type.
+const MAX_BOOT_TIME_S: f64 = 1e6;
 
-/// A machine type in a zone, spot or on-demand: the unit in which machines are rented.
+/// A machine type in a zone, spot or on-demand. Machines are rented by kind, and the cloud runs out
+/// of each kind separately.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct MachineKind {
     pub machine_type: String,
@@ -42,7 +44,7 @@
     }
 }
 
-/// The usual boot time of a machine type, as the cloud names it.
-pub(super) fn usual_boot(kind: &MachineType) -> Duration {
-    Duration::from_secs_f64(kind.startup_s.clamp(0.0, MAX_STARTUP_S))
+/// The usual boot time that the cloud states for a machine type.
+pub(super) fn usual_boot_time(machine_type: &MachineType) -> Duration {
+    Duration::from_secs_f64(machine_type.startup_s.clamp(0.0, MAX_BOOT_TIME_S))
 }
--- a/src/coordination/shard/autoscaler/machine_loss.rs
+++ b/src/coordination/shard/autoscaler/machine_loss.rs
@@ -1,8 +1,8 @@
-//! Machine loss: declaring unreachable machines dead and deleting them, so that their tasks
-//! can run elsewhere.
+//! Machine loss: declares unreachable machines dead and deletes them, so that their tasks can run
+//! elsewhere.
 //!
-//! Where much is unreachable at once, the fault is more likely in this controller or its
-//! network than in the machines, and they get more time.
+//! If many machines are unreachable at once, the fault is more likely in this controller or its
+//! network than in the machines, so they get more time.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -12,48 +12,52 @@
 use crate::coordination::shard::{Machine, Shard};
 use crate::protocol::MachineId;
 
-/// Probes that must go unanswered before an unreachable machine is declared dead.
+/// Fewest unanswered probes before an unreachable machine is declared dead.
 const MIN_UNANSWERED_PROBES: u32 = 2;
 
-/// Up to one unreconciled machine in so many counts as few; two always do.
-const FEW_UNRECONCILED_ONE_IN: usize = 20;
+/// At most one unreconciled machine per this many machines counts as few; up to two always do.
+const MACHINES_PER_UNRECONCILED: usize = 20;
 
-/// Share of a zone's machines that are unreachable if the zone is likely partitioned, and how many
-/// machines the zone has to have for that.
+/// A zone is likely partitioned if at least this share of its machines is unreachable and it has at
+/// least [`MIN_ZONE_MACHINES`] machines.
 const ZONE_UNREACHABLE_SHARE: f64 = 0.9;
 const MIN_ZONE_MACHINES: usize = 3;
 
-/// Multiple of the heartbeat interval without contact after which a machine that the cloud
-/// has reclaimed is deleted.
-const RECLAIMED_INTERVALS: f64 = 1.4;
+/// A machine that the cloud has reclaimed is deleted after this many heartbeat intervals without
+/// contact.
+const RECLAIMED_TIMEOUT_INTERVALS: f64 = 1.4;
 
-/// Multiple of a worker's lease that a machine gets where much is unreachable.
-const MANY_UNREACHABLE_LEASES: u32 = 4;
+/// If many machines are unreachable, a machine may be unreachable for this multiple of the worker
+/// lease.
+const MANY_UNREACHABLE_LEASE_FACTOR: u32 = 4;
 
-/// How much of the shard is unreachable.
+/// Summary of how many of the shard's machines are unreachable.
 #[derive(Debug, Clone)]
 struct ReachabilityOverview {
-    /// More than a third of the machines are unreachable.
-    many_unreachable: bool,
-    /// Zones that are likely partitioned; their machines are expected to return.
+    /// More than one machine and more than a third of all are unreachable.
+    has_many_unreachable: bool,
+    /// Zones that are likely partitioned; their machines are expected to become reachable again.
     unreachable_zones: HashSet<Arc<str>>,
-    /// New machines take much longer than usual to boot: unreachable ones may return sooner.
-    slow_boots: bool,
-    /// More than a third of the machines answer, but send no heartbeats of their own.
-    many_without_own_heartbeats: bool,
-    /// Only few machines are not reconciled.
-    few_unreconciled: bool,
+    /// New machines take much longer than usual to boot, so unreachable machines may return before
+    /// replacements are ready.
+    has_slow_boots: bool,
+    /// More than one machine and more than a third of all answer probes but send no heartbeats of
+    /// their own.
+    has_many_without_own_heartbeats: bool,
+    /// Only few machines are unreconciled.
+    has_few_unreconciled: bool,
 }
 
-/// The zones almost all of whose machines are unreachable.
+/// The zones in which almost all machines that should send heartbeats are unreachable.
 fn unreachable_zones<'a>(
     expected: impl Iterator<Item = &'a Machine>,
     unreachable: impl Iterator<Item = &'a Machine>,
 ) -> HashSet<Arc<str>> {
     let expected = count_by_zone(expected);
     let is_partitioned = |(zone, unreachable): &(Arc<str>, usize)| {
-        let all = expected.get(zone).copied().unwrap_or(0);
-        all >= MIN_ZONE_MACHINES && (*unreachable as f64) >= all as f64 * ZONE_UNREACHABLE_SHARE
+        let zone_total = expected.get(zone).copied().unwrap_or(0);
+        zone_total >= MIN_ZONE_MACHINES
+            && (*unreachable as f64) >= zone_total as f64 * ZONE_UNREACHABLE_SHARE
     };
     count_by_zone(unreachable)
         .into_iter()
@@ -71,36 +75,38 @@
 }
 
 impl Shard {
-    /// Deletes the machines that are lost.
+    /// Deletes the machines that are declared dead.
     pub(super) fn delete_lost_machines(&mut self, now: Instant) {
         let overview = self.reachability_overview(now);
         let expected = self.machines.values().filter(|m| m.expects_heartbeats());
         let lost: Vec<(MachineId, DeletionReason)> = expected
-            .filter_map(|m| Some((m.id.clone(), self.why_lost(m, &overview, now)?)))
+            .filter_map(|m| Some((m.id.clone(), self.loss_reason(m, &overview, now)?)))
             .collect();
         for (id, reason) in lost {
             self.begin_deletion(&id, now, reason);
         }
     }
 
-    /// How long there has been no contact with a machine under this leader.
+    /// Time since the last contact with a machine; since the start of this leader's term if there
+    /// was no contact during it.
     fn since_last_contact_under_leader(&self, machine: &Machine, now: Instant) -> Duration {
         let last_contact = machine.last_contact.unwrap_or(self.acquired);
         now.saturating_duration_since(last_contact.max(self.acquired))
     }
 
-    /// Whether there has been no contact with a machine for long enough to suspect it.
+    /// Whether the last contact with a machine was so long ago that it gets no new tasks.
     fn is_unreachable(&self, machine: &Machine, now: Instant) -> bool {
         self.since_last_contact_under_leader(machine, now) >= self.policy.suspect_after
     }
 
-    /// Whether a machine answers, but its own heartbeats do not arrive.
-    fn heartbeats_missing(&self, machine: &Machine, now: Instant) -> bool {
+    /// Whether a machine has been in contact, but its worker's own heartbeats have stopped
+    /// arriving.
+    fn is_missing_own_heartbeats(&self, machine: &Machine, now: Instant) -> bool {
         machine.last_contact.is_some()
             && machine.since_own_heartbeat(now) >= self.policy.heartbeat_overdue()
     }
 
-    /// The zones almost all of whose machines are unreachable: likely partitioned.
+    /// The zones that are likely partitioned, because almost all of their machines are unreachable.
     pub(in crate::coordination::shard) fn unreachable_zones(
         &self,
         now: Instant,
@@ -113,63 +119,68 @@
     fn reachability_overview(&self, now: Instant) -> ReachabilityOverview {
         let expected = self.machines.values().filter(|m| m.expects_heartbeats());
         let total = expected.clone().count();
-        let many = |count: usize| count > 1 && count * 3 > total;
+        let are_many = |count: usize| count > 1 && count * 3 > total;
         let unreachable = expected.clone().filter(|m| self.is_unreachable(m, now));
-        let without_own_heartbeats = expected.filter(|m| self.heartbeats_missing(m, now));
+        let without_own_heartbeats = expected.filter(|m| self.is_missing_own_heartbeats(m, now));
         ReachabilityOverview {
-            many_unreachable: many(unreachable.count()),
+            has_many_unreachable: are_many(unreachable.count()),
             unreachable_zones: self.unreachable_zones(now),
-            slow_boots: self.autoscaler.boot_times.any_slow(now),
-            many_without_own_heartbeats: many(without_own_heartbeats.count()),
-            // The last few unreconciled machines hold up all waiting tasks; when most are
-            // reconciled, the fault is not ours.
-            few_unreconciled: self.unreconciled.len() * FEW_UNRECONCILED_ONE_IN
-                <= total.max(FEW_UNRECONCILED_ONE_IN * 2),
+            has_slow_boots: self.autoscaler.boot_times.is_any_pool_slow(now),
+            has_many_without_own_heartbeats: are_many(without_own_heartbeats.count()),
+            // The last few unreconciled machines hold up all waiting tasks. If most machines are
+            // reconciled, the fault is not in this controller.
+            has_few_unreconciled: self.unreconciled.len() * MACHINES_PER_UNRECONCILED
+                <= total.max(MACHINES_PER_UNRECONCILED * 2),
         }
     }
 
-    /// Why a machine is declared dead now; None if it is not.
-    fn why_lost(
+    /// Why a machine is declared dead now; None if it is not declared dead.
+    fn loss_reason(
         &self,
         machine: &Machine,
         overview: &ReachabilityOverview,
         now: Instant,
     ) -> Option<DeletionReason> {
         let since_last_contact = self.since_last_contact_under_leader(machine, now);
-        let reclaimed = machine.vanished || machine.preemption_notice.is_some_and(|at| at <= now);
-        let soon = self.policy.heartbeat_interval.mul_f64(RECLAIMED_INTERVALS);
-        if reclaimed && since_last_contact >= soon {
+        let is_reclaimed =
+            machine.vanished || machine.preemption_notice.is_some_and(|at| at <= now);
+        let reclaimed_timeout = self
+            .policy
+            .heartbeat_interval
+            .mul_f64(RECLAIMED_TIMEOUT_INTERVALS);
+        if is_reclaimed && since_last_contact >= reclaimed_timeout {
             return Some(DeletionReason::Reclaimed);
         }
-        self.why_unanswered(machine, overview, now)
-            .or_else(|| self.why_lease_expired(machine, overview, now))
+        self.unanswered_probes_reason(machine, overview, now)
+            .or_else(|| self.expired_lease_reason(machine, overview, now))
     }
 
-    /// Why a machine is declared dead that answers no probes, while its lease may last; None
-    /// if it is not.
-    fn why_unanswered(
+    /// Why a machine that answers no probes is declared dead although its worker's lease may still
+    /// be valid; None if it is not declared dead.
+    fn unanswered_probes_reason(
         &self,
         machine: &Machine,
         overview: &ReachabilityOverview,
         now: Instant,
     ) -> Option<DeletionReason> {
-        let unanswered = machine.commands.unanswered() >= MIN_UNANSWERED_PROBES;
-        if !unanswered || self.left_to_delegates(machine, now) {
+        let is_unanswered = machine.commands.unanswered() >= MIN_UNANSWERED_PROBES;
+        if !is_unanswered || self.left_to_delegates(machine, now) {
             return None;
         }
-        if overview.few_unreconciled && self.unreconciled.contains(&machine.id) {
+        if overview.has_few_unreconciled && self.unreconciled.contains(&machine.id) {
             return Some(DeletionReason::Unreconciled);
         }
-        let in_unreachable_zone = overview.unreachable_zones.contains(&machine.zone);
-        let may_return = overview.slow_boots && in_unreachable_zone;
-        let dead = self.since_last_contact_under_leader(machine, now) >= self.policy.dead_after
-            && !overview.many_unreachable
+        let is_in_unreachable_zone = overview.unreachable_zones.contains(&machine.zone);
+        let may_return = overview.has_slow_boots && is_in_unreachable_zone;
+        let is_dead = self.since_last_contact_under_leader(machine, now) >= self.policy.dead_after
+            && !overview.has_many_unreachable
             && !may_return;
-        dead.then_some(DeletionReason::Unreachable)
+        is_dead.then_some(DeletionReason::Unreachable)
     }
 
-    /// Why a machine is declared dead whose worker's lease has expired; None if it is not.
-    fn why_lease_expired(
+    /// Why a machine whose worker's lease has expired is declared dead; None if it is not declared
+    /// dead.
+    fn expired_lease_reason(
         &self,
         machine: &Machine,
         overview: &ReachabilityOverview,
@@ -178,24 +189,24 @@
         if now <= machine.lease.expires_at() || self.others_may_renew_leases() {
             return None;
         }
-        let in_unreachable_zone = overview.unreachable_zones.contains(&machine.zone);
-        let many_unreachable = overview.many_unreachable || in_unreachable_zone;
+        let is_in_unreachable_zone = overview.unreachable_zones.contains(&machine.zone);
+        let many_unreachable = overview.has_many_unreachable || is_in_unreachable_zone;
         let since_last_contact = self.since_last_contact_under_leader(machine, now);
-        if since_last_contact >= self.max_unreachable(machine, many_unreachable) {
+        if since_last_contact >= self.max_unreachable_time(machine, many_unreachable) {
             return Some(DeletionReason::LeaseExpired);
         }
-        let many_missing = overview.many_without_own_heartbeats || in_unreachable_zone;
-        let missing = self.heartbeats_missing(machine, now)
-            && machine.since_own_heartbeat(now) >= self.max_unreachable(machine, many_missing);
-        missing.then_some(DeletionReason::HeartbeatsMissing)
+        let many_missing = overview.has_many_without_own_heartbeats || is_in_unreachable_zone;
+        let is_missing = self.is_missing_own_heartbeats(machine, now)
+            && machine.since_own_heartbeat(now) >= self.max_unreachable_time(machine, many_missing);
+        is_missing.then_some(DeletionReason::HeartbeatsMissing)
     }
 
-    /// How long a machine may be unreachable before it is declared dead; `many` says that much
-    /// of the shard is.
-    fn max_unreachable(&self, machine: &Machine, many: bool) -> Duration {
+    /// How long a machine may be unreachable before it is declared dead. `is_widespread` says that
+    /// many machines, or almost all of its zone, are affected.
+    fn max_unreachable_time(&self, machine: &Machine, is_widespread: bool) -> Duration {
         let lease = self.policy.worker_lease;
-        if many {
-            lease * MANY_UNREACHABLE_LEASES
+        if is_widespread {
+            lease * MANY_UNREACHABLE_LEASE_FACTOR
         } else if self.may_be_renewed_in_partition(machine) {
             lease + self.policy.advance_delegation
         } else {
--- a/src/coordination/shard/autoscaler/offer.rs
+++ b/src/coordination/shard/autoscaler/offer.rs
@@ -1,36 +1,37 @@
-//! Offers: what can be rented, and which offer is the best for a demand.
+//! Offers: the machines that can be rented, and the choice of the best one for a demand.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Instant;
 
-use super::boot_estimates::BOOT_MARGIN;
+use super::boot_estimates::BOOT_MARGIN_FACTOR;
 use super::demand::{Demand, OfferFilter};
-use super::machine_kind::{MINIMUM_BILLED, MachineKind};
+use super::machine_kind::{MIN_BILLED_TIME, MachineKind};
 use super::view::AutoscalerView;
 use crate::coordination::shard::machines::Resources;
 use crate::coordination::shard::scheduler::allowed;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::JobSpec;
 
-/// Factor on the cost of an offer that is too late for a gang: all of its tasks wait.
-const LATE_GANG_FACTOR: f64 = 3.0;
+/// Cost factor for an offer that would be ready too late for a gang: all tasks of the gang wait for
+/// the last machine.
+const LATE_GANG_COST_FACTOR: f64 = 3.0;
 
-/// Lateness that doubles the cost of an offer, in seconds.
-const LATENESS_DOUBLING_S: f64 = 30.0;
+/// Lateness in seconds that doubles the cost of an offer.
+const COST_DOUBLING_LATENESS_S: f64 = 30.0;
 
-/// Run time that is assumed where a job names none, in seconds.
-const DEFAULT_RUN_S: f64 = 600.0;
+/// Seconds for which a machine is expected to be used if the job states no run time.
+const DEFAULT_USE_S: f64 = 600.0;
 
-/// A machine is expected to be used for this multiple of the job's run time.
-const EXPECTED_RUNS: f64 = 2.0;
+/// A machine is expected to be used for this many runs of the job.
+const EXPECTED_RUNS_PER_MACHINE: f64 = 2.0;
 
-/// Factor on the cost of an offer that is taken only if there is no other.
-const LAST_RESORT_FACTOR: f64 = 1e3;
+/// Cost factor for an offer that is used only if there is no other.
+const LAST_RESORT_COST_FACTOR: f64 = 1e3;
 
-/// Share of the cost that each machine of the same type and zone adds: equal offers are spread
-/// over the zones.
-const SPREAD_SHARE: f64 = 1e-4;
+/// Each existing machine of the same type and zone raises an offer's cost by this share, so that
+/// offers of equal cost are spread over the zones.
+const SPREAD_COST_SHARE: f64 = 1e-4;
 
 /// The number of machines of each type in each zone.
 #[derive(Debug, Default)]
@@ -39,36 +40,36 @@
 }
 
 impl MachineCounts {
-    /// Counts a machine.
+    /// Adds one machine to the count of its type and zone.
     pub(super) fn add(&mut self, machine_type: &Arc<str>, zone: &Arc<str>) {
         let zones = self.by_type.entry(machine_type.clone()).or_default();
         *zones.entry(zone.clone()).or_default() += 1.0;
     }
 
-    fn of(&self, machine_type: &str, zone: &str) -> f64 {
+    fn count(&self, machine_type: &str, zone: &str) -> f64 {
         let zones = self.by_type.get(machine_type);
         let count = zones.and_then(|zones| zones.get(zone));
         count.copied().unwrap_or(0.0)
     }
 }
 
-/// A machine that can be rented.
+/// A machine of a certain type, zone and pricing that can be rented.
 #[derive(Clone)]
 pub(super) struct Offer {
-    pub kind: Arc<MachineType>,
+    pub machine_type: Arc<MachineType>,
     pub zone: String,
     pub spot: bool,
-    /// Seconds until it has booted, by the usual and the recent boot times.
+    /// Expected seconds until the machine has booted, by its usual and the recent boot times.
     pub ready_in_s: f64,
 }
 
 impl Offer {
-    /// Its current price; None if it is not available.
+    /// Current price per hour; None if the offer is not available.
     fn price(&self) -> Option<f64> {
         let price = if self.spot {
-            self.kind.spot_price
+            self.machine_type.spot_price
         } else {
-            Some(self.kind.price)
+            Some(self.machine_type.price)
         };
         price.filter(|price| *price > 0.0)
     }
@@ -77,52 +78,62 @@
 impl From<&Offer> for MachineKind {
     fn from(offer: &Offer) -> Self {
         Self {
-            machine_type: offer.kind.name.clone(),
+            machine_type: offer.machine_type.name.clone(),
             zone: offer.zone.clone(),
             spot: offer.spot,
         }
     }
 }
 
-/// An offer with what it costs for one task of a demand.
+/// An offer and its cost for one task of a demand.
 struct PricedOffer {
-    cost: f64,
+    cost_per_task: f64,
     offer: Offer,
 }
 
 impl AutoscalerView<'_> {
-    /// The cheapest offer for a demand, in one zone if one is named. `left` are the tasks that
-    /// could use the machine: those of the demand without capacity and those that follow.
+    /// The cheapest offer for a demand, restricted to `only_zone` if it is given. `usable_tasks` is
+    /// how many tasks could use the new machine: those of the demand that have no capacity, and
+    /// later tasks of the same class.
     pub(super) fn best_offer(
         &self,
         demand: &Demand,
-        left: u32,
+        usable_tasks: u32,
         only_zone: Option<&str>,
         machine_counts: &MachineCounts,
         now: Instant,
     ) -> Option<Offer> {
         let mut best: Option<PricedOffer> = None;
         for offer in self.offers(only_zone, now) {
-            let Some(cost) = self.cost_per_task(&offer, demand, left, machine_counts, now) else {
+            let Some(cost_per_task) =
+                self.cost_per_task(&offer, demand, usable_tasks, machine_counts, now)
+            else {
                 continue;
             };
-            if best.as_ref().is_none_or(|best| cost < best.cost) {
-                best = Some(PricedOffer { cost, offer });
+            if best
+                .as_ref()
+                .is_none_or(|best| cost_per_task < best.cost_per_task)
+            {
+                best = Some(PricedOffer {
+                    cost_per_task,
+                    offer,
+                });
             }
         }
         best.map(|best| best.offer)
     }
 
-    /// Every type in every zone that is reachable, on-demand before spot.
+    /// An on-demand and a spot offer, in this order, for each machine type in each zone that is not
+    /// partitioned.
     fn offers(&self, only_zone: Option<&str>, now: Instant) -> impl Iterator<Item = Offer> {
         self.machine_types
             .values()
-            .flat_map(move |kind| zones_of(kind, only_zone))
+            .flat_map(move |machine_type| zones_of(machine_type, only_zone))
             .filter(|(_, zone)| !self.delegations.is_partitioned(zone))
-            .flat_map(move |(kind, zone)| {
-                let ready_in_s = self.expected_boot_s(kind, zone, now);
+            .flat_map(move |(machine_type, zone)| {
+                let ready_in_s = self.expected_boot_s(machine_type, zone, now);
                 [false, true].map(|spot| Offer {
-                    kind: kind.clone(),
+                    machine_type: machine_type.clone(),
                     zone: zone.clone(),
                     spot,
                     ready_in_s,
@@ -130,21 +141,21 @@
             })
     }
 
-    /// What an offer costs for one task of a demand, increased by what speaks against it; None
-    /// if it cannot be used.
+    /// Cost of an offer for one task of a demand, increased if the offer is late, a last resort or
+    /// in a zone that has many such machines; None if the offer cannot be used.
     fn cost_per_task(
         &self,
         offer: &Offer,
         demand: &Demand,
-        left: u32,
+        usable_tasks: u32,
         machine_counts: &MachineCounts,
         now: Instant,
     ) -> Option<f64> {
         let spec = &demand.spec;
         let price = offer.price()?;
-        let fits = Resources::of_machine_type(&offer.kind).fitting_tasks(spec);
-        if fits == 0
-            || !allowed(spec, &offer.kind.name, &offer.zone, offer.spot)
+        let fitting_tasks = Resources::of_machine_type(&offer.machine_type).fitting_tasks(spec);
+        if fitting_tasks == 0
+            || !allowed(spec, &offer.machine_type.name, &offer.zone, offer.spot)
             || self
                 .autoscaler
                 .backoff
@@ -152,50 +163,56 @@
         {
             return None;
         }
-        let run = expected_use_s(spec);
-        // A machine is paid for while it boots and fetches the image.
-        let start = offer.ready_in_s / BOOT_MARGIN + fetch_s(&offer.kind, spec);
-        let mut cost = price * (start + run) / run / f64::from(fits.min(left));
+        let use_s = expected_use_s(spec);
+        // The machine is billed while it boots and fetches the image.
+        let startup_s =
+            offer.ready_in_s / BOOT_MARGIN_FACTOR + image_fetch_s(&offer.machine_type, spec);
+        let mut cost =
+            price * (startup_s + use_s) / use_s / f64::from(fitting_tasks.min(usable_tasks));
         match demand.filter {
             OfferFilter::SpotOnly if !offer.spot => return None,
-            OfferFilter::OnDemandFirst if offer.spot => cost *= LAST_RESORT_FACTOR,
+            OfferFilter::OnDemandFirst if offer.spot => cost *= LAST_RESORT_COST_FACTOR,
             _ => {}
         }
-        if let Some(slack) = demand.slack_s {
-            let lateness = (start * BOOT_MARGIN - slack).max(0.0);
-            cost *= 1.0 + lateness / LATENESS_DOUBLING_S;
-            if lateness > 0.0 && spec.is_gang() {
-                cost *= LATE_GANG_FACTOR;
+        if let Some(slack_s) = demand.slack_s {
+            let lateness_s = (startup_s * BOOT_MARGIN_FACTOR - slack_s).max(0.0);
+            cost *= 1.0 + lateness_s / COST_DOUBLING_LATENESS_S;
+            if lateness_s > 0.0 && spec.is_gang() {
+                cost *= LATE_GANG_COST_FACTOR;
             }
         }
-        Some(cost * (1.0 + machine_counts.of(&offer.kind.name, &offer.zone) * SPREAD_SHARE))
+        Some(
+            cost * (1.0
+                + machine_counts.count(&offer.machine_type.name, &offer.zone) * SPREAD_COST_SHARE),
+        )
     }
 }
 
-/// A machine type with each of its zones, or with the one that is named.
+/// Pairs a machine type with each of its zones, or only with `only_zone` if it is given.
 fn zones_of<'a>(
-    kind: &'a Arc<MachineType>,
+    machine_type: &'a Arc<MachineType>,
     only_zone: Option<&str>,
 ) -> impl Iterator<Item = (&'a Arc<MachineType>, &'a String)> {
-    kind.zones
+    machine_type
+        .zones
         .iter()
         .filter(move |zone| only_zone.is_none_or(|only| only == **zone))
-        .map(move |zone| (kind, zone))
+        .map(move |zone| (machine_type, zone))
 }
 
-/// Seconds for which a new machine is expected to be used by a job.
+/// Seconds for which a job is expected to use a new machine.
 fn expected_use_s(spec: &JobSpec) -> f64 {
     if spec.duration_s > 0.0 {
-        spec.duration_s.max(MINIMUM_BILLED.as_secs_f64()) * EXPECTED_RUNS
+        spec.duration_s.max(MIN_BILLED_TIME.as_secs_f64()) * EXPECTED_RUNS_PER_MACHINE
     } else {
-        DEFAULT_RUN_S
+        DEFAULT_USE_S
     }
 }
 
-/// Seconds that a new machine usually takes to fetch a job's image.
-fn fetch_s(kind: &MachineType, spec: &JobSpec) -> f64 {
-    if kind.fetch_gb_per_s > 0.0 {
-        spec.image_gb / kind.fetch_gb_per_s
+/// Seconds that a new machine usually takes to fetch a job's image; 0 if the speed is unknown.
+fn image_fetch_s(machine_type: &MachineType, spec: &JobSpec) -> f64 {
+    if machine_type.fetch_gb_per_s > 0.0 {
+        spec.image_gb / machine_type.fetch_gb_per_s
     } else {
         0.0
     }
--- a/src/coordination/shard/autoscaler/release.rs
+++ b/src/coordination/shard/autoscaler/release.rs
@@ -1,29 +1,32 @@
-//! Which machines scale-in could release.
+//! Which machines scale-in could release, and at what point keeping them costs extra.
+//!
+//! The scheduler uses this to keep batch tasks and services off machines that could be deleted.
 
 use std::time::Instant;
 
-use super::machine_kind::MINIMUM_BILLED;
+use super::machine_kind::MIN_BILLED_TIME;
 use crate::coordination::shard::{Machine, Policy};
 
-/// Whether some service may exist on a machine.
+/// Whether a service may exist on a machine.
 pub(in crate::coordination::shard) fn hosts_services(machine: &Machine) -> bool {
     machine.load.services().next().is_some()
 }
 
-/// Whether scale-in can release an on-demand machine once its batch work ends: no service and
-/// no quota keeps it.
+/// Whether scale-in can release an on-demand machine once its batch tasks have ended: neither a
+/// service nor reserved quota keeps the machine.
 pub(in crate::coordination::shard) fn releasable(machine: &Machine, policy: &Policy) -> bool {
     !machine.spot && !policy.holds_capacity() && !hosts_services(machine)
 }
 
-/// Whether a releasable machine costs more than is paid in any case: tasks that can wait for
-/// spot machines leave it, so that it can be deleted. In the first half of its minimum charge
-/// it does not.
+/// Whether a releasable machine costs more than its minimum charge, which is paid in any case.
+/// Tasks that can wait for spot machines are not placed on such a machine, so that it becomes empty
+/// and can be deleted. During the first half of the minimum charge, a machine does not cost extra.
 pub(in crate::coordination::shard) fn costs_extra(
     machine: &Machine,
     policy: &Policy,
     now: Instant,
 ) -> bool {
-    let paid = now.saturating_duration_since(machine.rented) < MINIMUM_BILLED / 2;
-    !paid && releasable(machine, policy)
+    let is_within_minimum_charge =
+        now.saturating_duration_since(machine.rented) < MIN_BILLED_TIME / 2;
+    !is_within_minimum_charge && releasable(machine, policy)
 }
--- a/src/coordination/shard/autoscaler/rentals/tests.rs
+++ b/src/coordination/shard/autoscaler/rentals/tests.rs
@@ -42,13 +42,13 @@
     let now = Instant::now();
     let much_later = now + Duration::from_secs(3600);
     assert_eq!(
-        rentals.take_due(much_later),
+        rentals.take_due_retries(much_later),
         [],
         "it may not be recorded yet"
     );
-    rentals.retry_later(&rental.request, now);
-    assert_eq!(rentals.take_due(now), []);
-    let retry = now + CLOUD_RETRY;
-    assert_eq!(rentals.take_due(retry), [rental]);
-    assert_eq!(rentals.take_due(much_later), [], "it is under way");
+    rentals.schedule_retry(&rental.request, now);
+    assert_eq!(rentals.take_due_retries(now), []);
+    let retry = now + CLOUD_RETRY_DELAY;
+    assert_eq!(rentals.take_due_retries(retry), [rental]);
+    assert_eq!(rentals.take_due_retries(much_later), [], "it is under way");
 }
--- a/src/coordination/shard/autoscaler/scale_in.rs
+++ b/src/coordination/shard/autoscaler/scale_in.rs
@@ -1,4 +1,5 @@
-//! Scale-in: deleting machines that are not needed or never booted.
+//! Scale-in: deleting machines that are not needed or never booted, and handling the cloud's
+//! answers to deletions.
 
 use std::collections::HashSet;
 use std::fmt;
@@ -6,39 +7,41 @@
 
 use super::boot_times::BootPool;
 use super::capacity::Capacity;
-use super::machine_kind::{CLOUD_RETRY, MINIMUM_BILLED, MachineKind, usual_boot};
+use super::machine_kind::{CLOUD_RETRY_DELAY, MIN_BILLED_TIME, MachineKind, usual_boot_time};
 use super::view::AutoscalerView;
 use crate::coordination::shard::{Action, Machine, Shard};
 use crate::protocol::MachineId;
 
 /// Most machines in one deletion request.
-const MAX_PER_DELETION: usize = 100;
+const MAX_MACHINES_PER_DELETION: usize = 100;
 
-/// Multiple of the usual boot time, plus an allowance, after which a machine that has not
-/// booted is abandoned; at most the maximum where all machines of its type are late.
-const ABANDON_BOOTS: f64 = 4.0;
-const ABANDON_ALLOWANCE: Duration = Duration::from_secs(30);
+/// A machine that has not booted is abandoned after this multiple of the usual boot time plus
+/// [`ABANDON_MARGIN`]. If all machines of its type boot late, the wait is extended, but not beyond
+/// [`MAX_BOOT_WAIT`].
+const ABANDON_BOOT_FACTOR: f64 = 4.0;
+const ABANDON_MARGIN: Duration = Duration::from_secs(30);
 const MAX_BOOT_WAIT: Duration = Duration::from_secs(900);
 
-/// The same for a machine whose type is not known.
+/// How long to wait for a machine of an unknown type to boot.
 const UNKNOWN_TYPE_BOOT_WAIT: Duration = Duration::from_secs(300);
 
-/// A machine that is not needed may be deleted this long before its minimum charge is used
-/// up: the deletion itself takes time.
+/// A machine that is not needed may be deleted this long before the end of its minimum charge,
+/// because the deletion itself takes time.
 const DELETION_LEAD: Duration = Duration::from_secs(5);
 
-/// Why a machine is deleted. The text is the `reason` of the log.
+/// Why a machine is deleted. The text is logged as `reason`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::coordination::shard) enum DeletionReason {
-    /// Missing from the cloud's list, or past its preemption notice, and unreachable.
+    /// It is missing from the cloud's list, or its preemption notice has expired, and it is
+    /// unreachable.
     Reclaimed,
-    /// Unreachable, and one of the last machines that hold up the reconciliation.
+    /// It is unreachable, and one of the last machines that hold up the reconciliation.
     Unreconciled,
-    /// Unreachable for longer than `abandon-late-s` allows.
+    /// It is unreachable for longer than `abandon-late-s` allows.
     Unreachable,
-    /// No contact since its worker's lease expired: its tasks have stopped.
+    /// Its worker's lease expired without contact, so its tasks have stopped.
     LeaseExpired,
-    /// It answers, but has sent no heartbeat of its own since its worker's lease expired.
+    /// It answers, but its worker's lease expired without a heartbeat of its own.
     HeartbeatsMissing,
     /// The cloud lists it as failed.
     CloudFailure,
@@ -46,9 +49,9 @@
     NeverBooted,
     /// It is empty and accepts no more tasks.
     Drained,
-    /// It is idle and in no plan.
+    /// It is idle and the plan does not need it.
     NotNeeded,
-    /// Its worker restarted with tasks unaccounted for.
+    /// Its worker restarted without accounting for all tasks.
     WorkerRestarted,
     /// An earlier leader recorded its deletion.
     RecordedEarlier,
@@ -73,8 +76,8 @@
 }
 
 impl Shard {
-    /// Records the deletion of a machine, which is requested once the record is durable. Its
-    /// tasks count until the cloud confirms that the machine no longer exists.
+    /// Records the deletion of a machine; the deletion is requested once the record is durable. The
+    /// machine's tasks count until the cloud confirms that the machine no longer exists.
     pub(in crate::coordination::shard) fn begin_deletion(
         &mut self,
         id: &MachineId,
@@ -96,14 +99,14 @@
         self.record_deletion(id);
     }
 
-    /// Requests the deletion of machines; the record of each is durable.
+    /// Requests the deletion of machines whose deletion records are durable.
     pub(in crate::coordination::shard) fn delete(&mut self, ids: &[MachineId]) {
-        for batch in ids.chunks(MAX_PER_DELETION) {
+        for batch in ids.chunks(MAX_MACHINES_PER_DELETION) {
             self.out.push(Action::Delete(batch.to_vec()));
         }
     }
 
-    /// Requests deletions again that the cloud has not answered.
+    /// Requests deletions again that are due for a retry because the cloud did not answer.
     pub(super) fn retry_deletions(&mut self, now: Instant) {
         let due = self.machines.ids(|m| m.deletion_retry_is_due(now));
         for id in &due {
@@ -114,30 +117,30 @@
         self.delete(&due);
     }
 
-    /// The cloud confirmed a deletion (`done`), or did not answer.
-    pub fn deletion_answered(&mut self, ids: &[MachineId], done: bool, now: Instant) {
+    /// Handles the outcome of a deletion request: the cloud confirmed it, or did not answer.
+    pub fn deletion_answered(&mut self, ids: &[MachineId], is_confirmed: bool, now: Instant) {
         for id in ids {
-            if done {
+            if is_confirmed {
                 self.remove_deleted(id, now);
             } else if let Some(machine) = self.machines.get_mut(id) {
-                machine.retry_deletion_at(now + CLOUD_RETRY);
+                machine.retry_deletion_at(now + CLOUD_RETRY_DELAY);
             }
         }
         self.needs_pass = true;
     }
 
-    /// Removes a machine that no longer exists, with everything on it.
+    /// Removes a machine that no longer exists, and all attempts on it.
     fn remove_deleted(&mut self, id: &MachineId, now: Instant) {
         self.empty_machine(id, now);
         if let Some(machine) = self.machines.remove(id) {
             self.remove_from_roster(id);
-            // The cloud has one more of that kind.
+            // The cloud has one more machine of this kind available.
             self.autoscaler.backoff.reset(&MachineKind::from(&machine));
         }
         self.deleted_machines.insert(id.clone(), now);
     }
 
-    /// Deletes the machines that are empty and in no plan, and those that never booted.
+    /// Deletes the machines that are empty and not needed by the plan, and those that never booted.
     pub(super) fn delete_unneeded_machines(&mut self, capacities: &[Capacity], now: Instant) {
         let unneeded = self.autoscaler_view().unneeded_machines(capacities, now);
         for machine in &unneeded {
@@ -152,7 +155,7 @@
     }
 }
 
-/// A machine that is to be deleted.
+/// A machine that is to be deleted, and why.
 struct UnneededMachine {
     id: MachineId,
     pool: BootPool,
@@ -160,63 +163,65 @@
 }
 
 impl AutoscalerView<'_> {
-    /// The machines that are empty and in no plan, and those that never booted.
+    /// The machines that are empty and not needed by the plan, and those that never booted.
     fn unneeded_machines(&self, capacities: &[Capacity], now: Instant) -> Vec<UnneededMachine> {
         let unused: HashSet<&MachineId> = capacities
             .iter()
-            .filter(|capacity| !capacity.used)
+            .filter(|capacity| !capacity.is_used)
             .filter_map(|capacity| capacity.machine.as_ref())
             .collect();
         let machines = self.machines.values().filter(|m| !m.is_deleting());
         machines
             .filter_map(|machine| {
-                let unused = unused.contains(&machine.id);
+                let is_unused = unused.contains(&machine.id);
                 Some(UnneededMachine {
                     id: machine.id.clone(),
                     pool: BootPool::from(machine),
-                    reason: self.why_unneeded(machine, unused, now)?,
+                    reason: self.deletion_reason(machine, is_unused, now)?,
                 })
             })
             .collect()
     }
 
-    /// How long to wait for a machine that has not booted. Where none boots in time, deleting
-    /// all of them would only start the wait again.
+    /// How long to wait for a machine to boot. If no machine of its pool boots on time, the wait is
+    /// longer, because deleting all of them would only start the wait again.
     fn boot_wait(&self, machine: &Machine, now: Instant) -> Duration {
-        let Some(kind) = self.machine_types.get(&*machine.machine_type) else {
+        let Some(machine_type) = self.machine_types.get(&*machine.machine_type) else {
             return UNKNOWN_TYPE_BOOT_WAIT;
         };
         let factor = self.boot_wait_factor(machine, now);
-        let wait = usual_boot(kind).mul_f64(ABANDON_BOOTS) + ABANDON_ALLOWANCE;
+        let wait = usual_boot_time(machine_type).mul_f64(ABANDON_BOOT_FACTOR) + ABANDON_MARGIN;
         wait.mul_f64(factor).min(MAX_BOOT_WAIT.max(wait))
     }
 
-    /// Why a machine is to be deleted; None if it is not. `unused` says that the plan leaves
-    /// it unused.
-    fn why_unneeded(
+    /// Why a machine is to be deleted; None if it is to be kept. `is_unused` says that the plan
+    /// does not need it.
+    fn deletion_reason(
         &self,
         machine: &Machine,
-        unused: bool,
+        is_unused: bool,
         now: Instant,
     ) -> Option<DeletionReason> {
         let age = now.saturating_duration_since(machine.rented);
         if machine.is_booting() {
-            let too_late = age > self.boot_wait(machine, now);
-            return too_late.then_some(DeletionReason::NeverBooted);
+            let is_too_late = age > self.boot_wait(machine, now);
+            return is_too_late.then_some(DeletionReason::NeverBooted);
         }
-        // An end that is not on record yet would be lost with the machine.
-        let has_unrecorded = machine.attempts.values().any(|a| !a.clearable);
-        if !machine.load.idle() || has_unrecorded {
+        // An outcome that is not recorded yet would be lost with the machine.
+        let has_unrecorded_outcome = machine.attempts.values().any(|a| !a.clearable);
+        if !machine.load.idle() || has_unrecorded_outcome {
             return None;
         }
         if machine.health.is_cordoned() || machine.draining || machine.preemption_notice.is_some() {
             return Some(DeletionReason::Drained);
         }
-        let idle = machine
+        let is_idle_too_long = machine
             .idle_since()
             .is_some_and(|since| now.saturating_duration_since(since) >= self.policy.idle);
-        let not_needed =
-            idle && self.all_reconciled && unused && age + DELETION_LEAD > MINIMUM_BILLED;
-        not_needed.then_some(DeletionReason::NotNeeded)
+        let is_not_needed = is_idle_too_long
+            && self.all_reconciled
+            && is_unused
+            && age + DELETION_LEAD > MIN_BILLED_TIME;
+        is_not_needed.then_some(DeletionReason::NotNeeded)
     }
 }
--- a/src/coordination/shard/autoscaler/scale_out.rs
+++ b/src/coordination/shard/autoscaler/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scale-out: rental requests, the cloud's answers to them, and its machine list.
+//! Scale-out: rental requests, the cloud's answers to them, and the cloud's machine list.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
@@ -10,38 +10,38 @@
 use crate::protocol::cloud::{ListedMachine, MachineState, Rental};
 
 /// Most machines in one rental request.
-const MAX_PER_RENTAL: u32 = 50;
+const MAX_MACHINES_PER_RENTAL: u32 = 50;
 
-/// Upper bound of a machine's age that is taken over from the cloud's list, in seconds.
+/// Upper bound in seconds of the machine age that is accepted from the cloud's list.
 const MAX_LISTED_AGE_S: f64 = 1e8;
 
-/// What became of a rental request.
+/// The outcome of a rental request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RentalOutcome {
-    /// These machines are rented; possibly fewer than requested.
+    /// These machines are rented; there may be fewer than requested.
     Rented(Vec<String>),
     /// The cloud has no machine of that kind.
     NoCapacity,
-    /// The cloud rejected the request as malformed: it must not be repeated.
+    /// The cloud rejected the request as malformed; it must not be repeated.
     Rejected,
-    /// The request may have been executed, or may still be.
+    /// It is unknown whether the cloud has executed the request or still will.
     Unknown,
 }
 
 impl Shard {
-    /// Requests again what the cloud has not answered.
+    /// Repeats the rentals and deletions that the cloud did not answer.
     pub(super) fn retry_cloud_requests(&mut self, now: Instant) {
-        for rental in self.autoscaler.rentals.take_due(now) {
+        for rental in self.autoscaler.rentals.take_due_retries(now) {
             self.out.push(Action::Rent(rental));
         }
         self.retry_deletions(now);
     }
 
-    /// Records the rental of so many machines; it is requested once the record is durable.
+    /// Records the rental of `count` machines; it is requested once the record is durable.
     pub(super) fn request_machines(&mut self, kind: MachineKind, count: u32) {
         let rental = self.autoscaler.rentals.add(
             kind,
-            count.min(MAX_PER_RENTAL),
+            count.min(MAX_MACHINES_PER_RENTAL),
             &self.policy.node_id,
             self.fencing_token,
         );
@@ -50,23 +50,23 @@
         }
     }
 
-    /// Requests a rental again that an earlier leader recorded and perhaps requested.
+    /// Repeats a rental request that an earlier leader recorded and may have sent.
     pub(in crate::coordination::shard) fn resume_rental(&mut self, rental: Rental) {
         self.out.push(Action::Rent(rental.clone()));
-        self.autoscaler.rentals.restore(rental);
+        self.autoscaler.rentals.insert(rental);
     }
 
-    /// The cloud answered a rental request, or did not.
+    /// Handles the outcome of a rental request.
     pub fn rental_answered(&mut self, request: &str, outcome: RentalOutcome, now: Instant) {
         let Some(rental) = self.autoscaler.rentals.get(request).cloned() else {
             return;
         };
         match outcome {
             RentalOutcome::Unknown => {
-                self.autoscaler.rentals.retry_later(request, now);
+                self.autoscaler.rentals.schedule_retry(request, now);
                 return;
             }
-            RentalOutcome::Rented(names) => self.add_rented(&rental, &names, now),
+            RentalOutcome::Rented(names) => self.add_rented_machines(&rental, &names, now),
             RentalOutcome::NoCapacity | RentalOutcome::Rejected => {
                 self.record_shortage(&rental, now);
             }
@@ -76,8 +76,8 @@
         self.needs_pass = true;
     }
 
-    /// Adds the machines of a rental that was met, in whole or in part.
-    fn add_rented(&mut self, rental: &Rental, names: &[String], now: Instant) {
+    /// Adds the machines of a rental that the cloud met in whole or in part.
+    fn add_rented_machines(&mut self, rental: &Rental, names: &[String], now: Instant) {
         if (names.len() as u32) < rental.count {
             self.record_shortage(rental, now);
         } else {
@@ -103,7 +103,7 @@
         self.autoscaler.backoff.record_shortage(kind, pause, now);
     }
 
-    /// Adds a machine that has not booted, unless it is known or was deleted.
+    /// Adds a machine that has not booted, unless it is known already or was deleted.
     fn add_machine(
         &mut self,
         name: &str,
@@ -121,18 +121,18 @@
         self.machines.insert(machine);
     }
 
-    /// The cloud's whole machine list arrived; it may be outdated.
+    /// Applies the cloud's complete machine list, which may be outdated.
     pub fn listed(&mut self, list: &[ListedMachine], now: Instant) {
         for entry in list {
-            self.apply_listed(entry, now);
+            self.apply_list_entry(entry, now);
         }
         self.update_vanished(list);
-        self.delete_failed(list, now);
+        self.delete_failed_machines(list, now);
         self.needs_pass = true;
     }
 
-    /// Takes over what one entry of the list says of its machine.
-    fn apply_listed(&mut self, entry: &ListedMachine, now: Instant) {
+    /// Adds the machine of one list entry if it is new, and updates its rental time and address.
+    fn apply_list_entry(&mut self, entry: &ListedMachine, now: Instant) {
         let age = Duration::from_secs_f64(entry.age_s.clamp(0.0, MAX_LISTED_AGE_S));
         let rented = now.checked_sub(age).unwrap_or(now);
         self.add_machine(
@@ -142,8 +142,8 @@
             entry.spot,
             rented,
         );
-        let outdated = |m: &Machine| !m.listed || m.addr.is_empty() || m.rented > rented;
-        if self.machines.get(&entry.id).is_some_and(outdated)
+        let needs_update = |m: &Machine| !m.listed || m.addr.is_empty() || m.rented > rented;
+        if self.machines.get(&entry.id).is_some_and(needs_update)
             && let Some(machine) = self.machines.get_mut(&entry.id)
         {
             machine.listed = true;
@@ -154,13 +154,12 @@
         }
     }
 
-    /// Marks the machines that are missing from the list. A list may be older than the one
-    /// before, so this alone proves nothing; but a machine that is also unreachable is best
-    /// deleted.
+    /// Marks the machines that are missing from the list. A list may be older than the one before
+    /// it, so this alone proves nothing; but a machine that is also unreachable should be deleted.
     fn update_vanished(&mut self, list: &[ListedMachine]) {
         let present: HashSet<&str> = list.iter().map(|entry| entry.id.as_str()).collect();
-        let missing = |m: &Machine| !present.contains(&*m.id) && (m.listed || !m.is_booting());
-        for id in self.machines.ids(|m| m.vanished != missing(m)) {
+        let is_missing = |m: &Machine| !present.contains(&*m.id) && (m.listed || !m.is_booting());
+        for id in self.machines.ids(|m| m.vanished != is_missing(m)) {
             if let Some(machine) = self.machines.get_mut(&id) {
                 machine.vanished = !present.contains(&*id);
             }
@@ -168,7 +167,7 @@
     }
 
     /// Deletes the machines that the cloud lists as failed.
-    fn delete_failed(&mut self, list: &[ListedMachine], now: Instant) {
+    fn delete_failed_machines(&mut self, list: &[ListedMachine], now: Instant) {
         for entry in list {
             if entry.state == MachineState::Failed
                 && !self.deleted_machines.contains(entry.id.as_str())
--- a/src/coordination/shard/autoscaler/service_moves.rs
+++ b/src/coordination/shard/autoscaler/service_moves.rs
@@ -1,6 +1,7 @@
-//! Moving services to other machines: off those being drained, and into the main zone.
+//! Moving services to other machines: off machines being drained, and into the main zone.
 //!
-//! To move a service is to stop its attempt; the scheduler places the next one.
+//! A service is moved by stopping its attempt; the scheduler then places the next attempt. Only
+//! consolidation (`drain`) moves services; the scheduler reads what is reserved for them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,42 +16,44 @@
 use crate::protocol::users::{JobKind, JobSpec};
 use crate::protocol::{AttemptId, MachineId};
 
-/// A machine that services could move to.
+/// A machine to which services could move.
 pub(super) struct ServiceHost<'a> {
     pub machine: &'a Machine,
-    /// What is left on it for services.
+    /// Resources that services can use on the machine.
     pub free: Resources,
 }
 
 impl ServiceHost<'_> {
-    /// Whether it holds a service's image and has capacity for it.
-    fn has_capacity(&self, spec: &JobSpec) -> bool {
+    /// Whether the machine caches the service's image and has capacity for it.
+    fn has_image_and_capacity(&self, spec: &JobSpec) -> bool {
         self.free.fitting_tasks(spec) > 0 && self.machine.has_image(&spec.image)
     }
 
-    /// The same, and the service's placement constraints allow it.
+    /// Whether the machine caches the service's image, has capacity for it and satisfies its
+    /// placement constraints.
     pub(super) fn can_host(&self, spec: &JobSpec) -> bool {
         let machine = self.machine;
-        self.has_capacity(spec) && allowed(spec, &machine.machine_type, &machine.zone, machine.spot)
+        self.has_image_and_capacity(spec)
+            && allowed(spec, &machine.machine_type, &machine.zone, machine.spot)
     }
 }
 
-/// A service's attempt that may exist on a machine.
+/// An attempt of a service that may exist on a machine.
 pub(super) struct LiveService<'a> {
     id: &'a AttemptId,
     attempt: &'a Attempt,
     pub spec: &'a Arc<JobSpec>,
 }
 
-/// A service's attempt that is to be stopped, so that it moves.
+/// An attempt of a service that is to be stopped so that the service moves.
 pub(super) struct ServiceMove {
     machine: MachineId,
     attempt: AttemptId,
 }
 
 impl Shard {
-    /// Stops a service that is to move. The scheduler finds its new machine as soon as the
-    /// worker reports that it has ended.
+    /// Stops a service so that it moves. The scheduler places it again as soon as the worker
+    /// reports that the attempt has ended.
     pub(super) fn stop_service(&mut self, service: &ServiceMove) {
         if let Some(attempt) = self
             .machines
@@ -64,23 +67,27 @@
 }
 
 impl<'a> AutoscalerView<'a> {
-    /// The next service of each machine being drained that fits on another machine with its
-    /// image; none while services wait, and at most so many at once.
+    /// Picks, for each machine being drained, the next service that fits on another machine which
+    /// caches its image. Picks none while any service waits, and at most `max_at_once` machines
+    /// have a service that stops.
     pub(super) fn next_moves(
         &self,
         sources: &[MachineId],
         max_at_once: usize,
         capacities: &[Capacity],
     ) -> Vec<ServiceMove> {
-        let waits = |job: &Job| job.spec.kind == JobKind::Service && job.waiting() > 0;
-        let moving = self.machines_with_stopping_services();
-        if sources.is_empty() || moving >= max_at_once || self.jobs.values().any(waits) {
+        let is_waiting_service = |job: &Job| job.spec.kind == JobKind::Service && job.waiting() > 0;
+        let moving_machines = self.count_machines_with_stopping_services();
+        if sources.is_empty()
+            || moving_machines >= max_at_once
+            || self.jobs.values().any(is_waiting_service)
+        {
             return Vec::new();
         }
-        let mut hosts = self.move_targets(capacities);
+        let mut hosts = self.hosts_by_readiness(capacities);
         let mut moves = Vec::new();
         for machine in sources.iter().filter_map(|id| self.machines.get(id)) {
-            if moving + moves.len() >= max_at_once {
+            if moving_machines + moves.len() >= max_at_once {
                 break;
             }
             moves.extend(next_move(machine, &mut hosts));
@@ -88,7 +95,7 @@
         moves
     }
 
-    fn machines_with_stopping_services(&self) -> usize {
+    fn count_machines_with_stopping_services(&self) -> usize {
         self.machines
             .values()
             .filter(|machine| machine.load.stopping)
@@ -96,22 +103,23 @@
             .count()
     }
 
-    /// The machines with what is free on them now.
-    fn move_targets(&self, capacities: &[Capacity]) -> Vec<ServiceHost<'a>> {
+    /// The machines that are not being drained, with the resources that are free on them now.
+    fn hosts_by_readiness(&self, capacities: &[Capacity]) -> Vec<ServiceHost<'a>> {
         capacities
             .iter()
-            .filter(|capacity| capacity.is_up())
+            .filter(|capacity| capacity.is_in_service())
             .filter_map(|capacity| {
                 let machine = self.machines.get(capacity.machine.as_ref()?)?;
-                let kind = self.machine_types.get(&*machine.machine_type)?;
-                let free = machine.free(kind);
+                let machine_type = self.machine_types.get(&*machine.machine_type)?;
+                let free = machine.free(machine_type);
                 (!machine.draining).then_some(ServiceHost { machine, free })
             })
             .collect()
     }
 
-    /// A service of one task that can move to the main zone, where a controller reaches it whatever
-    /// zones are partitioned, if a machine with its image has capacity there. One at a time.
+    /// A single-task service that can move to the main zone, if a machine there caches its image
+    /// and has capacity. In the main zone a controller reaches the service whatever zones are
+    /// partitioned. Services move there one at a time: None while any service starts or stops.
     pub(super) fn next_move_to_main_zone(&self, capacities: &[Capacity]) -> Option<ServiceMove> {
         let main_zone = self.main_zone?;
         let starts_or_stops =
@@ -129,7 +137,7 @@
             .find_map(|machine| self.move_to_zone(machine, main_zone, capacities))
     }
 
-    /// A service of one task on a machine that fits on another machine in a zone.
+    /// A single-task service on a machine that fits on another machine in a zone.
     fn move_to_zone(
         &self,
         machine: &Machine,
@@ -141,7 +149,7 @@
                 *capacity.zone == *zone
                     && capacity.free.fitting_tasks(spec) > 0
                     && capacity.is_allowed_for(spec)
-                    && self.is_up_with_image(capacity, &spec.image)
+                    && self.is_in_service_with_image(capacity, &spec.image)
             })
         };
         let service = live_services(machine).find(|s| s.spec.tasks == 1 && fits_in_zone(s.spec))?;
@@ -151,8 +159,8 @@
         })
     }
 
-    fn is_up_with_image(&self, capacity: &Capacity, image: &str) -> bool {
-        capacity.is_up()
+    fn is_in_service_with_image(&self, capacity: &Capacity, image: &str) -> bool {
+        capacity.is_in_service()
             && capacity
                 .machine
                 .as_ref()
@@ -160,8 +168,8 @@
                 .is_some_and(|m| m.has_image(image) && !m.draining)
     }
 
-    /// What a machine has beside its services, since batch work on it ends; None if that is
-    /// not known.
+    /// Resources of a machine that its services do not use, on the assumption that its batch tasks
+    /// end; None if its type or any task on it is unknown.
     pub(super) fn free_beside_services(&self, machine: &Machine) -> Option<Resources> {
         if machine.load.unknown > 0 {
             return None;
@@ -175,8 +183,9 @@
         Some(free)
     }
 
-    /// What batch work must leave free on each machine for the services of those being
-    /// drained. They are reserved on the machines with the least left beside services first.
+    /// Resources that batch tasks must leave free on each machine for the services of machines
+    /// being drained. They are reserved first on the machines with the fewest cores beside
+    /// services.
     pub(in crate::coordination::shard) fn reserved_for_moves(
         &self,
     ) -> HashMap<MachineId, Resources> {
@@ -193,7 +202,7 @@
         for service in sources.flat_map(live_services) {
             let host = hosts
                 .iter_mut()
-                .find(|host| host.has_capacity(service.spec));
+                .find(|host| host.has_image_and_capacity(service.spec));
             if let Some(host) = host {
                 host.free.subtract_task(service.spec);
                 reserved
@@ -205,8 +214,8 @@
         reserved
     }
 
-    /// The machines with services that are not being drained, those with the fewest cores
-    /// beside services first.
+    /// The machines with services that are not being drained, ordered by the cores that services
+    /// leave free, fewest first.
     fn hosts_by_free_cores(&self) -> Vec<ServiceHost<'a>> {
         let mut hosts: Vec<ServiceHost> = self
             .machines
@@ -225,7 +234,7 @@
     }
 }
 
-/// The first service of a machine that fits on a host, where its capacity is reserved.
+/// The first service of a machine that fits on a host; its resources are reserved there.
 fn next_move(source: &Machine, hosts: &mut [ServiceHost]) -> Option<ServiceMove> {
     live_services(source).find_map(|service| {
         let host = hosts.iter_mut().find(|host| host.can_host(service.spec))?;
@@ -237,7 +246,7 @@
     })
 }
 
-/// The services that may exist on a machine.
+/// The attempts of services that may exist on a machine.
 pub(super) fn live_services(machine: &Machine) -> impl Iterator<Item = LiveService<'_>> {
     machine
         .attempts
--- a/src/coordination/shard/autoscaler/urgency.rs
+++ b/src/coordination/shard/autoscaler/urgency.rs
@@ -1,123 +1,149 @@
-//! Which waiting tasks cannot wait for the capacity that exists.
+//! Urgency of waiting tasks: which of them cannot wait for the capacity that exists.
 //!
-//! Batch work that tolerates spot machines waits for low-cost capacity as long as it starts in
-//! time there. What would start too late is urgent: on-demand machines may be rented for it.
+//! Batch tasks that accept spot machines wait for machines that cost nothing extra, as long as they
+//! start on time there. Tasks that would start too late are urgent: on-demand machines may be
+//! rented for them.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use super::capacity::{Capacity, reachable_cores};
-use super::demand::Queue;
-use super::slack::{estimated_run_s, has_begun, untimed_slack};
+use super::capacity::{Capacity, obtainable_cores};
+use super::demand::QueueTotals;
+use super::slack::{default_slack, estimated_run_s, has_started_task};
 use super::view::AutoscalerView;
 use crate::coordination::shard::Job;
 use crate::protocol::users::JobKind;
 
-/// Work with less time than this to its latest start, in seconds, does not wait for spot
-/// machines to boot.
-const MIN_PATIENT_SLACK_S: f64 = 30.0;
+/// Tasks with less slack than this, in seconds, do not wait for spot machines to boot.
+const MIN_DEFERRABLE_SLACK_S: f64 = 30.0;
 
-/// Nor does work with less time than this share of its run time.
-const MIN_PATIENT_RUN_SHARE: f64 = 0.5;
+/// Tasks with less slack than this share of their run time do not wait for spot machines either.
+const MIN_DEFERRABLE_RUN_SHARE: f64 = 0.5;
 
-/// How much of a job's waiting work is urgent.
+/// How urgent a job's waiting tasks are.
 pub(super) struct Urgency {
-    /// Waiting tasks that would start too late on the capacity within reach.
-    pub urgent: u32,
-    /// Some would start too late on low-cost capacity: the scheduler may place the job on
-    /// machines that cost extra.
+    /// Number of waiting tasks that would start too late on the capacity that the job can obtain.
+    pub urgent_tasks: u32,
+    /// Whether some tasks would start too late without the machines that cost extra, so that the
+    /// scheduler may place the job on those too.
     pub accepts_extra_cost: bool,
 }
 
 impl AutoscalerView<'_> {
-    /// How urgent a job's waiting tasks are; `queue` is that up to and with them.
+    /// How urgent a job's `waiting` tasks are. `queue` holds the totals of the queue up to and
+    /// including these tasks.
     pub(super) fn urgency(
         &self,
         job: &Job,
         waiting: u32,
-        queue: &Queue,
+        queue: &QueueTotals,
         capacities: &[Capacity],
-        wall: u64,
+        wall_ms: u64,
     ) -> Urgency {
         let low_cost = self.low_cost_cores(job, capacities);
-        let extra_cost = self.cores_in_reach(job, capacities, true);
-        let queued = queue.core_seconds;
+        let extra_cost = self.obtainable_cores_by_cost(job, capacities, true);
+        let queued_core_s = queue.core_seconds;
         Urgency {
-            urgent: self.urgent_tasks(job, waiting, queued, low_cost + extra_cost, wall),
-            accepts_extra_cost: self.urgent_tasks(job, waiting, queued, low_cost, wall) > 0,
+            urgent_tasks: self.count_urgent_tasks(
+                job,
+                waiting,
+                queued_core_s,
+                low_cost + extra_cost,
+                wall_ms,
+            ),
+            accepts_extra_cost: self.count_urgent_tasks(
+                job,
+                waiting,
+                queued_core_s,
+                low_cost,
+                wall_ms,
+            ) > 0,
         }
     }
 
-    /// The cores on low-cost machines within a job's reach: now, or on average for its
-    /// priority if that is more, since bursts of work with a higher priority pass.
+    /// Cores that a job can obtain on machines that cost nothing extra: now, or on average for its
+    /// priority if that is more, because bursts of work of a higher priority pass.
     fn low_cost_cores(&self, job: &Job, capacities: &[Capacity]) -> f64 {
-        let now = self.cores_in_reach(job, capacities, false);
+        let obtainable_now = self.obtainable_cores_by_cost(job, capacities, false);
         if job.spec.one_zone {
-            // The average is that of all zones.
-            return now;
+            // The average covers all zones, so it does not apply to a single-zone job.
+            return obtainable_now;
         }
-        now.max(self.autoscaler.average_reachable_cores(job.spec.priority))
+        obtainable_now.max(self.autoscaler.average_obtainable_cores(job.spec.priority))
     }
 
-    /// The cores within a job's reach on machines that cost extra, or on the others. If it is
-    /// bound to one zone: those in the zone where it has begun, or else in the zone with most.
-    fn cores_in_reach(&self, job: &Job, capacities: &[Capacity], costs_extra: bool) -> f64 {
-        let wanted = capacities
+    /// Cores that a job can obtain on machines that cost extra, or on all others. For a single-zone
+    /// job: the cores in the zone where it has tasks, or in the zone with the most such cores.
+    fn obtainable_cores_by_cost(
+        &self,
+        job: &Job,
+        capacities: &[Capacity],
+        costs_extra: bool,
+    ) -> f64 {
+        let matching = capacities
             .iter()
             .filter(|capacity| capacity.costs_extra == costs_extra);
         if !job.spec.one_zone {
-            return reachable_cores(&job.spec, wanted);
+            return obtainable_cores(&job.spec, matching);
         }
         let in_zone = |zone: &Arc<str>| {
-            let there = wanted.clone().filter(|capacity| capacity.zone == *zone);
-            reachable_cores(&job.spec, there)
+            let in_that_zone = matching.clone().filter(|capacity| capacity.zone == *zone);
+            obtainable_cores(&job.spec, in_that_zone)
         };
-        match self.begun_zone(&job.id) {
+        match self.zone_with_tasks(&job.id) {
             Some(zone) => in_zone(&zone),
             None => {
                 let zones: BTreeSet<&Arc<str>> =
-                    wanted.clone().map(|capacity| &capacity.zone).collect();
+                    matching.clone().map(|capacity| &capacity.zone).collect();
                 zones.into_iter().map(in_zone).fold(0.0, f64::max)
             }
         }
     }
 
-    /// How many of a job's waiting tasks would start too late if they had to wait for so many
-    /// cores. `queued` is the work up to and with theirs, in core-seconds.
-    fn urgent_tasks(&self, job: &Job, waiting: u32, queued: f64, cores: f64, wall: u64) -> u32 {
+    /// How many of a job's `waiting` tasks would start too late if they had to wait for `cores`
+    /// cores. `queued_core_s` is the work up to and including these tasks, in core-seconds.
+    fn count_urgent_tasks(
+        &self,
+        job: &Job,
+        waiting: u32,
+        queued_core_s: f64,
+        cores: f64,
+        wall_ms: u64,
+    ) -> u32 {
         let spec = &job.spec;
         if spec.kind != JobKind::Batch || spec.duration_s <= 0.0 || !spec.spot {
             return waiting;
         }
-        let run = estimated_run_s(spec);
-        let Some(slack) = self.stated_slack(job, run, wall) else {
-            return urgent_untimed_tasks(job, waiting, wall);
+        let run_s = estimated_run_s(spec);
+        let Some(slack_s) = self.stated_slack(job, run_s, wall_ms) else {
+            return urgent_tasks_without_stated_time(job, waiting, wall_ms);
         };
         if cores < spec.cores {
-            // There is nothing to wait for yet: request spot machines, and others when time
-            // runs short.
-            let patient = slack > run * MIN_PATIENT_RUN_SHARE && slack > MIN_PATIENT_SLACK_S;
-            return if patient { 0 } else { waiting };
+            // The job can obtain no capacity yet: wait for spot machines while there is enough
+            // slack, and rent any machines when there is not.
+            let is_deferrable =
+                slack_s > run_s * MIN_DEFERRABLE_RUN_SHARE && slack_s > MIN_DEFERRABLE_SLACK_S;
+            return if is_deferrable { 0 } else { waiting };
         }
-        let last_start = ((queued - cores * run) / cores).max(0.0);
-        if slack <= 0.0 {
+        let last_start_s = ((queued_core_s - cores * run_s) / cores).max(0.0);
+        if slack_s <= 0.0 {
             waiting
-        } else if last_start <= slack {
+        } else if last_start_s <= slack_s {
             0
         } else {
-            let late = 1.0 - slack.max(0.0) / last_start;
-            (f64::from(waiting) * late).ceil() as u32
+            let late_share = 1.0 - slack_s.max(0.0) / last_start_s;
+            (f64::from(waiting) * late_share).ceil() as u32
         }
     }
 }
 
-/// The urgent tasks of a job for which nothing states when it should start. A temporary lack
-/// of capacity is no reason to pay more for it, but its time does come: that of the first
-/// start long before that of the rest.
-fn urgent_untimed_tasks(job: &Job, waiting: u32, wall: u64) -> u32 {
-    if untimed_slack(job, wall) > 0.0 {
+/// Number of urgent tasks of a job for which neither an objective nor a deadline states a time. A
+/// temporary lack of capacity does not justify paying for more, but a latest start applies all the
+/// same: that of the first task is long before that of the others.
+fn urgent_tasks_without_stated_time(job: &Job, waiting: u32, wall_ms: u64) -> u32 {
+    if default_slack(job, wall_ms) > 0.0 {
         0
-    } else if has_begun(job) {
+    } else if has_started_task(job) {
         waiting
     } else {
         waiting.min(1)
--- a/src/coordination/shard/autoscaler/view.rs
+++ b/src/coordination/shard/autoscaler/view.rs
@@ -1,4 +1,4 @@
-//! The read-only view of the shard from which a plan is made.
+//! The read-only view of the shard from which the autoscaler makes its plans.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,11 +23,12 @@
     pub(super) autoscaler: &'a Autoscaler,
     pub(super) scheduler: SchedulerView<'a>,
     pub(super) delegations: &'a Delegations,
-    /// The zone with most machines among those that have a controller; services prefer it.
+    /// The zone with the most machines among those that have a controller; services are preferably
+    /// placed there.
     pub(super) main_zone: Option<&'a str>,
     /// When this leader's term began.
     pub(super) term_began: Instant,
-    /// Every machine is reconciled: no task runs that this leader does not know of.
+    /// Whether every machine is reconciled, so that this leader knows of all running tasks.
     pub(super) all_reconciled: bool,
 }
 
