--- a/src/coordination/shard/autoscaler/drain.rs
+++ b/src/coordination/shard/autoscaler/drain.rs
@@ -133,7 +133,7 @@
         candidates.sort_by(|a, b| b.saved_price.total_cmp(&a.saved_price));
         let mut hosts = self.service_hosts(capacities);
         let free_cores: f64 = hosts.iter().map(|host| host.free.cores.max(0.0)).sum();
-        let mut spare_cores = free_cores - self.foreseen_service_cores(now);
+        let mut spare_cores = free_cores - self.forecast_service_cores(now);
         let mut picked = Vec::new();
         for candidate in candidates
             .into_iter()
--- a/src/coordination/shard/autoscaler/forecast.rs
+++ b/src/coordination/shard/autoscaler/forecast.rs
@@ -57,7 +57,7 @@
 
     /// Cores that new services are likely to need before a new machine has booted. No machine is
     /// drained if fewer cores would stay free among services.
-    pub(in crate::coordination::shard) fn foreseen_service_cores(&self, now: Instant) -> f64 {
+    pub(in crate::coordination::shard) fn forecast_service_cores(&self, now: Instant) -> f64 {
         if self.policy.holds_capacity() {
             return 0.0;
         }
--- a/src/coordination/shard/tests/autoscaling.rs
+++ b/src/coordination/shard/tests/autoscaling.rs
@@ -31,7 +31,7 @@
         script
             .shard
             .autoscaler_view()
-            .foreseen_service_cores(script.now),
+            .forecast_service_cores(script.now),
         0.0,
         "batch work"
     );
@@ -48,14 +48,14 @@
     let to_come = script
         .shard
         .autoscaler_view()
-        .foreseen_service_cores(script.now);
+        .forecast_service_cores(script.now);
     assert!((4.0..8.0).contains(&to_come), "{to_come}");
     let held = ScriptedShard::empty();
     assert!(held.shard.policy.holds_capacity());
     assert_eq!(
         held.shard
             .autoscaler_view()
-            .foreseen_service_cores(held.now),
+            .forecast_service_cores(held.now),
         0.0
     );
 }
