--- a/src/coordination/shard/autoscaler/mod.rs
+++ b/src/coordination/shard/autoscaler/mod.rs
@@ -43,7 +43,7 @@
 use self::backoff::CapacityBackoff;
 use self::boot_times::BootTimes;
 use self::machine_kind::usual_boot_time;
-pub(super) use self::release::{costs_extra, hosts_services, releasable};
+pub(super) use self::release::{costs_extra, hosts_services, is_releasable};
 use self::rentals::PendingRentals;
 pub(super) use self::scale_in::DeletionReason;
 pub use self::scale_out::RentalOutcome;
--- a/src/coordination/shard/autoscaler/release.rs
+++ b/src/coordination/shard/autoscaler/release.rs
@@ -14,7 +14,7 @@
 
 /// Whether scale-in can release an on-demand machine once its batch tasks have ended: neither a
 /// service nor reserved quota keeps the machine.
-pub(in crate::coordination::shard) fn releasable(machine: &Machine, policy: &Policy) -> bool {
+pub(in crate::coordination::shard) fn is_releasable(machine: &Machine, policy: &Policy) -> bool {
     !machine.spot && !policy.holds_capacity() && !hosts_services(machine)
 }
 
@@ -28,5 +28,5 @@
 ) -> bool {
     let is_within_minimum_charge =
         now.saturating_duration_since(machine.rented) < MIN_BILLED_TIME / 2;
-    !is_within_minimum_charge && releasable(machine, policy)
+    !is_within_minimum_charge && is_releasable(machine, policy)
 }
--- a/src/coordination/shard/scheduler/candidates.rs
+++ b/src/coordination/shard/scheduler/candidates.rs
@@ -6,7 +6,7 @@
 
 use super::quota::Usage;
 use super::view::SchedulerView;
-use crate::coordination::shard::autoscaler::{costs_extra, releasable};
+use crate::coordination::shard::autoscaler::{costs_extra, is_releasable};
 use crate::coordination::shard::machines::Resources;
 use crate::coordination::shard::{Job, Machine, Shard};
 use crate::protocol::MachineId;
@@ -183,7 +183,7 @@
                     machine_type: machine.machine_type.clone(),
                     zone: machine.zone.clone(),
                     spot: machine.spot,
-                    releasable: releasable(machine, &self.policy),
+                    releasable: is_releasable(machine, &self.policy),
                     costs_extra: costs_extra(machine, &self.policy, now),
                     free: machine.free(machine_type),
                     reserved_for_services: reserved.get(&machine.id).copied().unwrap_or_default(),
