--- a/src/coordination/cloud/polling.rs
+++ b/src/coordination/cloud/polling.rs
@@ -73,7 +73,9 @@
 async fn read_machine_list(node: &Arc<Node>, lease: &Arc<ShardLease>) {
     match node.clients.cloud.list_machines().await {
         Ok(list) => {
-            node.with_shard(lease, "cloud", |shard, now| shard.listed(&list, now));
+            node.with_shard(lease, "cloud", |shard, now| {
+                shard.apply_machine_list(&list, now)
+            });
         }
         Err(error) => debug!(%error, "the machine list could not be read"),
     }
--- a/src/coordination/shard/autoscaler/scale_out.rs
+++ b/src/coordination/shard/autoscaler/scale_out.rs
@@ -122,7 +122,7 @@
     }
 
     /// Applies the cloud's complete machine list, which may be outdated.
-    pub fn listed(&mut self, list: &[ListedMachine], now: Instant) {
+    pub fn apply_machine_list(&mut self, list: &[ListedMachine], now: Instant) {
         for entry in list {
             self.apply_list_entry(entry, now);
         }
--- a/src/coordination/shard/tests/combined_faults.rs
+++ b/src/coordination/shard/tests/combined_faults.rs
@@ -118,7 +118,7 @@
         state: MachineState::Running,
         age_s: 300.0,
     };
-    script.shard.listed(&[listed], script.now);
+    script.shard.apply_machine_list(&[listed], script.now);
     for batch in script.batches() {
         script.execute(&batch, Vec::new());
     }
--- a/src/coordination/shard/tests/simulation/cloud.rs
+++ b/src/coordination/shard/tests/simulation/cloud.rs
@@ -97,7 +97,7 @@
         };
         let list: Vec<ListedMachine> = self.workers.values().map(listed).collect();
         let now = self.now;
-        self.on_leader(|shard| shard.listed(&list, now));
+        self.on_leader(|shard| shard.apply_machine_list(&list, now));
     }
 
     /// The machines that are booted and not deleted.
