--- a/src/coordination/shard/autoscaler/scale_in.rs
+++ b/src/coordination/shard/autoscaler/scale_in.rs
@@ -100,7 +100,7 @@
     }
 
     /// Requests the deletion of machines whose deletion records are durable.
-    pub(in crate::coordination::shard) fn delete(&mut self, ids: &[MachineId]) {
+    pub(in crate::coordination::shard) fn request_deletions(&mut self, ids: &[MachineId]) {
         for batch in ids.chunks(MAX_MACHINES_PER_DELETION) {
             self.out.push(Action::Delete(batch.to_vec()));
         }
@@ -114,7 +114,7 @@
                 machine.note_deletion_retried();
             }
         }
-        self.delete(&due);
+        self.request_deletions(&due);
     }
 
     /// Handles the outcome of a deletion request: the cloud confirmed it, or did not answer.
--- a/src/coordination/shard/persistence/flush.rs
+++ b/src/coordination/shard/persistence/flush.rs
@@ -51,7 +51,7 @@
                 | WritePurpose::SnapshotChunk { .. } => {}
             }
         }
-        self.delete(&deletable);
+        self.request_deletions(&deletable);
         self.needs_pass = true;
         self.flush_writes(now);
     }
