--- a/src/coordination/leadership/election.rs
+++ b/src/coordination/leadership/election.rs
@@ -1,7 +1,7 @@
-//! The election: waiting until the shard has no leader, and campaigning for it then.
+//! The election: waits until the shard has no leader, then campaigns for it.
 //!
 //! Candidates don't vote on one another: the first transaction that creates the leader
-//! record wins. A candidate that is worse placed waits for a while before it tries.
+//! record wins. A candidate that is worse placed waits for a while before it campaigns.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 use crate::storage::kv_client::{KeyList, KvError};
 use crate::storage::records::LeaderRecord;
 
-/// How long the store holds one watch of the leader record without a change.
+/// How long the store holds a watch of the leader record open while nothing changes.
 const LEADER_WATCH_WAIT: Duration = Duration::from_secs(3);
 
 /// Campaigns for the shard whenever it has no leader, and leads it when it wins. Runs as
@@ -41,19 +41,20 @@
     }
 }
 
-/// Whose leader record the store holds, seen from one process of one controller.
+/// Who wrote the leader record that the store holds, from the point of view of this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RecordHolder {
     /// There is no record: the shard has no leader.
     Nobody,
-    /// An earlier process of this controller. That process has ended: no other has its
-    /// node id and addresses.
+    /// An earlier process of this controller. That process has ended: no two processes run with
+    /// the same node id and addresses.
     EarlierIncarnation {
         /// The lease that the record is attached to.
         lease: u64,
     },
-    /// This process, which doesn't lead: a leadership that it ended, or an acquisition
-    /// whose answer was lost and that was applied too late to be used.
+    /// This process, which doesn't lead the shard: the record is left over from a leadership that
+    /// this process ended, or from an acquisition whose answer was lost and that the store
+    /// applied too late to be used.
     ThisProcess {
         /// The lease that the record is attached to.
         lease: u64,
@@ -63,7 +64,7 @@
 }
 
 impl RecordHolder {
-    fn of(record: Option<&LeaderRecord>, node: &Node) -> Self {
+    fn from_record(record: Option<&LeaderRecord>, node: &Node) -> Self {
         match record {
             None => Self::Nobody,
             Some(record) if record.node_id != node.node_id() => Self::OtherController,
@@ -77,11 +78,11 @@
     }
 }
 
-/// Waits until the shard has no leader and it is this candidate's turn to try.
+/// Waits until the shard has no leader and this candidate's delay is over.
 async fn wait_for_vacancy(node: &Node) -> Result<(), KvError> {
     loop {
-        let LeaderRead { record, revision } = read_leader_record(node).await?;
-        let holder = RecordHolder::of(record.as_ref(), node);
+        let LeaderRecordRead { record, revision } = read_leader_record(node).await?;
+        let holder = RecordHolder::from_record(record.as_ref(), node);
         node.lock().observed_leader = record;
         match holder {
             RecordHolder::Nobody => {
@@ -102,15 +103,15 @@
     }
 }
 
-/// The leader record as the store held it.
-struct LeaderRead {
+/// The result of a read of the leader record.
+struct LeaderRecordRead {
     /// The record, if there is one that can be parsed.
     record: Option<LeaderRecord>,
     /// The revision of the store from which the record's next change can be watched.
     revision: u64,
 }
 
-async fn read_leader_record(node: &Node) -> Result<LeaderRead, KvError> {
+async fn read_leader_record(node: &Node) -> Result<LeaderRecordRead, KvError> {
     let KeyList { items, revision } = node
         .clients
         .kv
@@ -120,10 +121,11 @@
         .into_iter()
         .find(|item| item.key == keys::leader())
         .and_then(|item| serde_json::from_value(item.value).ok());
-    Ok(LeaderRead { record, revision })
+    Ok(LeaderRecordRead { record, revision })
 }
 
-/// Leaves better placed candidates their head start; false if one of them won.
+/// Waits so that better placed candidates can campaign first. Returns whether the shard still has
+/// no leader then.
 async fn still_vacant_after_delay(node: &Node) -> Result<bool, KvError> {
     let delay = candidate_delay(node);
     if delay.is_zero() {
@@ -134,15 +136,15 @@
     Ok(record.is_none())
 }
 
-/// Waits for a change of the leader record, for as long as one watch lasts.
+/// Waits until the leader record changes or the watch times out.
 async fn watch_leader_record(node: &Node, revision: u64) -> Result<(), KvError> {
     let page = node
         .clients
         .kv
         .watch(&keys::leader_prefix(), revision, LEADER_WATCH_WAIT)
         .await?;
-    let deleted = |event: &WatchEvent| matches!(event, WatchEvent::Delete { key, .. } if *key == keys::leader());
-    if page.events.iter().any(deleted) {
+    let deletes_leader_record = |event: &WatchEvent| matches!(event, WatchEvent::Delete { key, .. } if *key == keys::leader());
+    if page.events.iter().any(deletes_leader_record) {
         node.lock().observed_leader = None;
     }
     Ok(())
--- a/src/coordination/leadership/job_watch.rs
+++ b/src/coordination/leadership/job_watch.rs
@@ -1,4 +1,5 @@
-//! Watching the jobs in the store, and notifying the shard of accepted and ended ones.
+//! Watches the jobs in the store, and notifies the shard of accepted and ended jobs while this
+//! controller leads it.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,17 +13,17 @@
 use crate::storage::keys;
 use crate::storage::kv_client::{KeyList, KvError};
 
-/// How long the store holds one watch of the jobs without a change.
+/// How long the store holds a watch of the jobs open while nothing changes.
 const JOB_WATCH_WAIT: Duration = Duration::from_secs(3);
 
-/// Notifies the shard of accepted and ended jobs, from a revision of the store on, until
+/// Notifies the shard of jobs that are accepted or ended from `revision` of the store on, until
 /// the lease ends.
 pub(super) async fn watch_jobs(node: Arc<Node>, lease: Arc<ShardLease>, mut revision: u64) {
     let mut retry = Backoff::default();
     while !lease.ended() {
         match watch_once(&node, &lease, revision).await {
-            Ok(next) => {
-                revision = next;
+            Ok(next_revision) => {
+                revision = next_revision;
                 retry.reset();
             }
             Err(_) => retry.wait().await,
@@ -30,7 +31,8 @@
     }
 }
 
-/// One watch; the revision from which the next one has to begin.
+/// Waits for the changes of one watch and applies them. Returns the revision from which the next
+/// watch has to begin.
 async fn watch_once(
     node: &Arc<Node>,
     lease: &Arc<ShardLease>,
@@ -92,8 +94,8 @@
     }
 }
 
-/// Reads all unfinished jobs, since the store no longer holds all changes since the last
-/// watch; the revision from which the next watch has to begin.
+/// Reads all unfinished jobs, because the store has compacted some changes since the last watch.
+/// Returns the revision from which the next watch has to begin.
 async fn resync(node: &Arc<Node>, lease: &Arc<ShardLease>) -> Result<u64, KvError> {
     let KeyList { items, revision } = node.clients.kv.list(keys::JOBS, KV_DEADLINE).await?;
     let jobs: Vec<_> = items
--- a/src/coordination/leadership/leader_loop.rs
+++ b/src/coordination/leadership/leader_loop.rs
@@ -1,5 +1,5 @@
-//! What a controller does from the moment it acquired the shard until its lease ends:
-//! it recovers the shard's state, and then decides, after events and at intervals.
+//! The leader's loop, which the election runs from when it acquires the shard until the lease ends:
+//! it recovers the shard's state, then runs passes of decisions after events and at intervals.
 
 use std::fmt;
 use std::sync::Arc;
@@ -19,25 +19,25 @@
 use crate::storage::kv_client::KvError;
 use crate::telemetry::Activities;
 
-/// Pause between two checks of the shard's timers.
-const TICK_INTERVAL: Duration = Duration::from_millis(200);
-/// Longest pause between two checks of the timers, however long one takes.
+/// Shortest pause between two ticks, which check the shard's timers.
+const MIN_TICK_INTERVAL: Duration = Duration::from_millis(200);
+/// Longest pause between two ticks, however long a tick takes.
 const MAX_TICK_INTERVAL: Duration = Duration::from_secs(1);
-/// Rest after a pass, in multiples of the time that the pass took: bounds the share of
-/// the processor that passes take.
-const REST_PER_PASS: u32 = 20;
-/// Shortest rest after a pass.
-const MIN_REST: Duration = Duration::from_millis(10);
-/// Longest rest after a pass.
-const MAX_REST: Duration = Duration::from_millis(250);
+/// Pause after a pass of decisions, as a multiple of the time that the pass took: it bounds the
+/// share of the processor that passes take.
+const PAUSE_PER_PASS_TIME: u32 = 20;
+/// Shortest pause after a pass.
+const MIN_PASS_PAUSE: Duration = Duration::from_millis(10);
+/// Longest pause after a pass.
+const MAX_PASS_PAUSE: Duration = Duration::from_millis(250);
 /// Pause between two summaries of the shard in the log.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(30);
 
-/// What a new leader has read of the shard.
+/// What a new leader reads from the store before it makes decisions.
 struct Recovery {
     /// The shard's records.
     state: RecoveredState,
-    /// The revision of the store from which changes of jobs have to be watched.
+    /// The revision of the store from which to watch the jobs for changes.
     jobs_revision: u64,
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// Ends a leadership at once, so that another controller can begin.
+/// Ends a leadership at once, so that another controller can acquire the shard.
 pub async fn step_down(node: &Node, lease: &ShardLease, reason: StepDownReason) {
     info!(fencing_token = %lease.fencing_token, %reason, "stepping down");
     lease.end();
@@ -90,7 +90,7 @@
     }
 }
 
-/// Reads the shard's records, again after failures; None if the lease ended before.
+/// Reads the shard's records, and retries after failures. Returns `None` if the lease ends first.
 async fn recover_until_ended(node: &Node, lease: &Arc<ShardLease>) -> Option<Recovery> {
     node.lock().recovering = Some(lease.clone());
     let mut retry = Backoff::default();
@@ -148,35 +148,37 @@
     });
 }
 
-/// Has the shard decide, after events and at intervals, until the lease ends.
+/// Runs passes of decisions, after events and at intervals, until the lease ends.
 ///
-/// Events come far more often than decisions are worth making on a share of a
-/// processor core: the costlier a pass was, the longer the next one waits, and the more
-/// events it serves.
+/// A pass after each event would take more of a processor core than its decisions are worth, as
+/// events are far more frequent. So the longer a pass took, the longer is the pause before the
+/// next pass, and the more events that pass covers.
 async fn decide_until_ended(node: &Arc<Node>, lease: &Arc<ShardLease>) {
     let mut next_tick = node.now();
     let mut next_summary = node.now() + SUMMARY_INTERVAL;
     while !lease.ended() {
         wait_for_work(node, lease, next_tick).await;
-        let began = node.now();
-        let tick_due = began >= next_tick;
-        if lease.live(began) {
-            decide(node, lease, tick_due);
+        let started_at = node.now();
+        let is_tick_due = started_at >= next_tick;
+        if lease.live(started_at) {
+            decide(node, lease, is_tick_due);
         }
-        let ended = node.now();
-        let cost = ended.saturating_duration_since(began);
-        if tick_due {
-            next_tick = ended + TICK_INTERVAL.max((cost * REST_PER_PASS).min(MAX_TICK_INTERVAL));
+        let finished_at = node.now();
+        let elapsed = finished_at.saturating_duration_since(started_at);
+        if is_tick_due {
+            next_tick = finished_at
+                + MIN_TICK_INTERVAL.max((elapsed * PAUSE_PER_PASS_TIME).min(MAX_TICK_INTERVAL));
         }
-        if ended >= next_summary {
-            next_summary = ended + SUMMARY_INTERVAL;
+        if finished_at >= next_summary {
+            next_summary = finished_at + SUMMARY_INTERVAL;
             log_summary(node, lease);
         }
-        tokio::time::sleep((cost * REST_PER_PASS).clamp(MIN_REST, MAX_REST)).await;
+        tokio::time::sleep((elapsed * PAUSE_PER_PASS_TIME).clamp(MIN_PASS_PAUSE, MAX_PASS_PAUSE))
+            .await;
     }
 }
 
-/// Waits until the timers are due, an event needs a decision, or the lease has ended.
+/// Waits until a tick is due, an event needs a decision, or the lease ends.
 async fn wait_for_work(node: &Node, lease: &ShardLease, next_tick: Instant) {
     tokio::select! {
         () = tokio::time::sleep(next_tick.saturating_duration_since(node.now())) => {}
@@ -185,11 +187,11 @@
     }
 }
 
-/// One pass of decisions: a tick, which includes the timers, if one is due.
-fn decide(node: &Arc<Node>, lease: &Arc<ShardLease>, tick_due: bool) {
-    let activity = if tick_due { "ticks" } else { "passes" };
+/// Runs one pass of decisions: a tick, which also checks the timers, if one is due.
+fn decide(node: &Arc<Node>, lease: &Arc<ShardLease>, is_tick_due: bool) {
+    let activity = if is_tick_due { "ticks" } else { "passes" };
     node.with_shard(lease, activity, |shard, now| {
-        if tick_due {
+        if is_tick_due {
             shard.tick(now);
         } else {
             shard.reconcile(now);
--- a/src/coordination/leadership/lease/tests.rs
+++ b/src/coordination/leadership/lease/tests.rs
@@ -2,7 +2,7 @@
 use crate::protocol::FencingToken;
 
 #[test]
-fn the_deadline_runs_from_the_sending_of_the_renewal() {
+fn the_deadline_counts_from_when_the_renewal_was_sent() {
     let operator = Operator::default();
     let sent = Instant::now();
     let until = deadline(&operator, sent);
@@ -11,8 +11,8 @@
     let lease = ShardLease::new(1, FencingToken::new(10), sent, until, sent);
     assert!(lease.live(until - Duration::from_millis(1)));
     assert!(!lease.live(until));
-    // An outage past the deadline, then a renewal that succeeds: the lease
-    // never ended, so the same fencing token goes on.
+    // A renewal that succeeds after an outage past the deadline shows that the lease hasn't
+    // expired, so the leader continues with the same fencing token.
     let late = sent + Duration::from_secs(30);
     lease.record_renewal(late, deadline(&operator, late));
     assert_eq!(
--- a/src/coordination/leadership/mod.rs
+++ b/src/coordination/leadership/mod.rs
@@ -4,17 +4,16 @@
 //! Owns the shard's lease in the key-value store ("the store" from here on) and the
 //! leader record attached to it, from the campaign to the end of the leadership:
 //!
-//! * [`election`] waits until the shard has no leader and it is this controller's turn,
-//!   by the rules of `candidacy`;
+//! * [`election`] waits until the shard has no leader, and then for the delay that `candidacy`
+//!   sets;
 //! * `acquisition` writes the leader record, whose revision is the fencing token;
-//! * [`lease`] is what a leadership entitles to, and `renewal` renews it;
-//! * `leader_loop` recovers the shard from [`stored_records`], decides until the lease
-//!   ends, and follows the jobs by `job_watch`.
+//! * [`lease`] holds until when the leader may act, and `renewal` renews the lease;
+//! * `leader_loop` recovers the shard from [`stored_records`], runs passes of decisions until the
+//!   lease ends, and follows the jobs by `job_watch`.
 //!
 //! The controller's process spawns [`election::campaign`] once; peering ends a
-//! leadership early by [`step_down`]. This folder never decides what runs where
-//! ([`super::shard`] does) and never carries out the shard's actions
-//! ([`super::executor`] does).
+//! leadership early by [`step_down`]. This module never decides which task runs on which machine
+//! ([`super::shard`] does), and never carries out the shard's actions ([`super::executor`] does).
 
 mod acquisition;
 mod candidacy;
--- a/src/coordination/leadership/renewal.rs
+++ b/src/coordination/leadership/renewal.rs
@@ -1,5 +1,5 @@
-//! Renewing the shard's lease, and extending it by the other controllers' votes while
-//! the store serves nobody.
+//! Renews the shard's lease in the store, and extends it by the other controllers' votes while the
+//! store serves no controller.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,31 +14,32 @@
 use crate::settings::Operator;
 use crate::storage::kv_client::KvError;
 
-/// Share of the lease's duration without a successful renewal past which the renewals
-/// count as failing.
+/// Renewals count as failing if the last successful one was sent longer ago than this share of the
+/// lease's duration.
 const FAILING_AFTER_LEASE_SHARE: f64 = 0.6;
-/// Renewal intervals without a successful renewal up to which failing renewals count as
-/// succeeding again.
+/// Failing renewals count as timely again if the last successful one was sent at most this many
+/// renewal intervals ago.
 const RECOVERED_WITHIN_INTERVALS: u32 = 3;
-/// Pause before the next renewal when the store refused the last one.
+/// Additional pause before the next renewal after the store refused one.
 const REFUSED_RENEWAL_PAUSE: Duration = Duration::from_millis(150);
 
 /// Whether the lease is being renewed in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RenewalHealth {
     Timely,
-    /// The lease may expire in the store: votes have to extend it.
+    /// The lease may expire in the store, so votes have to extend it.
     Failing,
 }
 
 impl RenewalHealth {
-    /// The health when the last successful renewal was sent `since_renewal` ago. Failing
-    /// renewals need a fresher success to count as timely than timely ones to stay so.
+    /// Returns the new health when the last successful renewal was sent `since_renewal` ago. For
+    /// failing renewals to count as timely again, the last success must be more recent than for
+    /// timely renewals to stay so.
     fn next(self, since_renewal: Duration, operator: &Operator) -> Self {
-        let failing = since_renewal > operator.lease().mul_f64(FAILING_AFTER_LEASE_SHARE);
-        let not_recovered =
+        let is_failing = since_renewal > operator.lease().mul_f64(FAILING_AFTER_LEASE_SHARE);
+        let has_not_recovered =
             self == Self::Failing && since_renewal > operator.renew() * RECOVERED_WITHIN_INTERVALS;
-        if failing || not_recovered {
+        if is_failing || has_not_recovered {
             Self::Failing
         } else {
             Self::Timely
@@ -48,12 +49,13 @@
 
 /// Renews the lease until it has ended, on connections of its own.
 ///
-/// The next renewal doesn't wait for the answer to the last: a store that answers slowly
-/// must not take the shard from a leader that it serves.
+/// A renewal doesn't wait for the answer to the one before: a leader must not lose the shard
+/// because a store that serves it answers slowly.
 pub(super) async fn renew_until_ended(node: Arc<Node>, lease: Arc<ShardLease>) {
     let operator = &node.settings.operator;
     let max_in_flight = (operator.lease_s / operator.renew_s).ceil() as usize;
-    // At most `max_in_flight` renewals; those left are aborted when the lease has ended.
+    // Holds at most `max_in_flight` renewals. Those that remain when the lease has ended are
+    // aborted.
     let mut in_flight = JoinSet::new();
     let mut health = RenewalHealth::Timely;
     while !lease.ended() {
@@ -73,8 +75,8 @@
     }
 }
 
-/// Takes in answers to renewals for `pause`, those to earlier ones included. Returns
-/// early, with true, when the store refuses one.
+/// Waits for `pause` and collects the answers to all renewals in flight. Returns true, at once, if
+/// the store refuses a renewal; returns false at once if the lease ends.
 async fn await_answers(
     in_flight: &mut JoinSet<Result<(), KvError>>,
     lease: &ShardLease,
@@ -132,9 +134,9 @@
     result
 }
 
-/// Without the store, a leader goes on as long as every other controller votes not to
-/// campaign for the shard. Past its deadline it may resume if no other controller can
-/// have acquired the shard since its last successful renewal was sent.
+/// Extends the lease without the store, if every other controller votes not to campaign for the
+/// shard meanwhile. Past its deadline the leader may resume if, besides, no other controller can
+/// have acquired the shard since the leader's last successful renewal was sent.
 async fn extend_by_votes(node: &Arc<Node>, lease: &ShardLease) {
     let time = MAX_LEASE_EXTENSION;
     let sent = node.now();
@@ -148,7 +150,7 @@
     }
 }
 
-/// The deadline that votes for `time`, asked for at `sent`, give.
+/// The deadline of a lease that votes, requested at `sent`, extend by `time`.
 fn extended_deadline(operator: &Operator, sent: Instant, time: Duration) -> Instant {
     let margin = Duration::from_secs_f64(operator.lease_margin_s).min(time / 4);
     sent + clock_drift::min_elapsed(time) - margin
--- a/src/coordination/leadership/renewal/tests.rs
+++ b/src/coordination/leadership/renewal/tests.rs
@@ -1,27 +1,30 @@
 use super::*;
 
 #[test]
-fn renewals_fail_late_in_the_lease_and_recover_by_a_fresh_success() {
+fn late_renewals_count_as_failing_until_a_recent_success() {
     let operator = Operator::default();
-    let failing = operator.lease().mul_f64(FAILING_AFTER_LEASE_SHARE);
-    let recovered = operator.renew() * RECOVERED_WITHIN_INTERVALS;
-    let moment = Duration::from_millis(1);
+    let failing_after = operator.lease().mul_f64(FAILING_AFTER_LEASE_SHARE);
+    let recovered_within = operator.renew() * RECOVERED_WITHIN_INTERVALS;
+    let one_ms = Duration::from_millis(1);
     let timely = RenewalHealth::Timely;
-    assert_eq!(timely.next(failing, &operator), RenewalHealth::Timely);
+    assert_eq!(timely.next(failing_after, &operator), RenewalHealth::Timely);
     assert_eq!(
-        timely.next(failing + moment, &operator),
+        timely.next(failing_after + one_ms, &operator),
         RenewalHealth::Failing
     );
-    let ill = RenewalHealth::Failing;
-    assert_eq!(ill.next(recovered, &operator), RenewalHealth::Timely);
+    let failing = RenewalHealth::Failing;
     assert_eq!(
-        ill.next(recovered + moment, &operator),
+        failing.next(recovered_within, &operator),
+        RenewalHealth::Timely
+    );
+    assert_eq!(
+        failing.next(recovered_within + one_ms, &operator),
         RenewalHealth::Failing
     );
 }
 
 #[test]
-fn an_extension_counts_from_when_it_was_asked_for_less_drift_and_margin() {
+fn an_extension_counts_from_when_it_was_requested_less_drift_and_margin() {
     let operator = Operator::default();
     let sent = Instant::now();
     let time = Duration::from_secs(1);
--- a/src/coordination/leadership/stored_records.rs
+++ b/src/coordination/leadership/stored_records.rs
@@ -1,8 +1,8 @@
-//! The shard's records as the store holds them, read on failover.
+//! Reads and parses the shard's records in the store, for the recovery of a new leader.
 //!
-//! Everything is read after the new leader's record was written, so that no write of an
-//! earlier leader can follow: each of its writes is conditional on its own leader record.
-//! A record that cannot be parsed is logged and left as it is.
+//! The records are read only after the new leader's record has been written, so that no write of an
+//! earlier leader can follow the read: each of its writes is conditional on its own leader record.
+//! A record that cannot be parsed is logged and left in the store as it is.
 
 use std::time::Duration;
 
@@ -29,7 +29,8 @@
     pub pending_rentals: Vec<KeyValue>,
     /// The sequence record, if the shard was ever written.
     pub sequence: Option<KeyValue>,
-    /// A revision no later than that of any job read: a watch from there misses none.
+    /// The revision of the store from which to watch the jobs: no later than the read of any job,
+    /// so that the watch misses no change.
     pub revision: u64,
 }
 
@@ -59,7 +60,7 @@
         })
     }
 
-    /// The sequence record that the shard's next write has to find.
+    /// The state of the sequence record, on which the shard's next write is conditional.
     pub fn sequence(&self) -> Sequence {
         let Some(item) = &self.sequence else {
             return Sequence::default();
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The records in the shard's own types, without those that cannot be parsed.
+    /// Converts the records to the shard's own types. Leaves out those that cannot be parsed.
     pub fn parse(self) -> RecoveredState {
         RecoveredState {
             jobs: self.jobs.into_iter().filter_map(parse_job).collect(),
