--- a/src/coordination/node/clients.rs
+++ b/src/coordination/node/clients.rs
@@ -1,4 +1,4 @@
-//! The clients by which a controller reaches others.
+//! A controller's clients for the store, the cloud, the other controllers and the workers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,11 +9,11 @@
 use crate::storage::kv_client::KvClient;
 use crate::transport::client::HttpClient;
 
-/// How long an unused connection to a worker is kept: there are many workers, each of
-/// which has a connection of its own to this controller as well.
-const WORKER_IDLE: Duration = Duration::from_secs(5);
-/// Sockets reckoned for each worker when connections to it are kept: ours to it and its
-/// own to us, with some to spare.
+/// How long an idle connection to a worker is kept open. Short, since there are many workers, and
+/// each of them also has a connection of its own to this controller.
+const WORKER_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Sockets counted for each worker when idle connections are kept: one for this controller's
+/// connection to the worker, one for the worker's connection to this controller, and one to spare.
 const SOCKETS_PER_WORKER: usize = 3;
 
 /// The clients of one controller.
@@ -40,7 +40,7 @@
     }
 }
 
-/// The clients for workers: one keeps its connections, the other doesn't.
+/// The clients for workers: `pooled` keeps idle connections, `unpooled` closes them.
 pub struct WorkerClients {
     pooled: HttpClient,
     unpooled: HttpClient,
@@ -51,14 +51,14 @@
 impl WorkerClients {
     fn new(max_sockets: usize) -> Self {
         Self {
-            pooled: HttpClient::with_idle_timeout(WORKER_IDLE),
+            pooled: HttpClient::with_idle_timeout(WORKER_IDLE_TIMEOUT),
             unpooled: HttpClient::with_idle_timeout(Duration::ZERO),
             max_sockets,
         }
     }
 
-    /// The client for so many workers: connections are kept as long as those of all
-    /// workers, in both directions, fit the process's sockets.
+    /// The client to use when there are this many workers. Idle connections are kept only if the
+    /// connections of all workers, in both directions, fit the process's sockets.
     pub fn for_workers(&self, workers: usize) -> &HttpClient {
         if workers * SOCKETS_PER_WORKER > self.max_sockets {
             &self.unpooled
--- a/src/coordination/node/mod.rs
+++ b/src/coordination/node/mod.rs
@@ -2,8 +2,8 @@
 //! one lock.
 //!
 //! Everything in [`super`] that acts for the controller takes the [`Node`] it acts for.
-//! This folder itself never acts: it sends nothing, spawns nothing, and imports neither
-//! routers nor loops nor the executor. The process's entry creates the node.
+//! This module itself sends nothing, spawns nothing, and imports neither routers nor loops nor the
+//! executor. The process's entry creates the node.
 
 pub mod admission;
 pub mod clients;
@@ -39,19 +39,19 @@
     pub clock: Arc<dyn Clock>,
     /// Distinguishes this process from this controller's earlier ones.
     pub incarnation: u64,
-    /// When this process began.
+    /// When this process started.
     pub started: Instant,
     /// The clients for the store, the cloud, the workers and the other controllers.
     pub clients: Clients,
-    /// How much this controller has in flight at once.
+    /// Limits on the requests that this controller has in flight at once.
     pub admission: AdmissionLimits,
-    /// What is known of all jobs; it has a lock of its own.
+    /// Index of all known jobs, behind a lock of its own.
     pub job_index: JobIndex,
     state: Mutex<NodeState>,
 }
 
 impl Node {
-    /// A controller with these settings, which does nothing by itself yet.
+    /// Creates a controller with these settings. The node runs no tasks of its own.
     pub fn new(settings: Settings, clock: Arc<dyn Clock>) -> Arc<Self> {
         Arc::new(Self {
             policy: Policy::new(&settings),
@@ -66,9 +66,9 @@
         })
     }
 
-    /// Locks what the controller knows. The guard is never held over an await: it isn't
-    /// `Send`, so a task that did so could not be spawned. Its holder must not call a
-    /// method of `Node` that locks as well: the lock isn't reentrant.
+    /// Locks the controller's state. The guard is never held across an await: it isn't `Send`, so
+    /// a task that did so could not be spawned. While a caller holds the guard, it must not call
+    /// a method of `Node` that locks as well: the lock isn't reentrant.
     ///
     /// Poisoning is ignored: a panic ends the task in which it happens, not the others.
     pub fn lock(&self) -> MutexGuard<'_, NodeState> {
@@ -85,38 +85,42 @@
         &self.settings.platform.node_id
     }
 
-    /// How long this process has lasted.
+    /// How long ago this process started.
     pub fn up_time(&self) -> Duration {
         self.now().saturating_duration_since(self.started)
     }
 
-    /// The largest value, in bytes, that the store takes under its limits now and under
-    /// those that are announced.
+    /// The largest value, in bytes, that the store accepts under its current limits and under the
+    /// announced ones.
     pub fn value_bytes(&self) -> usize {
         self.settings.platform.settings.kv.planned().value_bytes()
     }
 
-    /// The client for workers, which suits how many of them send heartbeats here.
+    /// The client for workers that suits the number of workers which send heartbeats to this
+    /// controller.
     pub fn workers_http(&self) -> &HttpClient {
         let workers = self.lock().workers.len();
         self.clients.workers.for_workers(workers)
     }
 
-    /// The lease under which this node may act right now.
+    /// The lease under which this node may act as the leader now, if there is one.
     pub fn live_lease(&self) -> Option<Arc<ShardLease>> {
         let state = self.lock();
         let lease = &state.leadership.as_ref()?.lease;
         lease.live(self.now()).then(|| lease.clone())
     }
 
-    /// The lease of this node, live or not.
+    /// The lease under which this node leads the shard, even if it is past its deadline.
     pub fn lease(&self) -> Option<Arc<ShardLease>> {
-        self.lock().leadership.as_ref().map(|own| own.lease.clone())
+        self.lock()
+            .leadership
+            .as_ref()
+            .map(|leadership| leadership.lease.clone())
     }
 }
 
-/// An id that no other process is likely ever to draw. Below 2^52, since numbers in JSON
-/// are exact only below 2^53.
+/// Returns a random id, which no other process is likely ever to choose. It is below 2^52, since
+/// numbers in JSON are exact only below 2^53.
 pub fn random_id() -> u64 {
     rand::rng().random::<u64>() >> 12
 }
--- a/src/coordination/node/reachability.rs
+++ b/src/coordination/node/reachability.rs
@@ -1,7 +1,7 @@
-//! Whom this controller reaches: the store, the leader and the other controllers.
+//! Whether this controller reaches the store, the leader and the other controllers.
 //!
-//! These are methods of [`Node`] because each combines what the node's state holds of
-//! its peers with the health of its client for the store.
+//! These are methods of [`Node`] because each combines what the node's state holds about its peers
+//! with the health of the node's client for the store.
 
 use std::time::Duration;
 
@@ -11,14 +11,15 @@
 
 /// How long after its last heartbeat another controller counts as reachable.
 const PEER_REACHABLE_WITHIN: Duration = Duration::from_millis(2500);
-/// How long after its last heartbeat a leader is named to workers and users.
+/// How long after its last heartbeat a leader is still named to workers and users.
 const LEADER_KNOWN_WITHIN: Duration = Duration::from_secs(3);
-/// How long after its last good answer a failing store counts as lost.
+/// How long after its last successful answer a failing store counts as lost.
 const KV_LOST_AFTER: Duration = Duration::from_millis(1500);
 
 impl Node {
-    /// The node id of the shard's leader, as far as this node knows: this node itself, or
-    /// the sender of the highest fencing token lately, or the leader record's.
+    /// The node id of the shard's leader, as far as this node knows: this node itself if it may act
+    /// as the leader, else the node whose recent heartbeat has the highest fencing token, else
+    /// the other node that the leader record names.
     pub fn leader_id(&self) -> Option<String> {
         if self.live_lease().is_some() {
             return Some(self.node_id().to_owned());
@@ -55,13 +56,13 @@
         self.kv_failing() && since_served > KV_LOST_AFTER
     }
 
-    /// Whether the store's last answer to this node was none, or a refusal.
+    /// Whether this node's last request to the store got no answer or a refusal.
     pub fn kv_failing(&self) -> bool {
         let health = self.clients.kv.health();
         health.last_failed.is_some() && health.last_failed > health.last_served
     }
 
-    /// Whether some other controller says that the store serves it.
+    /// Whether another controller has recently stated that the store serves it.
     pub fn peer_served(&self) -> bool {
         let now = self.now();
         self.lock().peers.views.values().any(|view| {
@@ -69,7 +70,7 @@
         })
     }
 
-    /// Whether there are other controllers, and none of them has sent a heartbeat lately.
+    /// Whether there are other controllers, and none of them has recently sent a heartbeat.
     pub fn is_isolated(&self) -> bool {
         let now = self.now();
         let state = self.lock();
@@ -77,9 +78,10 @@
         !self.settings.platform.others.is_empty() && !state.peers.views.values().any(reachable)
     }
 
-    /// Whether the load balancer should send users here. While the store serves no
-    /// controller, leaving the balancer would only delay the return; but a controller
-    /// that reaches neither the store nor any other controller is cut off itself.
+    /// Whether the load balancer should send users' requests to this controller. While the store
+    /// serves no controller, this one stays ready: leaving the load balancer would only delay its
+    /// return. But a controller that reaches neither the store nor any other controller is itself
+    /// cut off, and isn't ready.
     pub fn ready(&self) -> bool {
         if self.lock().types.is_none() {
             return false;
--- a/src/coordination/node/state.rs
+++ b/src/coordination/node/state.rs
@@ -1,4 +1,4 @@
-//! What a controller knows, behind the one lock of its [`Node`](super::Node).
+//! A controller's state, which is behind the one lock of its [`Node`](super::Node).
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,28 +16,30 @@
 use crate::storage::records::LeaderRecord;
 use crate::telemetry::Activities;
 
-/// What a controller knows.
+/// A controller's state.
 #[derive(Default)]
 pub struct NodeState {
     /// The shard, if this controller leads it.
     pub leadership: Option<Leadership>,
-    /// The lease of a shard that this controller acquired and has not recovered yet.
+    /// The lease of the shard, if this controller has acquired the shard and not yet recovered its
+    /// state.
     pub recovering: Option<Arc<ShardLease>>,
     /// The leader record as last read.
     pub observed_leader: Option<LeaderRecord>,
     /// The cloud's machine types, once they have been read.
     pub types: Option<Vec<MachineType>>,
-    /// When each worker last sent a heartbeat here, whether or not it was answered.
+    /// By worker: when it last sent a heartbeat to this controller, whether or not the heartbeat
+    /// was answered.
     pub workers: HashMap<String, Instant>,
-    /// What the other controllers say.
+    /// What the other controllers state in their heartbeats.
     pub peers: Peers,
     /// What decides whether this controller may campaign for the shard.
     pub candidacy: Candidacy,
     /// This controller's part as a delegate of the leader.
     pub delegate: DelegateRole,
-    /// Up to when this controller knows of all cancellations.
+    /// Up to which moment this controller knows of all cancellations.
     pub cancellations: CancellationFreshness,
-    /// This controller renews no worker's lease, since cancellations may be unknown to it.
+    /// Whether this controller renews no worker's lease, as it may not know of all cancellations.
     pub renewals_suspended: bool,
 }
 
@@ -49,9 +51,9 @@
     pub shard: Shard,
     /// The advance delegations that were granted under this lease.
     pub advance_grants: AdvanceGrants,
-    /// The job index's count of finished jobs when the shard was last notified of them.
+    /// The job index's change count when the shard was last notified of finished jobs.
     pub finished_notified: Option<u64>,
-    /// The time spent on the shard's events.
+    /// The time spent on the shard's events, by activity.
     pub activities: Activities,
 }
 
@@ -71,7 +73,7 @@
     }
 }
 
-/// What the other controllers say.
+/// What the other controllers state in their heartbeats.
 #[derive(Default)]
 pub struct Peers {
     /// Their last heartbeats, by node id.
@@ -80,30 +82,30 @@
     pub progress: HashMap<String, TaskCounts>,
     /// The zone that holds most machines, by the leader's last heartbeat.
     pub main_zone: Option<String>,
-    /// The highest fencing token that a heartbeat named, and when one last did. A
-    /// heartbeat without a fencing token, one that is late or comes from a leader past
-    /// its deadline, changes nothing here: the leader counts on the earlier contact.
+    /// The highest fencing token that a heartbeat has named, and when a heartbeat last named it. A
+    /// heartbeat that is late, or that has no fencing token since its sender is past its deadline,
+    /// changes nothing here: the leader counts on the earlier contact.
     pub leader_contact: Option<LeaderContact>,
-    /// When each controller of an older version last failed to understand a frame that
+    /// By controller that runs an older version: when it last failed to understand a frame that
     /// this version added.
     pub older: HashMap<String, Instant>,
 }
 
-/// The last contact with a leader.
+/// The last heartbeat with the fencing token of a leader.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaderContact {
     /// The leader's fencing token.
     pub fencing_token: FencingToken,
-    /// When its heartbeat was received.
+    /// When the heartbeat was received.
     pub at: Instant,
 }
 
-/// Workers that a former leader couldn't reach.
+/// Workers that this controller couldn't reach when it last led the shard.
 #[derive(Debug, Clone)]
 pub struct UnreachableWorkers {
-    /// Some of their addresses, to be probed.
+    /// The addresses of some of these workers, to be probed.
     pub(in crate::coordination) addresses: Vec<SocketAddr>,
-    /// When they were unreachable.
+    /// When this controller recorded that it couldn't reach them.
     pub(in crate::coordination) since: Instant,
 }
 
@@ -111,30 +113,30 @@
 /// leader an extension.
 #[derive(Default)]
 pub struct Candidacy {
-    /// An attempt to acquire the shard is in progress, or its outcome is unknown.
+    /// Whether an attempt to acquire the shard is in progress, or its outcome is unknown.
     pub acquiring: bool,
-    /// The fencing token that this process acquired last.
+    /// The fencing token that this process last acquired.
     pub latest_fencing_token: FencingToken,
-    /// The last leader was an earlier process of this controller, which has ended.
+    /// Whether the last leader was an earlier process of this controller, which has ended.
     pub previous_incarnation_ended: bool,
     /// Until when this node must not campaign, by the extension that it granted.
     pub extension_granted_until: Option<Instant>,
-    /// Until when this node should leave the shard to others, since it didn't reach
+    /// Until when this node should leave the shard to other controllers, since it didn't reach
     /// enough workers.
     pub ineligible_until: Option<Instant>,
-    /// The workers that it didn't reach when it last led the shard, while they don't
-    /// answer it.
+    /// The workers that this node didn't reach when it last led the shard, for as long as most of
+    /// them don't answer its probes.
     pub unreachable_workers: Option<UnreachableWorkers>,
 }
 
-/// The right to renew the leases of workers that the leader doesn't reach.
+/// The right, given by the leader, to renew the leases of workers that the leader can't reach.
 #[derive(Debug, Clone, Copy)]
 pub struct Delegation {
     /// The leader's fencing token.
     pub fencing_token: FencingToken,
     /// When the right ends.
     pub until: Instant,
-    /// The leader asks for an inventory of what the workers run.
+    /// Whether the leader asks for an inventory of what the workers run.
     pub inventory: bool,
 }
 
@@ -143,15 +145,15 @@
 pub struct DelegateRole {
     /// The delegation that the leader gave in the store, if there is one.
     pub delegation: Option<Delegation>,
-    /// The delegation that the leader granted in advance, by its last answer to a
-    /// heartbeat of this node.
+    /// The delegation that the leader granted in advance by its last answer to a heartbeat of this
+    /// node.
     pub advance: Option<AdvanceDelegation>,
-    /// When a worker's lease was last renewed by a delegation granted in advance.
+    /// When this controller last renewed a worker's lease by an advance delegation.
     pub last_advance_renewal: Option<Instant>,
-    /// Heartbeats of delegated workers under the leader's fencing token, which are to be
-    /// written as an inventory.
+    /// Heartbeats of delegated workers under the leader's fencing token that are still to be
+    /// written to the inventory.
     pub unwritten_heartbeats: PendingHeartbeats,
-    /// The largest inventory page, in bytes, that the store has not refused, if that is
-    /// less than its limits say.
+    /// Largest size of an inventory page, in bytes, since the store refused pages that its stated
+    /// limits allow; `None` while it has refused none.
     pub inventory_bytes: Option<usize>,
 }
--- a/src/coordination/node/status.rs
+++ b/src/coordination/node/status.rs
@@ -1,6 +1,6 @@
 //! The status page of a controller, as text for operators; its format may change.
 //!
-//! A method of [`Node`] because the page shows a part of everything that the node holds.
+//! A method of [`Node`] because the page covers most of what the node holds.
 
 use std::fmt::{self, Write};
 use std::time::Instant;
@@ -9,7 +9,7 @@
 use super::state::{Leadership, PeerView};
 
 impl Node {
-    /// The status page.
+    /// Renders the status page.
     pub fn status(&self) -> String {
         let mut page = String::new();
         // Writing to a string doesn't fail.
