--- a/src/coordination/peering/cancellations.rs
+++ b/src/coordination/peering/cancellations.rs
@@ -1,8 +1,9 @@
-//! Cancellations that controllers have confirmed to users, queried from one another.
+//! Exchange, among controllers, of the cancellations that each has confirmed to users.
 //!
 //! A worker's lease may be renewed only by a controller that knows the recent cancellations
-//! ([`crate::coordination::worker_leases`]). While the key-value store doesn't serve the leader, it
-//! queries its peers: the store may serve one of them, and let it cancel jobs.
+//! ([`crate::coordination::worker_leases`]). While the key-value store doesn't serve the
+//! leader, the leader queries its peers: the store may serve one of them, which can then cancel
+//! jobs.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,13 +17,14 @@
 use crate::protocol::peer_messages::{CANCELLATIONS, CancellationsRequest, ConfirmedCancellations};
 use crate::settings::platform::Peer;
 
-/// Age of the last catch-up read of the jobs from which the peers are queried.
-const CATCH_UP_LATE: Duration = Duration::from_secs(2);
-/// Pause before a peer of an older version, which can't answer, is queried again: it may have
-/// been upgraded.
+/// Age of the last catch-up read of the jobs from which on the peers are queried.
+const CATCH_UP_MAX_AGE: Duration = Duration::from_secs(2);
+/// Pause before a peer that runs an older version, and can't answer the query, is queried again: it
+/// may have been upgraded meanwhile.
 const OLDER_VERSION_RETRY: Duration = Duration::from_secs(10);
 
-/// The cancellations that this controller has confirmed to users since a revision.
+/// The cancellations that this controller has confirmed to users since the store's revision that
+/// the request names.
 pub fn confirmed_cancellations(
     node: &Node,
     request: &CancellationsRequest,
@@ -59,8 +61,8 @@
     }
 }
 
-/// Queries all peers, if this controller leads the shard or recovers it, and its last catch-up
-/// read of the jobs is old.
+/// Queries all peers that may answer, if this controller leads or recovers the shard and its last
+/// catch-up read of the jobs is too old.
 pub(super) fn query_all(node: &Arc<Node>) {
     let now = node.now();
     let Some(after) = node.job_index.revision() else {
@@ -72,24 +74,24 @@
 }
 
 fn peers_to_query(node: &Node, now: Instant) -> Vec<Peer> {
-    let inner = node.lock();
-    let renews_leases = inner.leadership.is_some() || inner.recovering.is_some();
-    let caught_up = inner
+    let state = node.lock();
+    let renews_leases = state.leadership.is_some() || state.recovering.is_some();
+    let has_caught_up = state
         .cancellations
         .last_catch_up()
-        .is_some_and(|at| now.saturating_duration_since(at) < CATCH_UP_LATE);
-    if !renews_leases || caught_up {
+        .is_some_and(|at| now.saturating_duration_since(at) < CATCH_UP_MAX_AGE);
+    if !renews_leases || has_caught_up {
         return Vec::new();
     }
     let may_answer = |peer: &&Peer| {
-        let refused = inner.peers.older.get(&peer.node_id);
-        refused.is_none_or(|at| now.saturating_duration_since(*at) > OLDER_VERSION_RETRY)
+        let unanswered_at = state.peers.older.get(&peer.node_id);
+        unanswered_at.is_none_or(|at| now.saturating_duration_since(*at) > OLDER_VERSION_RETRY)
     };
     let peers = node.settings.platform.others.iter();
     peers.filter(may_answer).cloned().collect()
 }
 
-/// Queries one peer for the cancellations that it has confirmed since a revision.
+/// Queries one peer for the cancellations that it has confirmed since the store's revision `after`.
 pub async fn query_cancellations(node: Arc<Node>, peer: Peer, after: u64) {
     let sent = node.now();
     let frame = CancellationsRequest { after }.encode();
@@ -107,8 +109,8 @@
 }
 
 fn record_older_version(node: &Node, peer: &Peer, sent: Instant) {
-    let known = node.lock().peers.older.insert(peer.node_id.clone(), sent);
-    if known.is_none() {
+    let previous_failure = node.lock().peers.older.insert(peer.node_id.clone(), sent);
+    if previous_failure.is_none() {
         tracing::info!(
             node_id = peer.node_id,
             "peer runs an older version without the cancellations query"
--- a/src/coordination/peering/client.rs
+++ b/src/coordination/peering/client.rs
@@ -1,4 +1,4 @@
-//! Sending frames to other controllers.
+//! Sends frames to other controllers.
 
 use std::time::Duration;
 
@@ -9,7 +9,8 @@
 use crate::settings::platform::Peer;
 use crate::transport::client::{Answer, CallError};
 
-/// Sends a request to another controller; `None` without a readable answer before the deadline.
+/// Sends a request to another controller. Returns `None` if no answer that can be decoded arrives
+/// before the deadline.
 pub(in crate::coordination) async fn call_peer(
     node: &Node,
     peer: &Peer,
--- a/src/coordination/peering/delegation/delegate.rs
+++ b/src/coordination/peering/delegation/delegate.rs
@@ -1,5 +1,5 @@
-//! The delegate's part: it finds its delegation in the key-value store, for as long as the leader
-//! leaves it there.
+//! The delegate's part: it reads its delegation from the key-value store, and has it for as long as
+//! the leader leaves it there.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,12 +18,13 @@
 
 /// Pause between two reads of this controller's delegation.
 const DELEGATION_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Time before its delegation's end at which a delegate stops, for delays of its own process.
+/// How long before the end of its delegation a delegate stops renewing leases, to allow for delays
+/// of its own process.
 const DELEGATION_MARGIN: Duration = Duration::from_millis(100);
 
 /// Keeps this controller's delegation up to date for as long as the process lasts, and writes
-/// the inventory that the leader asks for. Heartbeats are answered by the delegation elsewhere
-/// ([`crate::coordination::worker_heartbeats`]).
+/// the inventory that the leader asks for. Workers' heartbeats are answered by the delegation
+/// elsewhere ([`crate::coordination::worker_heartbeats`]).
 pub async fn serve_delegated_workers(node: Arc<Node>) {
     let mut next_page = 0;
     loop {
@@ -51,22 +52,24 @@
     }
 }
 
-/// Reads this controller's delegation; `None` if it has none. It runs from when the read was sent.
+/// Reads this controller's delegation; `None` if it has none. The delegation lasts from when the
+/// read was sent.
 async fn read_delegation(node: &Arc<Node>) -> Result<Option<Delegation>, KvError> {
     let sent = node.now();
     let prefix = keys::leader_prefix();
-    // A delegate has to know the finished jobs: it stops their tasks on the workers that it
-    // answers.
-    let (listed, caught_up) = tokio::join!(
+    // A delegate has to know the finished jobs: it stops their tasks on the workers whose
+    // heartbeats it answers.
+    let (list_result, catch_up_result) = tokio::join!(
         node.clients.kv.list(&prefix, DELEGATION_TIME),
         node.catch_up()
     );
-    let records = listed?;
-    caught_up?;
+    let records = list_result?;
+    catch_up_result?;
     Ok(find_delegation(node, &records.items, sent))
 }
 
-/// A delegation ends when the leader that gave it is replaced.
+/// Finds this controller's delegation in the records. A delegation ends when the leader that gave
+/// it is replaced.
 fn find_delegation(node: &Node, items: &[KeyValue], sent: Instant) -> Option<Delegation> {
     let find = |key: String| items.iter().find(|item| item.key == key);
     let delegate = find(keys::delegate(node.node_id()))?;
@@ -79,16 +82,16 @@
     })
 }
 
-/// Replaces this controller's delegation; true if a delegation by another leader begins. What an
-/// earlier leader's inventory still lacks is dropped.
+/// Replaces this controller's delegation. Returns true if a delegation by another leader begins.
+/// Heartbeats that are still to be written to an earlier leader's inventory are dropped.
 fn set_delegation(node: &Node, delegation: Option<Delegation>) -> bool {
     let fencing_token =
         |delegation: Option<Delegation>| delegation.map(|delegation| delegation.fencing_token);
-    let mut inner = node.lock();
-    let changed = fencing_token(inner.delegate.delegation) != fencing_token(delegation);
+    let mut state = node.lock();
+    let changed = fencing_token(state.delegate.delegation) != fencing_token(delegation);
     if changed {
-        inner.delegate.unwritten_heartbeats.clear();
+        state.delegate.unwritten_heartbeats.clear();
     }
-    inner.delegate.delegation = delegation;
+    state.delegate.delegation = delegation;
     changed && delegation.is_some()
 }
--- a/src/coordination/peering/delegation/inventories.rs
+++ b/src/coordination/peering/delegation/inventories.rs
@@ -16,8 +16,8 @@
 /// bytes.
 const MIN_INVENTORY_PAGE_BYTES: usize = 512;
 
-/// Reads what delegates wrote of the workers that this leader can't reach, and passes it on to
-/// the shard.
+/// Reads the inventories that delegates wrote of the workers that this leader can't reach, and
+/// passes their heartbeats on to the shard.
 pub(super) async fn read_inventories(node: &Arc<Node>, lease: &Arc<ShardLease>) {
     let prefix = keys::inventory_prefix();
     let Ok(pages) = node.clients.kv.list(&prefix, KV_DEADLINE).await else {
@@ -40,8 +40,8 @@
         .ok()
 }
 
-/// Writes the heartbeats of delegated workers that no page holds yet, from this page number on;
-/// returns the number of the next page.
+/// Writes the heartbeats of delegated workers that no page holds yet. Pages are numbered from
+/// `next_page` on; returns the number of the page after the last one.
 pub(super) async fn write_inventory(
     node: &Node,
     fencing_token: FencingToken,
@@ -53,7 +53,7 @@
                 return next_page;
             };
             let key = keys::inventory(node.node_id(), next_page);
-            // Whether or not this write succeeds, the next one has another key.
+            // Whether or not this write succeeds, the next page has another key.
             next_page += 1;
             let transaction = Transaction::default().change(Mutation::put(key, value));
             if let Err(error) = node.clients.kv.txn(&transaction, KV_DEADLINE).await {
@@ -67,23 +67,23 @@
 
 fn next_batch(node: &Node, fencing_token: FencingToken) -> Option<InventoryBatch> {
     let split_id = random_id();
-    let mut inner = node.lock();
-    let page_bytes = inner.delegate.inventory_bytes.unwrap_or(node.value_bytes());
-    inner
+    let mut state = node.lock();
+    let page_bytes = state.delegate.inventory_bytes.unwrap_or(node.value_bytes());
+    state
         .delegate
         .unwritten_heartbeats
         .next_batch(fencing_token, page_bytes, split_id)
 }
 
-/// Keeps heartbeats that could not be written for the next try, in pages of half the size if the
-/// store refused these as too large.
+/// Returns heartbeats that could not be written to the unwritten ones, for the next try. If the
+/// store refused a page as too large, the next pages have half the size.
 fn put_back(node: &Node, heartbeats: Vec<WorkerHeartbeat>, error: &KvError) {
-    let mut inner = node.lock();
-    inner.delegate.unwritten_heartbeats.put_back(heartbeats);
+    let mut state = node.lock();
+    state.delegate.unwritten_heartbeats.put_back(heartbeats);
     if let KvError::TooLarge { .. } = error {
-        let page_bytes = inner.delegate.inventory_bytes.unwrap_or(node.value_bytes());
+        let page_bytes = state.delegate.inventory_bytes.unwrap_or(node.value_bytes());
         let reduced = (page_bytes / 2).max(MIN_INVENTORY_PAGE_BYTES);
-        inner.delegate.inventory_bytes = Some(reduced);
+        state.delegate.inventory_bytes = Some(reduced);
         tracing::error!(%error, page_bytes = reduced, "inventory page too large for the store; page size halved");
     }
 }
--- a/src/coordination/peering/delegation/leader.rs
+++ b/src/coordination/peering/delegation/leader.rs
@@ -13,11 +13,12 @@
 use crate::coordination::worker_leases::advance_delegation;
 use crate::settings::platform::Peer;
 
-/// Age past which a peer's last heartbeat, two rounds missed, means that the peer may be cut off
-/// from the leader.
-const HEARTBEAT_LATE: Duration = Duration::from_millis(2200);
+/// Age past which a peer's last heartbeat means that the peer may be cut off from the leader: it
+/// has missed two rounds.
+const PEER_CUT_OFF_AFTER: Duration = Duration::from_millis(2200);
 
-/// Informs the shard until when others may have renewed workers' leases by advance delegations.
+/// Tells the shard until when other controllers may have renewed workers' leases by advance
+/// delegations.
 pub(in super::super) fn update_last_delegated_renewal(node: &Arc<Node>) {
     let Some(lease) = node.live_lease() else {
         return;
@@ -25,9 +26,11 @@
     let now = node.now();
     let longest = advance_delegation::longest(&node.settings);
     let peers = &node.settings.platform.others;
-    let last_renewal = node.lock().leadership.as_ref().and_then(|own| {
+    let last_renewal = node.lock().leadership.as_ref().and_then(|leadership| {
         let node_ids = peers.iter().map(|peer| peer.node_id.as_str());
-        own.advance_grants.last_answer(node_ids, longest, now)
+        leadership
+            .advance_grants
+            .last_answer(node_ids, longest, now)
     });
     node.with_shard(&lease, "delegations", |shard, _| {
         shard.note_advance_renewals(last_renewal, now)
@@ -48,23 +51,24 @@
     if node_ids.is_empty() {
         return;
     }
-    let Some(elsewhere) = workers_reachable_elsewhere(node).await else {
+    let Some(reachable_by_peer) = workers_reachable_elsewhere(node).await else {
         return;
     };
-    let reaches_workers = |node_id: &str| elsewhere.contains_key(node_id);
+    let reaches_workers = |node_id: &str| reachable_by_peer.contains_key(node_id);
     node.with_shard(&lease, "delegations", |shard, now| {
         revoke_all_but(shard, reaches_workers);
         for node_id in node_ids.iter().filter(|node_id| reaches_workers(node_id)) {
             shard.delegate(node_id, now);
         }
     });
-    let wanted = node.with_shard(&lease, "delegations", |shard, _| shard.wants_inventories());
-    if wanted == Some(true) {
+    let wants_inventories =
+        node.with_shard(&lease, "delegations", |shard, _| shard.wants_inventories());
+    if wants_inventories == Some(true) {
         read_inventories(node, &lease).await;
     }
 }
 
-/// Revokes the delegations of all controllers but those that still need one.
+/// Revokes the delegations of all controllers except those for which `needed` returns true.
 fn revoke_all_but(shard: &mut Shard, needed: impl Fn(&str) -> bool) {
     for node_id in shard.delegates() {
         if !needed(&node_id) {
@@ -80,17 +84,18 @@
     node_ids: BTreeSet<String>,
 }
 
-/// The peers that this leader can't reach; `None` if it isn't the leader, or has just begun.
+/// The peers that this controller can't reach as the leader. `None` if it isn't the leader, or its
+/// leadership has just begun.
 fn unreachable_peers(node: &Node) -> Option<UnreachablePeers> {
     let now = node.now();
-    let inner = node.lock();
-    let lease = &inner.leadership.as_ref()?.lease;
+    let state = node.lock();
+    let lease = &state.leadership.as_ref()?.lease;
     if !lease.live(now) || now.saturating_duration_since(lease.acquired_at) < LEADER_GRACE {
         return None;
     }
     let unreachable = |peer: &&Peer| {
-        let view = inner.peers.views.get(&peer.node_id);
-        view.is_none_or(|view| now.saturating_duration_since(view.at) > HEARTBEAT_LATE)
+        let view = state.peers.views.get(&peer.node_id);
+        view.is_none_or(|view| now.saturating_duration_since(view.at) > PEER_CUT_OFF_AFTER)
     };
     let peers = node.settings.platform.others.iter();
     let node_ids = peers.filter(unreachable).map(|peer| peer.node_id.clone());
@@ -100,7 +105,7 @@
     })
 }
 
-/// The zones of which this leader reaches no controller.
+/// The zones with controllers of which this leader reaches none.
 fn unreachable_zones(node: &Node, unreachable: &BTreeSet<String>) -> BTreeSet<String> {
     let platform = &node.settings.platform;
     let reachable = |peer: &&Peer| !unreachable.contains(&peer.node_id);
--- a/src/coordination/peering/delegation/mod.rs
+++ b/src/coordination/peering/delegation/mod.rs
@@ -1,11 +1,12 @@
-//! Delegated lease renewal: workers that the leader can't reach, while another controller can.
+//! Delegated lease renewal for workers that the leader can't reach while another controller can.
 //!
-//! When zones are cut from one another, both may still reach the key-value store. A controller
-//! that reaches workers but not the leader publishes that there (`reachability_records`). The
-//! leader then delegates the renewal of those workers' leases to it (`leader`), and the delegate
-//! answers their heartbeats with the leader's fencing token (`delegate`). A leader that doesn't
-//! know yet what runs on every machine reads it from the inventories that its delegates write
-//! (`inventories`). What a delegation means to the shard is decided there, not here.
+//! Zones that are cut off from one another may all still reach the key-value store. A controller
+//! that reaches workers but not the leader publishes that in the store (`reachability_records`).
+//! The leader then delegates the renewal of those workers' leases to that controller (`leader`),
+//! and the delegate answers their heartbeats with the leader's fencing token (`delegate`). A leader
+//! that doesn't know yet what runs on every machine reads that from the inventories which its
+//! delegates write (`inventories`). The shard itself decides what a delegation means for its
+//! machines.
 
 mod delegate;
 mod inventories;
--- a/src/coordination/peering/delegation/reachability_records.rs
+++ b/src/coordination/peering/delegation/reachability_records.rs
@@ -8,11 +8,11 @@
 use crate::storage::keys;
 use crate::storage::records::{FORMAT_VERSION, ReachabilityRecord};
 
-/// Age below which a record counts, in milliseconds by the controllers' wall clocks.
-const RECORD_FRESH_MS: u64 = 5000;
+/// Age below which a record is used, in milliseconds by the controllers' wall clocks.
+const RECORD_MAX_AGE_MS: u64 = 5000;
 
-/// Publishes how many workers this controller reaches, if it can't reach the leader. A record
-/// that can't be written is written anew by the next round.
+/// Publishes how many workers this controller reaches, if it can't reach the leader. After a failed
+/// write the next round writes the record anew.
 pub(in super::super) async fn publish_reachability(node: &Node) {
     let workers = workers_without_leader(node);
     if workers == 0 || node.kv_lost() {
@@ -32,38 +32,39 @@
 }
 
 /// The number of workers that send heartbeats to this controller while it can't reach the leader;
-/// 0 if it reaches the leader, is the leader, or knows none.
+/// 0 if it reaches the leader, is the leader, or knows of no leader.
 pub(super) fn workers_without_leader(node: &Node) -> u32 {
     let now = node.now();
-    let inner = node.lock();
-    let leader = inner.observed_leader.as_ref().map(|leader| &leader.node_id);
+    let state = node.lock();
+    let leader = state.observed_leader.as_ref().map(|leader| &leader.node_id);
     let Some(leader) = leader.filter(|node_id| *node_id != node.node_id()) else {
         return 0;
     };
-    let leader_reachable = inner
+    let leader_reachable = state
         .peers
         .views
         .get(leader)
         .is_some_and(|view| view.is_fresher_than(HEARTBEAT_FRESH, now));
-    if leader_reachable || inner.leadership.is_some() {
+    if leader_reachable || state.leadership.is_some() {
         return 0;
     }
-    inner.workers.len() as u32
+    state.workers.len() as u32
 }
 
-/// The workers that other controllers reach without reaching the leader, by the controller's
-/// node id, as fresh records state. `None` if the key-value store doesn't answer.
+/// By the node id of each other controller that doesn't reach the leader: how many workers it
+/// reaches, as recent records state. `None` if the key-value store doesn't answer.
 pub(in super::super) async fn workers_reachable_elsewhere(
     node: &Node,
 ) -> Option<BTreeMap<String, usize>> {
     let prefix = keys::reachability_prefix();
     let records = node.clients.kv.list(&prefix, KV_DEADLINE).await.ok()?;
     let wall_ms = node.clock.wall_ms();
-    let fresh_count = |item: KeyValue| {
+    let recent_count = |item: KeyValue| {
         let node_id = item.key.strip_prefix(&prefix)?.to_owned();
         let record: ReachabilityRecord = serde_json::from_value(item.value).ok()?;
-        let fresh = wall_ms.abs_diff(record.counted_at_ms) < RECORD_FRESH_MS;
-        (fresh && node_id != node.node_id()).then_some((node_id, record.reachable_workers as usize))
+        let is_fresh = wall_ms.abs_diff(record.counted_at_ms) < RECORD_MAX_AGE_MS;
+        (is_fresh && node_id != node.node_id())
+            .then_some((node_id, record.reachable_workers as usize))
     };
-    Some(records.items.into_iter().filter_map(fresh_count).collect())
+    Some(records.items.into_iter().filter_map(recent_count).collect())
 }
--- a/src/coordination/peering/handover.rs
+++ b/src/coordination/peering/handover.rs
@@ -1,4 +1,4 @@
-//! When a leader hands the shard over to a controller that is better placed.
+//! Decides in each round whether the leader steps down so that a better placed controller can lead.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,36 +15,37 @@
 const MAX_LOW_REACHABILITY_ROUNDS: u32 = 2;
 /// Least duration of a leadership before it is handed over to a controller in the main zone.
 const MIN_LEADERSHIP: Duration = Duration::from_secs(6);
-/// The same while work is pending: every change of leaders delays it.
+/// Least duration of a leadership before such a handover while work is pending: every change of
+/// leaders delays the work.
 const MIN_LEADERSHIP_WHEN_BUSY: Duration = Duration::from_secs(15);
 /// Age below which a peer's last heartbeat shows that the peer can acquire the shard now.
-const SUCCESSOR_HEARTBEAT_FRESH: Duration = Duration::from_secs(2);
-/// Least time since its start after which a controller may be handed the shard, in seconds.
+const SUCCESSOR_HEARTBEAT_MAX_AGE: Duration = Duration::from_secs(2);
+/// Least uptime of a controller that may be handed the shard, in seconds.
 const MIN_SUCCESSOR_UPTIME_S: u64 = MIN_LEADERSHIP.as_secs() / 2;
 
-/// Updates the main zone, if this controller leads the shard: the zone that holds most machines
-/// and has a controller.
+/// Updates the main zone if this controller leads the shard. The main zone is the zone with a
+/// controller that holds most machines.
 pub(super) fn update_main_zone(node: &Node) {
-    let mut inner = node.lock();
-    let Some(own) = &inner.leadership else {
+    let mut state = node.lock();
+    let Some(leadership) = &state.leadership else {
         return;
     };
     let mut machines_by_zone: BTreeMap<&str, usize> = BTreeMap::new();
-    let machines = own.shard.machines().values();
+    let machines = leadership.shard.machines().values();
     for machine in machines.filter(|m| m.expects_heartbeats()) {
         *machines_by_zone.entry(&machine.zone).or_default() += 1;
     }
     let main_zone = preferred_zone(node, &machines_by_zone);
     if main_zone.is_some() {
-        if let Some(own) = &mut inner.leadership {
-            own.shard.main_zone.clone_from(&main_zone);
+        if let Some(leadership) = &mut state.leadership {
+            leadership.shard.main_zone.clone_from(&main_zone);
         }
-        inner.peers.main_zone = main_zone;
+        state.peers.main_zone = main_zone;
     }
 }
 
 /// The leader's own zone, unless another zone with a controller holds more than twice as many
-/// machines: handing over for a small difference would never end.
+/// machines: handovers for a smaller difference would never end.
 fn preferred_zone(node: &Node, machines_by_zone: &BTreeMap<&str, usize>) -> Option<String> {
     let platform = &node.settings.platform;
     let own_zone = platform.zone.as_str();
@@ -95,14 +96,16 @@
     Sufficient,
     /// Fewer than half of the expected workers, and fewer than a peer.
     Lower,
-    /// Fewer than half of what a peer reaches: waiting for another round wouldn't help.
+    /// Fewer than half as many workers as a peer: waiting for another round wouldn't help.
     FarLower,
 }
 
-/// Workers that a leader which reaches fewer than half of them, and its peers, reach.
+/// How many workers the leader and its peers reach, while the leader reaches fewer than half of
+/// them.
 struct LowReachability {
+    /// Reached by the leader.
     by_leader: usize,
-    /// By the peer that reaches most, as its heartbeat states.
+    /// Reached by the peer that reaches most, as its heartbeat states.
     by_peer: usize,
 }
 
@@ -119,35 +122,37 @@
         "leader reaches fewer than half of the workers"
     );
     match by_peer.max(by_record) {
-        most if most > by_leader * 2 => WorkerReachability::FarLower,
-        most if most > by_leader => WorkerReachability::Lower,
+        most_by_others if most_by_others > by_leader * 2 => WorkerReachability::FarLower,
+        most_by_others if most_by_others > by_leader => WorkerReachability::Lower,
         _ => WorkerReachability::Sufficient,
     }
 }
 
-/// What this leader and its peers reach, if the leader reaches fewer than half of the workers.
+/// How many workers this leader and its peers reach, if the leader reaches fewer than half of them.
 fn low_reachability(node: &Node) -> Option<LowReachability> {
     let now = node.now();
-    let inner = node.lock();
-    let own = inner.leadership.as_ref()?;
-    if !own.lease.live(now) || now.saturating_duration_since(own.lease.acquired_at) < LEADER_GRACE {
+    let state = node.lock();
+    let leadership = state.leadership.as_ref()?;
+    if !leadership.lease.live(now)
+        || now.saturating_duration_since(leadership.lease.acquired_at) < LEADER_GRACE
+    {
         return None;
     }
     let ReachableMachines {
         reachable,
         expected,
-    } = own.shard.reachability(now);
+    } = leadership.shard.reachability(now);
     if expected < 2 || reachable * 2 >= expected {
         return None;
     }
     Some(LowReachability {
         by_leader: reachable,
-        by_peer: most_reached_by_a_peer(&inner, now),
+        by_peer: most_reached_by_a_peer(&state, now),
     })
 }
 
-fn most_reached_by_a_peer(inner: &NodeState, now: Instant) -> usize {
-    inner
+fn most_reached_by_a_peer(state: &NodeState, now: Instant) -> usize {
+    state
         .peers
         .views
         .values()
@@ -157,27 +162,27 @@
         .unwrap_or(0)
 }
 
-/// Whether this leader is outside the main zone, and a peer in it can lead the shard instead.
+/// Whether this leader is outside the main zone, and a peer in the main zone can lead instead.
 fn successor_in_main_zone(node: &Node) -> bool {
     let now = node.now();
-    // A leader that can't revoke its lease would leave the shard without a leader until the
-    // lease expires, and longer if the key-value store fails for all before.
+    // A leader that can't revoke its lease would leave the shard without a leader until the lease
+    // expires, and for longer if the key-value store fails for all controllers before that.
     if node.kv_failing() {
         return false;
     }
-    let inner = node.lock();
-    let (Some(own), Some(main_zone)) = (&inner.leadership, &inner.peers.main_zone) else {
+    let state = node.lock();
+    let (Some(leadership), Some(main_zone)) = (&state.leadership, &state.peers.main_zone) else {
         return false;
     };
-    let min_leadership = if own.shard.is_busy() {
+    let min_leadership = if leadership.shard.is_busy() {
         MIN_LEADERSHIP_WHEN_BUSY
     } else {
         MIN_LEADERSHIP
     };
     *main_zone != node.settings.platform.zone
-        && now.saturating_duration_since(own.lease.acquired_at) > min_leadership
-        && inner.peers.views.values().any(|view| {
-            view.is_fresher_than(SUCCESSOR_HEARTBEAT_FRESH, now)
+        && now.saturating_duration_since(leadership.lease.acquired_at) > min_leadership
+        && state.peers.views.values().any(|view| {
+            view.is_fresher_than(SUCCESSOR_HEARTBEAT_MAX_AGE, now)
                 && view.heartbeat.zone == *main_zone
                 && view.heartbeat.kv_served
                 && !view.heartbeat.ineligible
--- a/src/coordination/peering/heartbeat.rs
+++ b/src/coordination/peering/heartbeat.rs
@@ -1,6 +1,6 @@
-//! Heartbeats among controllers: what each states of itself once a second.
+//! Heartbeats among controllers: each controller sends its own state to the others once a second.
 //!
-//! An answer to a heartbeat is the answering controller's own. If the answering controller is the
+//! The answer to a heartbeat is a heartbeat of the answering controller. If that controller is the
 //! leader, its answer also grants an advance delegation ([`AdvanceDelegation`]).
 
 use std::sync::Arc;
@@ -17,50 +17,50 @@
 /// Largest number of jobs whose counts one heartbeat carries: some 1.5 MB, which every version
 /// accepts.
 const MAX_PROGRESS_ROWS: usize = 50_000;
-/// How long after its last heartbeat to this controller a worker counts as reachable.
+/// How long after its last heartbeat to this controller a worker counts as reachable from it.
 const WORKER_REACHABLE_FOR: Duration = Duration::from_secs(8);
 
 /// This controller's heartbeat, without the jobs' progress.
 pub fn own_heartbeat(node: &Node) -> PeerHeartbeat {
     let now = node.now();
     let kv_served = !node.kv_lost();
-    let mut inner = node.lock();
-    inner
+    let mut state = node.lock();
+    state
         .workers
         .retain(|_, at| now.saturating_duration_since(*at) < WORKER_REACHABLE_FOR);
-    let fencing_token = inner
+    let fencing_token = state
         .leadership
         .as_ref()
-        .filter(|own| own.lease.live(now))
-        .map(|own| own.lease.fencing_token);
+        .filter(|leadership| leadership.lease.live(now))
+        .map(|leadership| leadership.lease.fencing_token);
     PeerHeartbeat {
         node_id: node.node_id().to_owned(),
         zone: node.settings.platform.zone.clone(),
         kv_served,
-        reachable_workers: inner.workers.len() as u32,
+        reachable_workers: state.workers.len() as u32,
         up_s: node.up_time().as_secs(),
         fencing_token,
-        main_zone: inner.peers.main_zone.clone(),
+        main_zone: state.peers.main_zone.clone(),
         progress: Vec::new(),
-        ineligible: inner
+        ineligible: state
             .candidacy
             .ineligible_until
             .is_some_and(|until| until > now),
-        // An earlier incarnation may have answered workers until this one started.
+        // An earlier process of this controller may have answered workers until this one started.
         answered_by_advance_delegation_ago_ms: now
-            .saturating_duration_since(inner.delegate.last_advance_renewal.unwrap_or(node.started))
+            .saturating_duration_since(state.delegate.last_advance_renewal.unwrap_or(node.started))
             .as_millis() as u64,
     }
 }
 
 /// The progress of the unfinished jobs, if this controller leads the shard.
 ///
-/// A job without a running or completed task is left out: a job that isn't named is pending. Of
-/// more jobs than a frame may carry, the other controllers show some as pending. The counts are
-/// for display only.
+/// A job without a running or completed task is left out: the other controllers show a job that
+/// isn't named as pending. If more jobs have begun than a frame may carry, some of them are shown
+/// as pending too. The counts are for display only.
 fn progress(node: &Node) -> Vec<Progress> {
-    let inner = node.lock();
-    let Some(own) = &inner.leadership else {
+    let state = node.lock();
+    let Some(leadership) = &state.leadership else {
         return Vec::new();
     };
     let row = |(job, counts): (&JobId, TaskCounts)| Progress {
@@ -69,11 +69,11 @@
         running: counts.running,
     };
     let has_begun = |(_, counts): &(&JobId, TaskCounts)| counts.done + counts.running > 0;
-    let begun = own.shard.progress().filter(has_begun);
+    let begun = leadership.shard.progress().filter(has_begun);
     let rows: Vec<Progress> = begun.take(MAX_PROGRESS_ROWS).map(row).collect();
     if rows.is_empty() {
         // The receiver ignores a frame without rows, and would show outdated counts.
-        return own.shard.progress().take(1).map(row).collect();
+        return leadership.shard.progress().take(1).map(row).collect();
     }
     rows
 }
@@ -88,11 +88,11 @@
 
 /// Sends a heartbeat to every other controller, without waiting for the answers.
 pub(super) fn send_to_all(node: &Arc<Node>) {
-    let own = leader_heartbeat(node);
+    let own_heartbeat = leader_heartbeat(node);
     for peer in &node.settings.platform.others {
         let (node, peer) = (node.clone(), peer.clone());
-        let request = PeerRequest::Heartbeat(own.clone());
-        let sent_token = own.fencing_token;
+        let request = PeerRequest::Heartbeat(own_heartbeat.clone());
+        let sent_token = own_heartbeat.fencing_token;
         tokio::spawn(async move {
             let sent = node.now();
             let answer = call_peer(&node, &peer, &request, ROUND_DEADLINE).await;
@@ -109,10 +109,10 @@
     record_heartbeat(node, heartbeat);
     let answer = own_heartbeat(node);
     if let Some(fencing_token) = answer.fencing_token
-        && let Some(own) = &mut node.lock().leadership
-        && own.lease.fencing_token == fencing_token
+        && let Some(leadership) = &mut node.lock().leadership
+        && leadership.lease.fencing_token == fencing_token
     {
-        own.advance_grants.grant(&node_id, node.now());
+        leadership.advance_grants.grant(&node_id, node.now());
     }
     answer
 }
@@ -126,65 +126,67 @@
 ) {
     {
         let now = node.now();
-        let mut inner = node.lock();
+        let mut state = node.lock();
         if let Some(fencing_token) = answer.fencing_token {
-            renew_advance_delegation(&mut inner, fencing_token, sent);
+            renew_advance_delegation(&mut state, fencing_token, sent);
         }
-        record_last_delegated_renewal(&mut inner, &answer, sent, sent_token, now);
+        record_last_delegated_renewal(&mut state, &answer, sent, sent_token, now);
     }
     record_heartbeat(node, answer);
 }
 
-/// The leader with this token answered a heartbeat sent then: it grants an advance delegation.
-fn renew_advance_delegation(inner: &mut NodeState, fencing_token: FencingToken, sent: Instant) {
-    inner.delegate.advance = Some(AdvanceDelegation::renewed(
-        inner.delegate.advance,
+/// Records the advance delegation that the leader with this fencing token granted when it answered
+/// the heartbeat that this controller sent at `sent`.
+fn renew_advance_delegation(state: &mut NodeState, fencing_token: FencingToken, sent: Instant) {
+    state.delegate.advance = Some(AdvanceDelegation::renewed(
+        state.delegate.advance,
         fencing_token,
         sent,
     ));
 }
 
-/// A peer that received this leader's token renews no worker's lease by an advance delegation for
-/// a while: notes until when it may have done so.
+/// Records until when a peer may have renewed workers' leases by an advance delegation, as its
+/// answer states. For a while after it received this leader's token, the peer renews none.
 fn record_last_delegated_renewal(
-    inner: &mut NodeState,
+    state: &mut NodeState,
     answer: &PeerHeartbeat,
     sent: Instant,
     sent_token: Option<FencingToken>,
     now: Instant,
 ) {
-    let Some(own) = &mut inner.leadership else {
+    let Some(leadership) = &mut state.leadership else {
         return;
     };
-    if sent_token != Some(own.lease.fencing_token) {
+    if sent_token != Some(leadership.lease.fencing_token) {
         return;
     }
     let ago = Duration::from_millis(answer.answered_by_advance_delegation_ago_ms);
-    let last_renewal = now.checked_sub(ago).unwrap_or(own.lease.acquired_at);
-    own.advance_grants
+    let last_renewal = now.checked_sub(ago).unwrap_or(leadership.lease.acquired_at);
+    leadership
+        .advance_grants
         .answered(&answer.node_id, sent, last_renewal);
 }
 
-/// Records what a peer states of itself, in a heartbeat or in the answer to one.
+/// Records what a peer states about itself, in a heartbeat or in the answer to one.
 pub fn record_heartbeat(node: &Node, mut heartbeat: PeerHeartbeat) {
     let at = node.now();
-    let mut inner = node.lock();
+    let mut state = node.lock();
     if let Some(fencing_token) = heartbeat.fencing_token {
-        record_progress(&mut inner, std::mem::take(&mut heartbeat.progress));
-        lease_votes::end_superseded_leases(&inner, fencing_token);
-        record_leader_contact(&mut inner, fencing_token, at);
+        record_progress(&mut state, std::mem::take(&mut heartbeat.progress));
+        lease_votes::end_superseded_leases(&state, fencing_token);
+        record_leader_contact(&mut state, fencing_token, at);
         if heartbeat.main_zone.is_some() {
-            inner.peers.main_zone.clone_from(&heartbeat.main_zone);
+            state.peers.main_zone.clone_from(&heartbeat.main_zone);
         }
     }
-    inner
+    state
         .peers
         .views
         .insert(heartbeat.node_id.clone(), PeerView { heartbeat, at });
 }
 
-/// Replaces the jobs' progress by that of a leader's heartbeat, if it has any.
-fn record_progress(inner: &mut NodeState, rows: Vec<Progress>) {
+/// Replaces the jobs' progress by that of a leader's heartbeat, if the heartbeat has any.
+fn record_progress(state: &mut NodeState, rows: Vec<Progress>) {
     if rows.is_empty() {
         return;
     }
@@ -195,13 +197,14 @@
         };
         (row.job, counts)
     };
-    inner.peers.progress = rows.into_iter().map(counts).collect();
+    state.peers.progress = rows.into_iter().map(counts).collect();
 }
 
-/// Notes that the leader with this token was reached, unless a later one is known.
-fn record_leader_contact(inner: &mut NodeState, fencing_token: FencingToken, at: Instant) {
-    let latest = inner.peers.leader_contact;
+/// Records when a heartbeat of the leader with this token was received, unless a later leader is
+/// known.
+fn record_leader_contact(state: &mut NodeState, fencing_token: FencingToken, at: Instant) {
+    let latest = state.peers.leader_contact;
     if latest.is_none_or(|contact| fencing_token >= contact.fencing_token) {
-        inner.peers.leader_contact = Some(LeaderContact { fencing_token, at });
+        state.peers.leader_contact = Some(LeaderContact { fencing_token, at });
     }
 }
--- a/src/coordination/peering/mod.rs
+++ b/src/coordination/peering/mod.rs
@@ -1,9 +1,9 @@
-//! The exchange among controllers: once a second each sends the others a heartbeat and acts on
-//! what it knows of them.
+//! The exchange among controllers: once a second each controller sends the others a heartbeat and
+//! acts on what they have sent.
 //!
 //! Owns the frames sent to peers, the votes by which a leader keeps its lease through an outage
 //! of the key-value store, handover of leadership to a better placed controller, and delegated
-//! lease renewal for workers that the leader can't reach. What was received is kept in the node's
+//! lease renewal for workers that the leader can't reach. What peers sent is kept in the node's
 //! state; [`crate::api`] passes in the peers' requests, and [`crate::server`] starts [`run`] and
 //! [`delegation::serve_delegated_workers`]. Nothing here elects a leader.
 
@@ -25,10 +25,10 @@
 
 /// Pause between two rounds of the exchange.
 const ROUND_INTERVAL: Duration = Duration::from_secs(1);
-/// Deadline of a request that the next round sends again.
+/// Deadline of requests that each round sends anew.
 const ROUND_DEADLINE: Duration = Duration::from_millis(700);
-/// Age of a leadership before which its leader judges neither its workers nor its peers by
-/// missed heartbeats: it asks every machine for a heartbeat when it begins.
+/// How long a new leader ignores missed heartbeats of its workers and peers: it asks every machine
+/// for a heartbeat when its leadership begins.
 const LEADER_GRACE: Duration = Duration::from_secs(2);
 /// Age from which a peer's last heartbeat means that the peer can't be reached.
 pub(super) const HEARTBEAT_FRESH: Duration = Duration::from_secs(3);
