--- a/src/coordination/worker_leases/advance_delegation.rs
+++ b/src/coordination/worker_leases/advance_delegation.rs
@@ -1,11 +1,11 @@
-//! Advance delegations: renewing workers' leases without the store and the leader.
+//! Advance delegations: renewals of workers' leases without the store and the leader.
 //!
 //! A controller that a network partition separates from the leader and the store at once
 //! cannot ask for a delegation. So each answer of the leader to a controller's heartbeat
-//! grants one in advance: for a while after that heartbeat was sent, the controller may
-//! renew workers' leases with the leader's fencing token, but only once it reaches neither
-//! the leader nor the store. A leader past its deadline may do the same with its own
-//! fencing token. The time is short enough that no task of a job cancelled meanwhile runs
+//! grants a delegation in advance: for a while after that heartbeat was sent, the controller
+//! may renew workers' leases with the leader's fencing token, but only once it reaches neither
+//! the leader nor the store. A leader past its deadline may do the same with its own fencing
+//! token. The delegation is short enough that no task of a job that is cancelled meanwhile runs
 //! for longer than `cancel_s` allows.
 
 use std::collections::HashMap;
@@ -15,19 +15,19 @@
 use crate::protocol::FencingToken;
 use crate::settings::Settings;
 
-/// Time left for scheduling delays on a busy processor, on both sides together.
+/// Allowance for scheduling delays on busy processors, for both sides of a delegation together.
 const SCHEDULING_MARGIN: Duration = Duration::from_millis(200);
 
 /// How long after the leader's last heartbeat a controller waits before it renews workers'
 /// leases by an advance delegation.
 pub const LEADER_UNREACHABLE_AFTER: Duration = Duration::from_secs(3);
-/// How long after a heartbeat that was answered its receiver surely renews no lease by an
-/// advance delegation: less than [`LEADER_UNREACHABLE_AFTER`] from when it received that
-/// heartbeat.
-const SURELY_IN_CONTACT: Duration = Duration::from_millis(2500);
+/// How long after the leader sent a heartbeat that was answered, the receiver certainly renews no
+/// lease by an advance delegation. Less than [`LEADER_UNREACHABLE_AFTER`], which the receiver waits
+/// from when it received that heartbeat.
+const NO_ADVANCE_RENEWAL_WITHIN: Duration = Duration::from_millis(2500);
 
-/// How long an advance delegation lasts at most: it and the workers' leases together stay
-/// within the time that the tasks of a cancelled job have to end.
+/// Longest duration of an advance delegation: together with a worker's lease it stays within the
+/// time in which the tasks of a cancelled job must end. Zero if there are no other controllers.
 pub fn longest(settings: &Settings) -> Duration {
     if settings.platform.others.is_empty() {
         return Duration::ZERO;
@@ -35,35 +35,40 @@
     beyond_lease(settings).min(settings.operator.advance_delegation())
 }
 
-/// The time that the tasks of a cancelled job have to end beyond a worker's lease.
+/// What remains of the time in which the tasks of a cancelled job must end (`cancel_s`) after the
+/// duration of a worker's lease.
 pub fn beyond_lease(settings: &Settings) -> Duration {
     let workers = &settings.platform.settings.workers;
     let lease = clock_drift::max_elapsed(workers.lease()) + SCHEDULING_MARGIN;
     workers.cancel().saturating_sub(lease)
 }
 
-/// What a leader's answer to a heartbeat grants.
+/// The right, granted by the leader's answer to a heartbeat, to renew workers' leases later.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdvanceDelegation {
     /// The leader's fencing token.
     pub fencing_token: FencingToken,
-    /// When the heartbeat was sent that the leader answered.
+    /// When the heartbeat that the leader answered was sent.
     pub seen: Instant,
 }
 
 impl AdvanceDelegation {
-    /// Until when workers' leases may be renewed, if all cancellations are known that were
-    /// confirmed before `known`.
-    pub fn until(&self, known: Option<Instant>, longest: Duration) -> Option<Instant> {
-        let from = self.seen.min(known?);
-        let lasts = clock_drift::min_elapsed(longest).checked_sub(SCHEDULING_MARGIN / 2)?;
-        Some(from + lasts)
+    /// Until when workers' leases may be renewed, given that all cancellations confirmed before
+    /// `cancellations_known_up_to` are known. `None` if no cancellations are known.
+    pub fn until(
+        &self,
+        cancellations_known_up_to: Option<Instant>,
+        longest: Duration,
+    ) -> Option<Instant> {
+        let start = self.seen.min(cancellations_known_up_to?);
+        let duration = clock_drift::min_elapsed(longest).checked_sub(SCHEDULING_MARGIN / 2)?;
+        Some(start + duration)
     }
 
-    /// The delegation after a leader answered a heartbeat that was sent at `sent`: late
-    /// answers, of this leader or an earlier one, change nothing.
-    pub fn renewed(known: Option<Self>, fencing_token: FencingToken, sent: Instant) -> Self {
-        match known {
+    /// Returns the delegation that applies after a leader has answered a heartbeat sent at `sent`.
+    /// A late answer, of this leader or an earlier one, leaves the `current` delegation as it is.
+    pub fn renewed(current: Option<Self>, fencing_token: FencingToken, sent: Instant) -> Self {
+        match current {
             Some(delegation) if delegation.fencing_token > fencing_token => delegation,
             Some(delegation) if delegation.fencing_token == fencing_token => Self {
                 fencing_token,
@@ -77,33 +82,34 @@
     }
 }
 
-/// What a leader knows of the advance delegations that its answers granted.
+/// The advance delegations that a leader has granted, and what it knows about their use.
 #[derive(Debug, Default)]
 pub struct AdvanceGrants {
     /// By controller: when the leader last answered its heartbeat.
     granted: HashMap<String, Instant>,
-    /// By controller: its last answer to a heartbeat with the leader's fencing token.
+    /// By controller: what its last answer to a heartbeat with the leader's fencing token stated.
     contacts: HashMap<String, Contact>,
 }
 
-/// What a controller's answer to the leader's heartbeat says of the leases that the
-/// controller renewed.
+/// What a controller's answer to the leader's heartbeat states about the leases that the
+/// controller has renewed.
 #[derive(Debug, Clone, Copy)]
 struct Contact {
     /// When the leader sent the heartbeat.
     sent: Instant,
-    /// Up to when the controller may have renewed leases by an advance delegation.
+    /// Until when the controller may have renewed leases by an advance delegation.
     renewed_up_to: Instant,
 }
 
 impl AdvanceGrants {
-    /// The leader answers a controller's heartbeat, and so grants an advance delegation.
+    /// Records that the leader answers a controller's heartbeat now, which grants an advance
+    /// delegation.
     pub fn grant(&mut self, node_id: &str, now: Instant) {
         self.granted.insert(node_id.to_owned(), now);
     }
 
-    /// A controller answered a heartbeat that the leader sent at `sent`, and said that it
-    /// renewed no lease by an advance delegation after `renewed_up_to`.
+    /// Records that a controller answered a heartbeat which the leader sent at `sent`, and stated
+    /// that it renewed no lease by an advance delegation after `renewed_up_to`.
     pub fn answered(&mut self, node_id: &str, sent: Instant, renewed_up_to: Instant) {
         let contact = Contact {
             sent,
@@ -112,8 +118,8 @@
         self.contacts.insert(node_id.to_owned(), contact);
     }
 
-    /// The latest moment up to `now` at which one of these controllers may have renewed
-    /// workers' leases with the leader's fencing token; None if none ever can have.
+    /// The latest moment up to `now` at which one of these controllers may have renewed workers'
+    /// leases by an advance delegation of this leader; `None` if none of them ever can have.
     pub fn last_answer<'a>(
         &self,
         node_ids: impl Iterator<Item = &'a str>,
@@ -127,15 +133,15 @@
 
     fn last_answer_by(&self, node_id: &str, longest: Duration, now: Instant) -> Option<Instant> {
         let contact = self.contacts.get(node_id);
-        let reported = contact.map(|contact| contact.renewed_up_to.min(now));
+        let reported_renewal = contact.map(|contact| contact.renewed_up_to.min(now));
         let in_contact = contact.is_some_and(|contact| {
-            now.saturating_duration_since(contact.sent) <= SURELY_IN_CONTACT
+            now.saturating_duration_since(contact.sent) <= NO_ADVANCE_RENEWAL_WITHIN
         });
         if in_contact {
-            return reported;
+            return reported_renewal;
         }
         let granted = self.granted.get(node_id);
-        reported.max(granted.map(|at| (*at + longest).min(now)))
+        reported_renewal.max(granted.map(|at| (*at + longest).min(now)))
     }
 }
 
--- a/src/coordination/worker_leases/advance_delegation/tests.rs
+++ b/src/coordination/worker_leases/advance_delegation/tests.rs
@@ -4,15 +4,21 @@
 const LONGEST: Duration = Duration::from_secs(20);
 
 #[test]
-fn an_advance_delegation_runs_from_the_older_of_heartbeat_and_look() {
+fn an_advance_delegation_runs_from_the_earlier_of_heartbeat_and_known_cancellations() {
     let start = Instant::now();
     let later = start + Duration::from_secs(5);
     let delegation = AdvanceDelegation::renewed(None, FencingToken::new(7), later);
-    assert_eq!(delegation.until(None, LONGEST), None, "never looked");
-    let until = delegation.until(Some(start), LONGEST).expect("a look");
+    assert_eq!(
+        delegation.until(None, LONGEST),
+        None,
+        "no cancellations are known"
+    );
+    let until = delegation
+        .until(Some(start), LONGEST)
+        .expect("cancellations are known");
     assert!(until < start + LONGEST);
     assert!(until > start + LONGEST - Duration::from_millis(300));
-    // An older leader's late answer changes nothing, a newer one's does.
+    // An older leader's late answer changes nothing; a newer leader's answer does.
     assert_eq!(
         AdvanceDelegation::renewed(Some(delegation), FencingToken::new(6), later),
         delegation
@@ -28,28 +34,32 @@
 }
 
 #[test]
-fn a_leader_counts_on_a_delegate_that_does_not_answer() {
+fn a_leader_assumes_that_a_silent_delegate_renews_leases_until_its_delegation_ends() {
     let start = Instant::now();
     let at = |s: f64| start + Duration::from_secs_f64(s);
     let mut advance_grants = AdvanceGrants::default();
-    let last = |advance_grants: &AdvanceGrants, now| {
+    let last_renewal = |advance_grants: &AdvanceGrants, now| {
         advance_grants.last_answer(["b", "c"].into_iter(), LONGEST, now)
     };
     assert_eq!(
-        last(&advance_grants, at(1.0)),
+        last_renewal(&advance_grants, at(1.0)),
         None,
         "no answer was given yet"
     );
     advance_grants.grant("b", at(1.0));
     advance_grants.answered("b", at(1.5), at(0.5));
-    assert_eq!(last(&advance_grants, at(3.9)), Some(at(0.5)), "it hears us");
-    // Silent since: it may be answering workers now, until its time is up.
-    assert_eq!(last(&advance_grants, at(5.0)), Some(at(5.0)));
-    assert_eq!(last(&advance_grants, at(60.0)), Some(at(21.0)));
+    assert_eq!(
+        last_renewal(&advance_grants, at(3.9)),
+        Some(at(0.5)),
+        "it receives the leader's heartbeats"
+    );
+    // It hasn't answered since: it may be renewing leases now, until its delegation ends.
+    assert_eq!(last_renewal(&advance_grants, at(5.0)), Some(at(5.0)));
+    assert_eq!(last_renewal(&advance_grants, at(60.0)), Some(at(21.0)));
     advance_grants.answered("b", at(59.0), at(40.0));
     assert_eq!(
-        last(&advance_grants, at(60.0)),
+        last_renewal(&advance_grants, at(60.0)),
         Some(at(40.0)),
-        "as it says itself"
+        "as its answer states"
     );
 }
--- a/src/coordination/worker_leases/authority.rs
+++ b/src/coordination/worker_leases/authority.rs
@@ -1,9 +1,9 @@
-//! By which authority this controller may renew a worker's lease.
+//! Decides by which authority, if any, this controller may renew a worker's lease.
 //!
-//! An answer to a worker's heartbeat renews its lease, so that its tasks live on. It takes
-//! two things: a fencing token that the worker accepts, from the leader or on its behalf,
-//! and fresh enough knowledge of the cancellations that users were sent (see
-//! [`cancellation_freshness`]).
+//! An answer to a worker's heartbeat renews the worker's lease, so that its tasks keep running. A
+//! controller needs two things to answer: a fencing token that the worker accepts, as the leader
+//! or on the leader's behalf, and recent enough knowledge of the cancellations that were confirmed
+//! to users (see [`cancellation_freshness`]).
 //!
 //! These are methods of [`Node`] because they combine the state behind its lock with its
 //! settings and with the health of its client for the store.
@@ -28,35 +28,35 @@
         state.cancellations.known_up_to(node_ids, now)
     }
 
-    /// Whether this node's knowledge of cancellations is fresh enough to renew workers'
-    /// leases, by whatever authority: their tasks may live on for a whole lease.
+    /// Whether this node's knowledge of cancellations is recent enough to renew workers' leases, by
+    /// whatever authority: after a renewal their tasks may run for a whole lease.
     pub fn may_renew_leases(&self, now: Instant) -> bool {
         let mut state = self.lock();
         let known = self.cancellations_known_up_to(&state, now);
         let bound = cancellation_freshness::bound(&self.settings);
-        let may = known.is_some_and(|known| now < known + bound);
-        // Before the first catch-up read there is nothing to suspend, nor to log.
+        let may_renew = known.is_some_and(|known| now < known + bound);
+        // Before the first catch-up read there are no renewals to suspend, and nothing to log.
         if let Some(known) = known
-            && state.renewals_suspended == may
+            && state.renewals_suspended == may_renew
         {
-            state.renewals_suspended = !may;
-            log_renewals_changed(may, now.saturating_duration_since(known), bound);
+            state.renewals_suspended = !may_renew;
+            log_renewals_changed(may_renew, now.saturating_duration_since(known), bound);
         }
-        may
+        may_renew
     }
 
-    /// The fencing token under which this node may renew a worker's lease on behalf of
-    /// the leader, if there is one that the worker accepts.
+    /// The fencing token under which this node, when it doesn't act as the leader, may renew a
+    /// worker's lease. `None` if there is no such token, or the worker doesn't accept it.
     pub fn delegated_fencing_token(&self, heartbeat: &WorkerHeartbeat) -> Option<FencingToken> {
         self.fencing_token_while_recovering(heartbeat)
             .or_else(|| self.fencing_token_by_delegation(heartbeat))
             .or_else(|| self.fencing_token_by_advance_delegation(heartbeat))
     }
 
-    /// The token of a shard that this node acquired and cannot recover yet, since the
-    /// store has failed for all controllers just then, while extension votes keep the
-    /// lease: workers know no other leader. Once recovered, the shard reckons with leases
-    /// renewed up to that moment.
+    /// The token of a shard that this node has acquired and cannot recover yet: the store failed
+    /// for all controllers just then, and extension votes keep the shard's lease, so workers have
+    /// no other leader. Once recovered, the shard takes into account that workers' leases may
+    /// have been renewed up to that moment.
     fn fencing_token_while_recovering(&self, heartbeat: &WorkerHeartbeat) -> Option<FencingToken> {
         let state = self.lock();
         let lease = state.recovering.as_ref()?;
@@ -64,7 +64,7 @@
             .then_some(lease.fencing_token)
     }
 
-    /// The leader's token by the delegation that this node last found in the store.
+    /// The leader's token, by the delegation that this node last read from the store.
     fn fencing_token_by_delegation(&self, heartbeat: &WorkerHeartbeat) -> Option<FencingToken> {
         let now = self.now();
         let mut state = self.lock();
@@ -79,9 +79,9 @@
         Some(delegation.fencing_token)
     }
 
-    /// The leader's token while neither the store nor the leader is reached, by the
-    /// delegation that the leader's last answer granted in advance, or by this node's own
-    /// last renewal as the leader.
+    /// The leader's token while this node reaches neither the store nor the leader, by the
+    /// delegation that the leader's last answer granted in advance, or by this node's own last
+    /// lease renewal as the leader.
     fn fencing_token_by_advance_delegation(
         &self,
         heartbeat: &WorkerHeartbeat,
@@ -111,19 +111,22 @@
     }
 }
 
-/// The advance delegation of the highest fencing token: one that the leader granted, or
-/// that of this node's own leadership.
+/// The advance delegation with the highest fencing token: the one that the leader granted, or the
+/// one that follows from this node's own leadership.
 fn latest_advance_delegation(state: &NodeState) -> Option<AdvanceDelegation> {
-    let leadership = state.leadership.as_ref().filter(|own| !own.lease.ended());
-    let own = leadership.map(|own| AdvanceDelegation {
-        fencing_token: own.lease.fencing_token,
-        seen: own.lease.last_renewed(),
+    let leadership = state
+        .leadership
+        .as_ref()
+        .filter(|leadership| !leadership.lease.ended());
+    let own_delegation = leadership.map(|leadership| AdvanceDelegation {
+        fencing_token: leadership.lease.fencing_token,
+        seen: leadership.lease.last_renewed(),
     });
-    let delegations = state.delegate.advance.into_iter().chain(own);
+    let delegations = state.delegate.advance.into_iter().chain(own_delegation);
     delegations.max_by_key(|delegation| delegation.fencing_token)
 }
 
-/// Whether a leader with at least this fencing token has lately sent a heartbeat.
+/// Whether a leader with at least this fencing token has recently sent a heartbeat.
 fn in_contact_with_leader(state: &NodeState, fencing_token: FencingToken, now: Instant) -> bool {
     state.peers.leader_contact.is_some_and(|contact| {
         contact.fencing_token >= fencing_token
@@ -132,9 +135,9 @@
     })
 }
 
-fn log_renewals_changed(may: bool, staleness: Duration, bound: Duration) {
+fn log_renewals_changed(may_renew: bool, staleness: Duration, bound: Duration) {
     let (staleness_s, bound_s) = (staleness.as_secs_f64(), bound.as_secs_f64());
-    if may {
+    if may_renew {
         info!(
             staleness_s,
             bound_s, "renewals of workers' leases resumed: cancellations are known"
--- a/src/coordination/worker_leases/cancellation_freshness.rs
+++ b/src/coordination/worker_leases/cancellation_freshness.rs
@@ -1,13 +1,14 @@
 //! Cancellation freshness: up to when a controller knows of every cancellation that any
 //! controller confirmed to a user.
 //!
-//! An answer to a heartbeat lets a worker's tasks live on for its whole lease. So no
-//! controller may give one unless it knows of all cancellations that may have been
-//! confirmed longer ago than `cancel_s` less that lease: the staleness [`bound`]. Two
-//! things count as knowledge: a catch-up read of the jobs, from when it was sent; and what
-//! every other controller says that it confirmed, from when it was asked. A controller
-//! that started after the moment up to which its cancellations are known may have
-//! confirmed some in an earlier process and forgotten them: its answer doesn't count.
+//! An answer to a worker's heartbeat lets the worker's tasks run for a whole lease. So a controller
+//! may give such an answer only if it knows of all cancellations that may have been confirmed
+//! longer ago than `cancel_s` less that lease: the staleness [`bound`]. It knows of all
+//! cancellations confirmed before it sent its last successful catch-up read of the jobs, and of all
+//! that another controller confirmed before it sent that controller a query which was answered. If
+//! the other controller's process started after the moment up to which that controller's
+//! cancellations are known, the answer doesn't count: an earlier process of the other controller
+//! may have confirmed cancellations that the new process doesn't know of.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -15,8 +16,8 @@
 use super::advance_delegation;
 use crate::settings::Settings;
 
-/// The least staleness bound, for settings in which cancelled work has no more time to end
-/// than a worker's lease takes: without any renewal all work would end.
+/// The least staleness bound. It applies if the settings leave cancelled tasks no more time to end
+/// than a worker's lease lasts: without any renewals, all tasks would end.
 const MIN_STALENESS_BOUND: Duration = Duration::from_secs(3);
 
 /// The staleness bound: how long workers' leases may be renewed after the moment up to
@@ -30,12 +31,13 @@
 pub struct CancellationFreshness {
     /// When the last successful catch-up read of the jobs was sent.
     last_catch_up: Option<Instant>,
-    /// By controller: the moment up to which all that it confirmed is known from itself.
+    /// By controller: the moment up to which all cancellations that it confirmed are known from its
+    /// own answers.
     confirmed_up_to: HashMap<String, Instant>,
 }
 
 impl CancellationFreshness {
-    /// A catch-up read of the jobs that was sent at `sent` succeeded, and was applied.
+    /// Records that a catch-up read of the jobs sent at `sent` succeeded and was applied.
     pub fn caught_up(&mut self, sent: Instant) {
         self.last_catch_up = self.last_catch_up.max(Some(sent));
     }
@@ -45,17 +47,17 @@
         self.last_catch_up
     }
 
-    /// The moment up to which all that one controller confirmed is known.
-    fn known_of(&self, node_id: &str) -> Option<Instant> {
+    /// The moment up to which all cancellations that one controller confirmed are known.
+    fn known_up_to_by(&self, node_id: &str) -> Option<Instant> {
         let confirmed_up_to = self.confirmed_up_to.get(node_id).copied();
         self.last_catch_up.max(confirmed_up_to)
     }
 
-    /// A controller whose process started no later than `started` was asked at `sent` for
-    /// all cancellations that it confirmed since the last catch-up read, and they were
-    /// applied. False if its answer doesn't count.
+    /// Records a controller's answer to a query, sent at `sent`, for all cancellations that it has
+    /// confirmed since the last catch-up read; they have been applied. The controller's process
+    /// started no later than `started`. Returns false if the answer doesn't count.
     pub fn peer_answered(&mut self, node_id: &str, sent: Instant, started: Instant) -> bool {
-        let known = self.known_of(node_id);
+        let known = self.known_up_to_by(node_id);
         let counts = known.is_some_and(|known| started < known);
         if counts {
             let up_to = self.confirmed_up_to.entry(node_id.to_owned());
@@ -65,9 +67,9 @@
         counts
     }
 
-    /// The moment up to which all that these controllers confirmed is known: `now` if
-    /// there are none, since this one knows what it confirmed itself. None before the
-    /// first catch-up read.
+    /// The moment up to which all cancellations that these controllers confirmed are known: `now`
+    /// if `others` is empty, since a controller knows the cancellations that it confirmed itself.
+    /// `None` before the first catch-up read.
     pub fn known_up_to<'a>(
         &self,
         others: impl Iterator<Item = &'a str>,
@@ -75,7 +77,7 @@
     ) -> Option<Instant> {
         self.last_catch_up?;
         others
-            .map(|node_id| self.known_of(node_id))
+            .map(|node_id| self.known_up_to_by(node_id))
             .min()
             .unwrap_or(Some(now))
     }
