--- a/src/coordination/cloud/polling.rs
+++ b/src/coordination/cloud/polling.rs
@@ -59,8 +59,8 @@
     let lag = node.settings.platform.settings.cloud.list_lag_s;
     let interval = (lag / 2.0).clamp(MIN_LIST_INTERVAL_S, MAX_LIST_INTERVAL_S);
     let interval = Duration::from_secs_f64(interval);
-    while !lease.ended() {
-        if lease.live(node.now()) {
+    while !lease.has_ended() {
+        if lease.is_live(node.now()) {
             read_machine_list(&node, &lease).await;
         }
         tokio::select! {
--- a/src/coordination/executor/commands.rs
+++ b/src/coordination/executor/commands.rs
@@ -43,7 +43,7 @@
     };
     let _permit = permits.acquire().await;
     // The lease may have expired while the batch waited for its permit.
-    if !lease.live(node.now()) {
+    if !lease.is_live(node.now()) {
         return CommandOutcome::NotSent;
     }
     let result = node
--- a/src/coordination/executor/jobs.rs
+++ b/src/coordination/executor/jobs.rs
@@ -33,7 +33,7 @@
     mod_revision: u64,
 ) {
     let mut retry = Backoff::default();
-    while !lease.ended() {
+    while !lease.has_ended() {
         match try_finish(node, lease, job, mod_revision).await {
             FinishTry::Finished(stage) => {
                 node.with_shard(lease, "jobs", |shard, _| shard.job_finished(job, stage));
@@ -76,7 +76,7 @@
 /// the lease ends.
 pub(super) async fn read_final(node: &Arc<Node>, lease: &Arc<ShardLease>, job: &str) {
     let mut retry = Backoff::default();
-    while !lease.ended() {
+    while !lease.has_ended() {
         if let Ok(item) = node
             .clients
             .kv
--- a/src/coordination/executor/mod.rs
+++ b/src/coordination/executor/mod.rs
@@ -60,7 +60,7 @@
 }
 
 async fn rent(node: &Arc<Node>, lease: &Arc<ShardLease>, rental: &Rental) {
-    let outcome = if lease.live(node.now()) {
+    let outcome = if lease.is_live(node.now()) {
         let result = node.clients.cloud.rent(rental).await;
         log_rental_failure(rental, result.as_ref().err());
         rental_outcome(result)
@@ -97,7 +97,7 @@
 }
 
 async fn delete(node: &Arc<Node>, lease: &Arc<ShardLease>, machines: &[MachineId]) {
-    let deleted = lease.live(node.now()) && delete_machines(node, machines).await;
+    let deleted = lease.is_live(node.now()) && delete_machines(node, machines).await;
     node.with_shard(lease, "cloud", |shard, now| {
         shard.deletion_answered(machines, deleted, now);
     });
--- a/src/coordination/executor/shard_write.rs
+++ b/src/coordination/executor/shard_write.rs
@@ -54,7 +54,7 @@
         return WriteOutcome::LeaseEnded;
     };
     let mut retry = Backoff::default();
-    while !lease.ended() {
+    while !lease.has_ended() {
         match try_write(node, lease, *sequence, &record, &transaction).await {
             WriteTry::Applied { mod_revision } => {
                 *sequence = Sequence {
--- a/src/coordination/leadership/job_watch.rs
+++ b/src/coordination/leadership/job_watch.rs
@@ -20,7 +20,7 @@
 /// the lease ends.
 pub(super) async fn watch_jobs(node: Arc<Node>, lease: Arc<ShardLease>, mut revision: u64) {
     let mut retry = Backoff::default();
-    while !lease.ended() {
+    while !lease.has_ended() {
         match watch_once(&node, &lease, revision).await {
             Ok(next_revision) => {
                 revision = next_revision;
--- a/src/coordination/leadership/leader_loop.rs
+++ b/src/coordination/leadership/leader_loop.rs
@@ -94,7 +94,7 @@
 async fn recover_until_ended(node: &Node, lease: &Arc<ShardLease>) -> Option<Recovery> {
     node.lock().recovering = Some(lease.clone());
     let mut retry = Backoff::default();
-    while !lease.ended() {
+    while !lease.has_ended() {
         match read_records(node, lease).await {
             Ok(recovery) => return Some(recovery),
             Err(error) => {
@@ -156,11 +156,11 @@
 async fn decide_until_ended(node: &Arc<Node>, lease: &Arc<ShardLease>) {
     let mut next_tick = node.now();
     let mut next_summary = node.now() + SUMMARY_INTERVAL;
-    while !lease.ended() {
+    while !lease.has_ended() {
         wait_for_work(node, lease, next_tick).await;
         let started_at = node.now();
         let is_tick_due = started_at >= next_tick;
-        if lease.live(started_at) {
+        if lease.is_live(started_at) {
             decide(node, lease, is_tick_due);
         }
         let finished_at = node.now();
--- a/src/coordination/leadership/lease.rs
+++ b/src/coordination/leadership/lease.rs
@@ -17,7 +17,7 @@
 
 /// One term of leadership, identified by its fencing token.
 ///
-/// A leader acts only while [`ShardLease::live`]: until its deadline, which counts from when the
+/// A leader acts only while [`ShardLease::is_live`]: until its deadline, which counts from when the
 /// last successful renewal was *sent*. Past the deadline the lease may have expired in the store.
 /// If a renewal succeeds later, the lease hasn't expired, and the leader continues with the same
 /// fencing token.
@@ -84,12 +84,12 @@
     }
 
     /// Whether the leader may act now.
-    pub fn live(&self, now: Instant) -> bool {
-        !self.ended() && now < *self.deadline.lock().unwrap_or_else(|e| e.into_inner())
+    pub fn is_live(&self, now: Instant) -> bool {
+        !self.has_ended() && now < *self.deadline.lock().unwrap_or_else(|e| e.into_inner())
     }
 
     /// Whether the leadership has ended for good: nothing more is done under its fencing token.
-    pub fn ended(&self) -> bool {
+    pub fn has_ended(&self) -> bool {
         self.ended.load(Ordering::Relaxed)
     }
 
--- a/src/coordination/leadership/lease/tests.rs
+++ b/src/coordination/leadership/lease/tests.rs
@@ -9,8 +9,8 @@
     let margin = Duration::from_secs_f64(operator.lease_margin_s);
     assert!(until < sent + operator.lease() - margin);
     let lease = ShardLease::new(1, FencingToken::new(10), sent, until, sent);
-    assert!(lease.live(until - Duration::from_millis(1)));
-    assert!(!lease.live(until));
+    assert!(lease.is_live(until - Duration::from_millis(1)));
+    assert!(!lease.is_live(until));
     // A renewal that succeeds after an outage past the deadline shows that the lease hasn't
     // expired, so the leader continues with the same fencing token.
     let late = sent + Duration::from_secs(30);
@@ -19,7 +19,7 @@
         lease.since_last_renewal(late + Duration::from_secs(1)),
         Duration::from_secs(1)
     );
-    assert!(lease.live(late + Duration::from_secs(1)));
+    assert!(lease.is_live(late + Duration::from_secs(1)));
     lease.end();
-    assert!(!lease.live(late + Duration::from_secs(1)));
+    assert!(!lease.is_live(late + Duration::from_secs(1)));
 }
--- a/src/coordination/leadership/renewal.rs
+++ b/src/coordination/leadership/renewal.rs
@@ -58,7 +58,7 @@
     // aborted.
     let mut in_flight = JoinSet::new();
     let mut health = RenewalHealth::Timely;
-    while !lease.ended() {
+    while !lease.has_ended() {
         if in_flight.len() < max_in_flight {
             in_flight.spawn(renew_once(node.clone(), lease.clone()));
         }
@@ -125,7 +125,7 @@
         .await;
     match &result {
         Ok(()) => lease.record_renewal(sent, lease::deadline(operator, sent)),
-        Err(KvError::LeaseEnded { .. }) if !lease.ended() => {
+        Err(KvError::LeaseEnded { .. }) if !lease.has_ended() => {
             warn!(fencing_token = %lease.fencing_token, "the lease has expired in the store");
             lease.end();
         }
@@ -140,7 +140,7 @@
 async fn extend_by_votes(node: &Arc<Node>, lease: &ShardLease) {
     let time = MAX_LEASE_EXTENSION;
     let sent = node.now();
-    let granted = if lease.live(sent) {
+    let granted = if lease.is_live(sent) {
         lease_votes::all_grant_extension(node, time).await
     } else {
         lease_votes::all_vote_for_revival(node, lease, time).await
--- a/src/coordination/node/mod.rs
+++ b/src/coordination/node/mod.rs
@@ -107,7 +107,7 @@
     pub fn live_lease(&self) -> Option<Arc<ShardLease>> {
         let state = self.lock();
         let lease = &state.leadership.as_ref()?.lease;
-        lease.live(self.now()).then(|| lease.clone())
+        lease.is_live(self.now()).then(|| lease.clone())
     }
 
     /// The lease under which this node leads the shard, even if it is past its deadline.
--- a/src/coordination/node/status.rs
+++ b/src/coordination/node/status.rs
@@ -63,7 +63,7 @@
 }
 
 fn write_leadership(page: &mut String, leadership: &Leadership, now: Instant) -> fmt::Result {
-    let deadline = if leadership.lease.live(now) {
+    let deadline = if leadership.lease.is_live(now) {
         "before"
     } else {
         "past"
--- a/src/coordination/peering/delegation/leader.rs
+++ b/src/coordination/peering/delegation/leader.rs
@@ -90,7 +90,7 @@
     let now = node.now();
     let state = node.lock();
     let lease = &state.leadership.as_ref()?.lease;
-    if !lease.live(now) || now.saturating_duration_since(lease.acquired_at) < LEADER_GRACE {
+    if !lease.is_live(now) || now.saturating_duration_since(lease.acquired_at) < LEADER_GRACE {
         return None;
     }
     let unreachable = |peer: &&Peer| {
--- a/src/coordination/peering/handover.rs
+++ b/src/coordination/peering/handover.rs
@@ -133,7 +133,7 @@
     let now = node.now();
     let state = node.lock();
     let leadership = state.leadership.as_ref()?;
-    if !leadership.lease.live(now)
+    if !leadership.lease.is_live(now)
         || now.saturating_duration_since(leadership.lease.acquired_at) < LEADER_GRACE
     {
         return None;
--- a/src/coordination/peering/heartbeat.rs
+++ b/src/coordination/peering/heartbeat.rs
@@ -31,7 +31,7 @@
     let fencing_token = state
         .leadership
         .as_ref()
-        .filter(|leadership| leadership.lease.live(now))
+        .filter(|leadership| leadership.lease.is_live(now))
         .map(|leadership| leadership.lease.fencing_token);
     PeerHeartbeat {
         node_id: node.node_id().to_owned(),
--- a/src/coordination/peering/lease_votes.rs
+++ b/src/coordination/peering/lease_votes.rs
@@ -97,7 +97,7 @@
 /// Requests votes on the revival of this lease. Returns true if every other controller grants it
 /// and none can have acquired the shard since the last successful renewal was sent.
 pub async fn all_vote_for_revival(node: &Arc<Node>, lease: &ShardLease, time: Duration) -> bool {
-    if !node.kv_failing() || lease.ended() {
+    if !node.kv_failing() || lease.has_ended() {
         return false;
     }
     let renewed = lease.last_renewed();
@@ -125,7 +125,7 @@
         .leadership
         .as_ref()
         .map(|leadership| &leadership.lease);
-    let superseded = |lease: &&Arc<ShardLease>| lease.fencing_token < later && !lease.ended();
+    let superseded = |lease: &&Arc<ShardLease>| lease.fencing_token < later && !lease.has_ended();
     for lease in own_lease
         .into_iter()
         .chain(&state.recovering)
--- a/src/coordination/shard_events.rs
+++ b/src/coordination/shard_events.rs
@@ -35,7 +35,7 @@
             let leadership = state
                 .leadership
                 .as_mut()
-                .filter(|own| Arc::ptr_eq(&own.lease, lease) && !lease.ended())?;
+                .filter(|own| Arc::ptr_eq(&own.lease, lease) && !lease.has_ended())?;
             let result = event(&mut leadership.shard, now);
             let took = self.clock.now().saturating_duration_since(now);
             leadership.activities.note(activity, took);
--- a/src/coordination/tests/cancellation_freshness.rs
+++ b/src/coordination/tests/cancellation_freshness.rs
@@ -187,7 +187,7 @@
     outage.advance(second(1));
     assert!(outage.leader.now() < latest);
     assert!(
-        outage.lease.live(outage.leader.now()),
+        outage.lease.is_live(outage.leader.now()),
         "the lease is still extended by votes"
     );
     assert_eq!(outage.heartbeat(), None);
--- a/src/coordination/tests/peering.rs
+++ b/src/coordination/tests/peering.rs
@@ -182,7 +182,7 @@
     clock.advance(Duration::from_secs(4));
     record_heartbeat(&node, peer_heartbeat("n1", Some(8)));
     assert!(
-        !lease.ended(),
+        !lease.has_ended(),
         "an older leader's late heartbeat proves nothing"
     );
     assert!(
@@ -190,9 +190,9 @@
         "it may still extend its lease"
     );
     record_heartbeat(&node, peer_heartbeat("n1", Some(10)));
-    assert!(lease.ended());
+    assert!(lease.has_ended());
     lease.record_renewal(now, now + Duration::from_secs(60));
-    assert!(!lease.live(node.now()));
+    assert!(!lease.is_live(node.now()));
     node.lock().leadership = None;
     assert!(grant_extension(&node, Duration::from_secs(1)));
 }
@@ -237,9 +237,9 @@
     // that it has been superseded.
     node.lock().candidacy.acquiring = false;
     let earlier = lead(&node, 10);
-    assert!(!vote(9).granted && !vote(10).granted && !earlier.ended());
+    assert!(!vote(9).granted && !vote(10).granted && !earlier.has_ended());
     vote(11);
-    assert!(earlier.ended());
+    assert!(earlier.has_ended());
 }
 
 /// A leader that is partitioned from the key-value store and all peers.
--- a/src/coordination/worker_heartbeats.rs
+++ b/src/coordination/worker_heartbeats.rs
@@ -38,7 +38,7 @@
     })?;
     // The shard's decision takes time: the lease has to be live after it.
     let now = node.now();
-    if !lease.live(now) {
+    if !lease.is_live(now) {
         return None;
     }
     let commands = match outcome {
--- a/src/coordination/worker_leases/authority.rs
+++ b/src/coordination/worker_leases/authority.rs
@@ -60,7 +60,7 @@
     fn fencing_token_while_recovering(&self, heartbeat: &WorkerHeartbeat) -> Option<FencingToken> {
         let state = self.lock();
         let lease = state.recovering.as_ref()?;
-        (lease.live(self.now()) && heartbeat.fencing_token <= lease.fencing_token)
+        (lease.is_live(self.now()) && heartbeat.fencing_token <= lease.fencing_token)
             .then_some(lease.fencing_token)
     }
 
@@ -117,7 +117,7 @@
     let leadership = state
         .leadership
         .as_ref()
-        .filter(|leadership| !leadership.lease.ended());
+        .filter(|leadership| !leadership.lease.has_ended());
     let own_delegation = leadership.map(|leadership| AdvanceDelegation {
         fencing_token: leadership.lease.fencing_token,
         seen: leadership.lease.last_renewed(),
--- a/tests/trial/late_transactions.rs
+++ b/tests/trial/late_transactions.rs
@@ -88,7 +88,7 @@
     // The next write of the leader finds the sequence number that it expects.
     write(json!("third")).await;
     assert_eq!(store.value(&key), Some(json!("third")));
-    assert!(!lease.ended());
+    assert!(!lease.has_ended());
 }
 
 /// Makes a controller the leader of the shard.
