--- a/src/api/user.rs
+++ b/src/api/user.rs
@@ -13,7 +13,7 @@
 
 /// Whether the load balancer should send users here.
 pub(super) async fn ready(State(node): State<Arc<Node>>) -> Response {
-    if node.ready() {
+    if node.is_ready() {
         StatusCode::OK.into_response()
     } else {
         respond(UserResponse::unavailable("not ready"))
--- a/src/coordination/node/reachability.rs
+++ b/src/coordination/node/reachability.rs
@@ -47,23 +47,23 @@
     }
 
     /// Whether the store has stopped serving this node.
-    pub fn kv_lost(&self) -> bool {
+    pub fn is_kv_lost(&self) -> bool {
         let KvHealth { last_served, .. } = self.clients.kv.health();
         let Some(last_served) = last_served else {
             return true;
         };
         let since_served = self.now().saturating_duration_since(last_served);
-        self.kv_failing() && since_served > KV_LOST_AFTER
+        self.is_kv_failing() && since_served > KV_LOST_AFTER
     }
 
     /// Whether this node's last request to the store got no answer or a refusal.
-    pub fn kv_failing(&self) -> bool {
+    pub fn is_kv_failing(&self) -> bool {
         let health = self.clients.kv.health();
         health.last_failed.is_some() && health.last_failed > health.last_served
     }
 
     /// Whether another controller has recently stated that the store serves it.
-    pub fn peer_served(&self) -> bool {
+    pub fn is_any_peer_served(&self) -> bool {
         let now = self.now();
         self.lock().peers.views.values().any(|view| {
             view.heartbeat.kv_served && view.is_fresher_than(PEER_REACHABLE_WITHIN, now)
@@ -82,10 +82,10 @@
     /// serves no controller, this one stays ready: leaving the load balancer would only delay its
     /// return. But a controller that reaches neither the store nor any other controller is itself
     /// cut off, and isn't ready.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         if self.lock().types.is_none() {
             return false;
         }
-        !(self.kv_lost() && (self.peer_served() || self.is_isolated()))
+        !(self.is_kv_lost() && (self.is_any_peer_served() || self.is_isolated()))
     }
 }
--- a/src/coordination/peering/delegation/reachability_records.rs
+++ b/src/coordination/peering/delegation/reachability_records.rs
@@ -15,7 +15,7 @@
 /// write the next round writes the record anew.
 pub(in super::super) async fn publish_reachability(node: &Node) {
     let workers = workers_without_leader(node);
-    if workers == 0 || node.kv_lost() {
+    if workers == 0 || node.is_kv_lost() {
         return;
     }
     tracing::debug!(workers, "workers reachable here while the leader is not");
--- a/src/coordination/peering/handover.rs
+++ b/src/coordination/peering/handover.rs
@@ -167,7 +167,7 @@
     let now = node.now();
     // A leader that can't revoke its lease would leave the shard without a leader until the lease
     // expires, and for longer if the key-value store fails for all controllers before that.
-    if node.kv_failing() {
+    if node.is_kv_failing() {
         return false;
     }
     let state = node.lock();
--- a/src/coordination/peering/heartbeat.rs
+++ b/src/coordination/peering/heartbeat.rs
@@ -23,7 +23,7 @@
 /// This controller's heartbeat, without the jobs' progress.
 pub fn own_heartbeat(node: &Node) -> PeerHeartbeat {
     let now = node.now();
-    let kv_served = !node.kv_lost();
+    let kv_served = !node.is_kv_lost();
     let mut state = node.lock();
     state
         .workers
--- a/src/coordination/peering/lease_votes.rs
+++ b/src/coordination/peering/lease_votes.rs
@@ -26,7 +26,7 @@
 /// cut off from the store, and should be replaced.
 pub fn grant_extension(node: &Node, time: Duration) -> bool {
     let now = node.now();
-    let kv_failing = node.kv_failing();
+    let kv_failing = node.is_kv_failing();
     let mut state = node.lock();
     let may_lead = state.candidacy.acquiring || state.leadership.is_some();
     if !kv_failing || may_lead || time > MAX_LEASE_EXTENSION {
@@ -97,7 +97,7 @@
 /// Requests votes on the revival of this lease. Returns true if every other controller grants it
 /// and none can have acquired the shard since the last successful renewal was sent.
 pub async fn all_vote_for_revival(node: &Arc<Node>, lease: &ShardLease, time: Duration) -> bool {
-    if !node.kv_failing() || lease.has_ended() {
+    if !node.is_kv_failing() || lease.has_ended() {
         return false;
     }
     let renewed = lease.last_renewed();
--- a/src/coordination/peering/mod.rs
+++ b/src/coordination/peering/mod.rs
@@ -53,12 +53,12 @@
 }
 
 fn log_readiness_change(node: &Node, was_ready: &mut bool) {
-    let ready = node.ready();
+    let ready = node.is_ready();
     if ready != std::mem::replace(was_ready, ready) {
         tracing::info!(
             ready,
-            kv_lost = node.kv_lost(),
-            peer_served = node.peer_served(),
+            kv_lost = node.is_kv_lost(),
+            peer_served = node.is_any_peer_served(),
             "readiness changed"
         );
     }
--- a/src/coordination/requests/routing.rs
+++ b/src/coordination/requests/routing.rs
@@ -61,9 +61,9 @@
     {
         return Route::Immediate(UserResponse::finished_job(id, stage, tasks));
     }
-    if !node.kv_lost() {
+    if !node.is_kv_lost() {
         Route::Store
-    } else if node.peer_served() {
+    } else if node.is_any_peer_served() {
         Route::Peers
     } else if node.is_isolated() {
         Route::Immediate(UserResponse::unavailable("this controller is cut off"))
--- a/src/coordination/tests/peering.rs
+++ b/src/coordination/tests/peering.rs
@@ -104,11 +104,11 @@
     let peer = peer_heartbeat("beta", None);
     record_heartbeat(&node, peer.clone());
     assert!(
-        node.ready(),
+        node.is_ready(),
         "an outage of the store affects all controllers alike"
     );
     clock.advance(Duration::from_secs(3));
-    assert!(!node.ready());
+    assert!(!node.is_ready());
     let response = answer(
         &node,
         UserRequest::Poll("run-1".into()),
@@ -118,7 +118,7 @@
     assert_eq!(response.status, 503);
     assert!(node.live_lease().is_none() && node.leader_id().is_none());
     record_heartbeat(&node, peer);
-    assert!(node.ready());
+    assert!(node.is_ready());
 }
 
 /// A controller that reaches neither the store nor the leader renews workers' leases under the
--- a/src/coordination/worker_leases/authority.rs
+++ b/src/coordination/worker_leases/authority.rs
@@ -86,7 +86,7 @@
         &self,
         heartbeat: &WorkerHeartbeat,
     ) -> Option<FencingToken> {
-        if !self.kv_failing() {
+        if !self.is_kv_failing() {
             return None;
         }
         let now = self.now();
