--- a/src/coordination/peering/delegation/leader.rs
+++ b/src/coordination/peering/delegation/leader.rs
@@ -24,13 +24,13 @@
         return;
     };
     let now = node.now();
-    let longest = advance_delegation::longest(&node.settings);
+    let max_duration = advance_delegation::max_duration(&node.settings);
     let peers = &node.settings.platform.others;
     let last_renewal = node.lock().leadership.as_ref().and_then(|leadership| {
         let node_ids = peers.iter().map(|peer| peer.node_id.as_str());
         leadership
             .advance_grants
-            .last_answer(node_ids, longest, now)
+            .last_possible_renewal(node_ids, max_duration, now)
     });
     node.with_shard(&lease, "delegations", |shard, _| {
         shard.note_advance_renewals(last_renewal, now)
--- a/src/coordination/peering/heartbeat.rs
+++ b/src/coordination/peering/heartbeat.rs
@@ -112,7 +112,7 @@
         && let Some(leadership) = &mut node.lock().leadership
         && leadership.lease.fencing_token == fencing_token
     {
-        leadership.advance_grants.grant(&node_id, node.now());
+        leadership.advance_grants.record_grant(&node_id, node.now());
     }
     answer
 }
@@ -164,7 +164,7 @@
     let last_renewal = now.checked_sub(ago).unwrap_or(leadership.lease.acquired_at);
     leadership
         .advance_grants
-        .answered(&answer.node_id, sent, last_renewal);
+        .record_answer(&answer.node_id, sent, last_renewal);
 }
 
 /// Records what a peer states about itself, in a heartbeat or in the answer to one.
--- a/src/coordination/shard/policy.rs
+++ b/src/coordination/shard/policy.rs
@@ -108,7 +108,7 @@
             heartbeat_interval: given.workers.heartbeat_interval(),
             worker_lease: given.workers.lease(),
             gang_wait: given.workers.gang_wait(),
-            advance_delegation: advance_delegation::longest(settings),
+            advance_delegation: advance_delegation::max_duration(settings),
             txn_ops: state.txn_ops,
             value_bytes: state.value_bytes(),
             snapshot: operator.snapshot(),
--- a/src/coordination/worker_leases/advance_delegation.rs
+++ b/src/coordination/worker_leases/advance_delegation.rs
@@ -28,16 +28,16 @@
 
 /// Longest duration of an advance delegation: together with a worker's lease it stays within the
 /// time in which the tasks of a cancelled job must end. Zero if there are no other controllers.
-pub fn longest(settings: &Settings) -> Duration {
+pub fn max_duration(settings: &Settings) -> Duration {
     if settings.platform.others.is_empty() {
         return Duration::ZERO;
     }
-    beyond_lease(settings).min(settings.operator.advance_delegation())
+    cancel_time_beyond_lease(settings).min(settings.operator.advance_delegation())
 }
 
 /// What remains of the time in which the tasks of a cancelled job must end (`cancel_s`) after the
 /// duration of a worker's lease.
-pub fn beyond_lease(settings: &Settings) -> Duration {
+pub fn cancel_time_beyond_lease(settings: &Settings) -> Duration {
     let workers = &settings.platform.settings.workers;
     let lease = clock_drift::max_elapsed(workers.lease()) + SCHEDULING_MARGIN;
     workers.cancel().saturating_sub(lease)
@@ -49,19 +49,19 @@
     /// The leader's fencing token.
     pub fencing_token: FencingToken,
     /// When the heartbeat that the leader answered was sent.
-    pub seen: Instant,
+    pub heartbeat_sent: Instant,
 }
 
 impl AdvanceDelegation {
     /// Until when workers' leases may be renewed, given that all cancellations confirmed before
     /// `cancellations_known_up_to` are known. `None` if no cancellations are known.
-    pub fn until(
+    pub fn valid_until(
         &self,
         cancellations_known_up_to: Option<Instant>,
-        longest: Duration,
+        max_duration: Duration,
     ) -> Option<Instant> {
-        let start = self.seen.min(cancellations_known_up_to?);
-        let duration = clock_drift::min_elapsed(longest).checked_sub(SCHEDULING_MARGIN / 2)?;
+        let start = self.heartbeat_sent.min(cancellations_known_up_to?);
+        let duration = clock_drift::min_elapsed(max_duration).checked_sub(SCHEDULING_MARGIN / 2)?;
         Some(start + duration)
     }
 
@@ -72,11 +72,11 @@
             Some(delegation) if delegation.fencing_token > fencing_token => delegation,
             Some(delegation) if delegation.fencing_token == fencing_token => Self {
                 fencing_token,
-                seen: delegation.seen.max(sent),
+                heartbeat_sent: delegation.heartbeat_sent.max(sent),
             },
             _ => Self {
                 fencing_token,
-                seen: sent,
+                heartbeat_sent: sent,
             },
         }
     }
@@ -104,13 +104,13 @@
 impl AdvanceGrants {
     /// Records that the leader answers a controller's heartbeat now, which grants an advance
     /// delegation.
-    pub fn grant(&mut self, node_id: &str, now: Instant) {
+    pub fn record_grant(&mut self, node_id: &str, now: Instant) {
         self.granted.insert(node_id.to_owned(), now);
     }
 
     /// Records that a controller answered a heartbeat which the leader sent at `sent`, and stated
     /// that it renewed no lease by an advance delegation after `renewed_up_to`.
-    pub fn answered(&mut self, node_id: &str, sent: Instant, renewed_up_to: Instant) {
+    pub fn record_answer(&mut self, node_id: &str, sent: Instant, renewed_up_to: Instant) {
         let contact = Contact {
             sent,
             renewed_up_to,
@@ -120,18 +120,23 @@
 
     /// The latest moment up to `now` at which one of these controllers may have renewed workers'
     /// leases by an advance delegation of this leader; `None` if none of them ever can have.
-    pub fn last_answer<'a>(
+    pub fn last_possible_renewal<'a>(
         &self,
         node_ids: impl Iterator<Item = &'a str>,
-        longest: Duration,
+        max_duration: Duration,
         now: Instant,
     ) -> Option<Instant> {
         node_ids
-            .filter_map(|node_id| self.last_answer_by(node_id, longest, now))
+            .filter_map(|node_id| self.last_possible_renewal_by(node_id, max_duration, now))
             .max()
     }
 
-    fn last_answer_by(&self, node_id: &str, longest: Duration, now: Instant) -> Option<Instant> {
+    fn last_possible_renewal_by(
+        &self,
+        node_id: &str,
+        max_duration: Duration,
+        now: Instant,
+    ) -> Option<Instant> {
         let contact = self.contacts.get(node_id);
         let reported_renewal = contact.map(|contact| contact.renewed_up_to.min(now));
         let in_contact = contact.is_some_and(|contact| {
@@ -141,7 +146,7 @@
             return reported_renewal;
         }
         let granted = self.granted.get(node_id);
-        reported_renewal.max(granted.map(|at| (*at + longest).min(now)))
+        reported_renewal.max(granted.map(|at| (*at + max_duration).min(now)))
     }
 }
 
--- a/src/coordination/worker_leases/advance_delegation/tests.rs
+++ b/src/coordination/worker_leases/advance_delegation/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::protocol::FencingToken;
 
-const LONGEST: Duration = Duration::from_secs(20);
+const MAX_DURATION: Duration = Duration::from_secs(20);
 
 #[test]
 fn an_advance_delegation_runs_from_the_earlier_of_heartbeat_and_known_cancellations() {
@@ -9,15 +9,15 @@
     let later = start + Duration::from_secs(5);
     let delegation = AdvanceDelegation::renewed(None, FencingToken::new(7), later);
     assert_eq!(
-        delegation.until(None, LONGEST),
+        delegation.valid_until(None, MAX_DURATION),
         None,
         "no cancellations are known"
     );
     let until = delegation
-        .until(Some(start), LONGEST)
+        .valid_until(Some(start), MAX_DURATION)
         .expect("cancellations are known");
-    assert!(until < start + LONGEST);
-    assert!(until > start + LONGEST - Duration::from_millis(300));
+    assert!(until < start + MAX_DURATION);
+    assert!(until > start + MAX_DURATION - Duration::from_millis(300));
     // An older leader's late answer changes nothing; a newer leader's answer does.
     assert_eq!(
         AdvanceDelegation::renewed(Some(delegation), FencingToken::new(6), later),
@@ -28,7 +28,7 @@
         FencingToken::new(8)
     );
     assert_eq!(
-        AdvanceDelegation::renewed(Some(delegation), FencingToken::new(7), start).seen,
+        AdvanceDelegation::renewed(Some(delegation), FencingToken::new(7), start).heartbeat_sent,
         later
     );
 }
@@ -39,15 +39,15 @@
     let at = |s: f64| start + Duration::from_secs_f64(s);
     let mut advance_grants = AdvanceGrants::default();
     let last_renewal = |advance_grants: &AdvanceGrants, now| {
-        advance_grants.last_answer(["b", "c"].into_iter(), LONGEST, now)
+        advance_grants.last_possible_renewal(["b", "c"].into_iter(), MAX_DURATION, now)
     };
     assert_eq!(
         last_renewal(&advance_grants, at(1.0)),
         None,
         "no answer was given yet"
     );
-    advance_grants.grant("b", at(1.0));
-    advance_grants.answered("b", at(1.5), at(0.5));
+    advance_grants.record_grant("b", at(1.0));
+    advance_grants.record_answer("b", at(1.5), at(0.5));
     assert_eq!(
         last_renewal(&advance_grants, at(3.9)),
         Some(at(0.5)),
@@ -56,7 +56,7 @@
     // It hasn't answered since: it may be renewing leases now, until its delegation ends.
     assert_eq!(last_renewal(&advance_grants, at(5.0)), Some(at(5.0)));
     assert_eq!(last_renewal(&advance_grants, at(60.0)), Some(at(21.0)));
-    advance_grants.answered("b", at(59.0), at(40.0));
+    advance_grants.record_answer("b", at(59.0), at(40.0));
     assert_eq!(
         last_renewal(&advance_grants, at(60.0)),
         Some(at(40.0)),
--- a/src/coordination/worker_leases/authority.rs
+++ b/src/coordination/worker_leases/authority.rs
@@ -93,7 +93,8 @@
         let mut state = self.lock();
         let delegation = latest_advance_delegation(&state)?;
         let known = self.cancellations_known_up_to(&state, now);
-        let until = delegation.until(known, advance_delegation::longest(&self.settings))?;
+        let until =
+            delegation.valid_until(known, advance_delegation::max_duration(&self.settings))?;
         if now >= until
             || in_contact_with_leader(&state, delegation.fencing_token, now)
             || heartbeat.fencing_token > delegation.fencing_token
@@ -120,7 +121,7 @@
         .filter(|leadership| !leadership.lease.has_ended());
     let own_delegation = leadership.map(|leadership| AdvanceDelegation {
         fencing_token: leadership.lease.fencing_token,
-        seen: leadership.lease.last_renewed(),
+        heartbeat_sent: leadership.lease.last_renewed(),
     });
     let delegations = state.delegate.advance.into_iter().chain(own_delegation);
     delegations.max_by_key(|delegation| delegation.fencing_token)
--- a/src/coordination/worker_leases/cancellation_freshness.rs
+++ b/src/coordination/worker_leases/cancellation_freshness.rs
@@ -23,7 +23,7 @@
 /// The staleness bound: how long workers' leases may be renewed after the moment up to
 /// which all cancellations are known.
 pub fn bound(settings: &Settings) -> Duration {
-    advance_delegation::beyond_lease(settings).max(MIN_STALENESS_BOUND)
+    advance_delegation::cancel_time_beyond_lease(settings).max(MIN_STALENESS_BOUND)
 }
 
 /// What one controller knows of the cancellations that all controllers confirmed.
