--- a/src/coordination/peering/cancellations.rs
+++ b/src/coordination/peering/cancellations.rs
@@ -52,7 +52,7 @@
     let advances_freshness = node
         .lock()
         .cancellations
-        .peer_answered(node_id, sent, started);
+        .record_peer_answer(node_id, sent, started);
     if !advances_freshness {
         tracing::debug!(
             node_id,
--- a/src/coordination/shard_events.rs
+++ b/src/coordination/shard_events.rs
@@ -60,7 +60,7 @@
             .catch_up(&self.clients.kv, &*self.clock)
             .await?;
         self.notify_finished_jobs();
-        self.lock().cancellations.caught_up(sent);
+        self.lock().cancellations.record_catch_up(sent);
         Ok(())
     }
 
--- a/src/coordination/tests/cancellation_freshness.rs
+++ b/src/coordination/tests/cancellation_freshness.rs
@@ -15,7 +15,9 @@
 };
 use crate::coordination::shard::{RecoveredState, UnfinishedJob};
 use crate::coordination::worker_heartbeats::{HeartbeatDecision, handle_heartbeat};
-use crate::coordination::worker_leases::cancellation_freshness::{CancellationFreshness, bound};
+use crate::coordination::worker_leases::cancellation_freshness::{
+    CancellationFreshness, staleness_bound,
+};
 use crate::protocol::TaskId;
 use crate::protocol::kv::WatchEvent;
 use crate::protocol::peer_messages::{CancellationsRequest, ConfirmedCancellations};
@@ -77,7 +79,7 @@
         };
         for node in [&leader, &peer] {
             node.job_index.apply(vec![opened.clone()], CAUGHT_UP);
-            node.lock().cancellations.caught_up(now);
+            node.lock().cancellations.record_catch_up(now);
         }
         let lease = lead_recovered(&leader, TOKEN, recovered);
         let _ = leader.clients.kv.get("o/0/owner", KV_DEADLINE).await;
@@ -178,7 +180,7 @@
 #[tokio::test]
 async fn a_leader_without_fresh_cancellations_suspends_lease_renewals() {
     let mut outage = Outage::new().await;
-    let bound = bound(&outage.leader.settings);
+    let bound = staleness_bound(&outage.leader.settings);
     let workers = &outage.leader.settings.platform.settings.workers;
     let latest = outage.leader.now() + workers.cancel() - workers.lease();
     outage.peer_cancels();
@@ -196,7 +198,7 @@
         .leader
         .lock()
         .cancellations
-        .caught_up(outage.leader.now());
+        .record_catch_up(outage.leader.now());
     assert!(outage.heartbeat().is_some());
 }
 
@@ -271,20 +273,20 @@
     let others = || ["b", "c"].into_iter();
     let mut freshness = CancellationFreshness::default();
     assert!(
-        !freshness.peer_answered("b", at(1), start),
+        !freshness.record_peer_answer("b", at(1), start),
         "no catch-up read to extend"
     );
     assert_eq!(freshness.known_up_to(others(), at(1)), None);
-    freshness.caught_up(at(2));
-    assert!(freshness.peer_answered("b", at(9), start));
+    freshness.record_catch_up(at(2));
+    assert!(freshness.record_peer_answer("b", at(9), start));
     assert_eq!(freshness.known_up_to(others(), at(9)), Some(at(2)), "c");
-    assert!(freshness.peer_answered("c", at(8), at(1)));
+    assert!(freshness.record_peer_answer("c", at(8), at(1)));
     assert_eq!(freshness.known_up_to(others(), at(9)), Some(at(8)));
     // It started after its last confirmation: an earlier incarnation may have confirmed more.
-    assert!(!freshness.peer_answered("c", at(12), at(8)));
-    assert!(freshness.peer_answered("b", at(12), start));
+    assert!(!freshness.record_peer_answer("c", at(12), at(8)));
+    assert!(freshness.record_peer_answer("b", at(12), start));
     assert_eq!(freshness.known_up_to(others(), at(12)), Some(at(8)));
-    freshness.caught_up(at(13));
+    freshness.record_catch_up(at(13));
     assert_eq!(freshness.known_up_to(others(), at(14)), Some(at(13)));
     let none = std::iter::empty();
     assert_eq!(freshness.known_up_to(none, at(20)), Some(at(20)));
--- a/src/coordination/tests/peering.rs
+++ b/src/coordination/tests/peering.rs
@@ -130,7 +130,7 @@
     let node = node(clock.clone());
     let leader_token = Some(FencingToken::new(7));
     let mut heartbeat = heartbeat(5);
-    node.lock().cancellations.caught_up(node.now());
+    node.lock().cancellations.record_catch_up(node.now());
     handle_heartbeat_answer(&node, peer_heartbeat("beta", Some(7)), node.now(), None);
     clock.advance(advance_delegation::LEADER_UNREACHABLE_AFTER);
     assert_eq!(
@@ -247,7 +247,7 @@
 async fn a_leader_past_its_lease_deadline_renews_worker_leases_and_sends_no_commands() {
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
-    node.lock().cancellations.caught_up(node.now());
+    node.lock().cancellations.record_catch_up(node.now());
     let lease = lead(&node, 9);
     let _ = node.clients.kv.get("o/0/owner", KV_DEADLINE).await;
     clock.advance(Duration::from_secs(4));
--- a/src/coordination/worker_leases/authority.rs
+++ b/src/coordination/worker_leases/authority.rs
@@ -33,7 +33,7 @@
     pub fn may_renew_leases(&self, now: Instant) -> bool {
         let mut state = self.lock();
         let known = self.cancellations_known_up_to(&state, now);
-        let bound = cancellation_freshness::bound(&self.settings);
+        let bound = cancellation_freshness::staleness_bound(&self.settings);
         let may_renew = known.is_some_and(|known| now < known + bound);
         // Before the first catch-up read there are no renewals to suspend, and nothing to log.
         if let Some(known) = known
--- a/src/coordination/worker_leases/cancellation_freshness.rs
+++ b/src/coordination/worker_leases/cancellation_freshness.rs
@@ -3,7 +3,7 @@
 //!
 //! An answer to a worker's heartbeat lets the worker's tasks run for a whole lease. So a controller
 //! may give such an answer only if it knows of all cancellations that may have been confirmed
-//! longer ago than `cancel_s` less that lease: the staleness [`bound`]. It knows of all
+//! longer ago than `cancel_s` less that lease: the [`staleness_bound`]. It knows of all
 //! cancellations confirmed before it sent its last successful catch-up read of the jobs, and of all
 //! that another controller confirmed before it sent that controller a query which was answered. If
 //! the other controller's process started after the moment up to which that controller's
@@ -22,7 +22,7 @@
 
 /// The staleness bound: how long workers' leases may be renewed after the moment up to
 /// which all cancellations are known.
-pub fn bound(settings: &Settings) -> Duration {
+pub fn staleness_bound(settings: &Settings) -> Duration {
     advance_delegation::cancel_time_beyond_lease(settings).max(MIN_STALENESS_BOUND)
 }
 
@@ -38,7 +38,7 @@
 
 impl CancellationFreshness {
     /// Records that a catch-up read of the jobs sent at `sent` succeeded and was applied.
-    pub fn caught_up(&mut self, sent: Instant) {
+    pub fn record_catch_up(&mut self, sent: Instant) {
         self.last_catch_up = self.last_catch_up.max(Some(sent));
     }
 
@@ -56,7 +56,7 @@
     /// Records a controller's answer to a query, sent at `sent`, for all cancellations that it has
     /// confirmed since the last catch-up read; they have been applied. The controller's process
     /// started no later than `started`. Returns false if the answer doesn't count.
-    pub fn peer_answered(&mut self, node_id: &str, sent: Instant, started: Instant) -> bool {
+    pub fn record_peer_answer(&mut self, node_id: &str, sent: Instant, started: Instant) -> bool {
         let known = self.known_up_to_by(node_id);
         let counts = known.is_some_and(|known| started < known);
         if counts {
--- a/tests/trial/older_controller.rs
+++ b/tests/trial/older_controller.rs
@@ -43,8 +43,8 @@
     assert!(all_grant_extension(&node, time).await);
     assert!(!all_vote_for_revival(&node, &lease, time).await);
     // It renews workers' leases until the staleness bound after its own last catch-up read.
-    let bound = cancellation_freshness::bound(&node.settings);
-    node.lock().cancellations.caught_up(now);
+    let bound = cancellation_freshness::staleness_bound(&node.settings);
+    node.lock().cancellations.record_catch_up(now);
     query_cancellations(node.clone(), node.settings.platform.others[0].clone(), 0).await;
     assert!(
         node.lock().peers.older.contains_key("n1"),
