--- a/src/coordination/cloud/polling.rs
+++ b/src/coordination/cloud/polling.rs
@@ -42,10 +42,10 @@
 fn note_machine_types(node: &Arc<Node>, types: Vec<MachineType>) {
     let lease = {
         let mut state = node.lock();
-        if state.types.is_none() {
+        if state.machine_types.is_none() {
             info!(types = types.len(), "machine types read");
         }
-        state.types = Some(types.clone());
+        state.machine_types = Some(types.clone());
         state.leadership.as_ref().map(|own| own.lease.clone())
     };
     if let Some(lease) = lease {
--- a/src/coordination/leadership/candidacy.rs
+++ b/src/coordination/leadership/candidacy.rs
@@ -59,7 +59,7 @@
     let main_zone = state.peers.main_zone.as_deref();
     let is_outside_main_zone = main_zone.is_some_and(|main_zone| main_zone != zone);
     // Workers that can't reach the leader send heartbeats to any controller that they reach.
-    let has_recent_workers = state.workers.values().any(|heartbeat_at| {
+    let has_recent_workers = state.worker_heartbeats.values().any(|heartbeat_at| {
         now.saturating_duration_since(*heartbeat_at) < WORKER_HEARTBEAT_MAX_AGE
     });
     match (is_outside_main_zone, has_recent_workers) {
--- a/src/coordination/leadership/candidacy/tests.rs
+++ b/src/coordination/leadership/candidacy/tests.rs
@@ -27,7 +27,9 @@
         placement_delay(&state, ZONE, heartbeat_at),
         NO_WORKERS_DELAY
     );
-    state.workers.insert("vm-1".to_owned(), heartbeat_at);
+    state
+        .worker_heartbeats
+        .insert("vm-1".to_owned(), heartbeat_at);
     let last_fresh = heartbeat_at + WORKER_HEARTBEAT_MAX_AGE - Duration::from_millis(1);
     assert_eq!(
         placement_delay(&state, ZONE, last_fresh),
--- a/src/coordination/leadership/leader_loop.rs
+++ b/src/coordination/leadership/leader_loop.rs
@@ -134,13 +134,13 @@
         lease: lease.clone(),
         shard,
         advance_grants: AdvanceGrants::default(),
-        finished_notified: None,
+        notified_change_count: None,
         activities: Activities::default(),
     });
 }
 
 fn provide_machine_types(node: &Arc<Node>, lease: &Arc<ShardLease>) {
-    let types = node.lock().types.clone();
+    let types = node.lock().machine_types.clone();
     node.with_shard(lease, "types", |shard, _| {
         if let Some(types) = types {
             shard.set_types(&types);
--- a/src/coordination/node/mod.rs
+++ b/src/coordination/node/mod.rs
@@ -99,7 +99,7 @@
     /// The client for workers that suits the number of workers which send heartbeats to this
     /// controller.
     pub fn workers_http(&self) -> &HttpClient {
-        let workers = self.lock().workers.len();
+        let workers = self.lock().worker_heartbeats.len();
         self.clients.workers.for_workers(workers)
     }
 
--- a/src/coordination/node/reachability.rs
+++ b/src/coordination/node/reachability.rs
@@ -83,7 +83,7 @@
     /// return. But a controller that reaches neither the store nor any other controller is itself
     /// cut off, and isn't ready.
     pub fn is_ready(&self) -> bool {
-        if self.lock().types.is_none() {
+        if self.lock().machine_types.is_none() {
             return false;
         }
         !(self.is_kv_lost() && (self.is_any_peer_served() || self.is_isolated()))
--- a/src/coordination/node/state.rs
+++ b/src/coordination/node/state.rs
@@ -27,10 +27,10 @@
     /// The leader record as last read.
     pub observed_leader: Option<LeaderRecord>,
     /// The cloud's machine types, once they have been read.
-    pub types: Option<Vec<MachineType>>,
+    pub machine_types: Option<Vec<MachineType>>,
     /// By worker: when it last sent a heartbeat to this controller, whether or not the heartbeat
     /// was answered.
-    pub workers: HashMap<String, Instant>,
+    pub worker_heartbeats: HashMap<String, Instant>,
     /// What the other controllers state in their heartbeats.
     pub peers: Peers,
     /// What decides whether this controller may campaign for the shard.
@@ -52,7 +52,7 @@
     /// The advance delegations that were granted under this lease.
     pub advance_grants: AdvanceGrants,
     /// The job index's change count when the shard was last notified of finished jobs.
-    pub finished_notified: Option<u64>,
+    pub notified_change_count: Option<u64>,
     /// The time spent on the shard's events, by activity.
     pub activities: Activities,
 }
@@ -63,13 +63,13 @@
     /// The heartbeat.
     pub heartbeat: PeerHeartbeat,
     /// When it was received.
-    pub at: Instant,
+    pub received_at: Instant,
 }
 
 impl PeerView {
     /// Whether the heartbeat was received less than `time` ago.
     pub fn is_fresher_than(&self, time: Duration, now: Instant) -> bool {
-        now.saturating_duration_since(self.at) < time
+        now.saturating_duration_since(self.received_at) < time
     }
 }
 
@@ -88,7 +88,7 @@
     pub leader_contact: Option<LeaderContact>,
     /// By controller that runs an older version: when it last failed to understand a frame that
     /// this version added.
-    pub older: HashMap<String, Instant>,
+    pub older_versions: HashMap<String, Instant>,
 }
 
 /// The last heartbeat with the fencing token of a leader.
@@ -97,7 +97,7 @@
     /// The leader's fencing token.
     pub fencing_token: FencingToken,
     /// When the heartbeat was received.
-    pub at: Instant,
+    pub received_at: Instant,
 }
 
 /// Workers that this controller couldn't reach when it last led the shard.
@@ -137,7 +137,7 @@
     /// When the right ends.
     pub until: Instant,
     /// Whether the leader asks for an inventory of what the workers run.
-    pub inventory: bool,
+    pub wants_inventory: bool,
 }
 
 /// A controller's part as a delegate of the leader.
@@ -155,5 +155,5 @@
     pub unwritten_heartbeats: PendingHeartbeats,
     /// Largest size of an inventory page, in bytes, since the store refused pages that its stated
     /// limits allow; `None` while it has refused none.
-    pub inventory_bytes: Option<usize>,
+    pub max_inventory_page_bytes: Option<usize>,
 }
--- a/src/coordination/node/status.rs
+++ b/src/coordination/node/status.rs
@@ -56,7 +56,7 @@
         page,
         "peer {}: last heartbeat {:?} ago, key-value store {kv}, workers {}, fencing token {:?}",
         heartbeat.node_id,
-        now.saturating_duration_since(view.at),
+        now.saturating_duration_since(view.received_at),
         heartbeat.reachable_workers,
         heartbeat.fencing_token,
     )
--- a/src/coordination/peering/cancellations.rs
+++ b/src/coordination/peering/cancellations.rs
@@ -84,7 +84,7 @@
         return Vec::new();
     }
     let may_answer = |peer: &&Peer| {
-        let unanswered_at = state.peers.older.get(&peer.node_id);
+        let unanswered_at = state.peers.older_versions.get(&peer.node_id);
         unanswered_at.is_none_or(|at| now.saturating_duration_since(*at) > OLDER_VERSION_RETRY)
     };
     let peers = node.settings.platform.others.iter();
@@ -101,7 +101,7 @@
     let confirmed = ConfirmedCancellations::decode(&answer.body).ok();
     match confirmed.filter(|_| answer.status == StatusCode::OK) {
         Some(confirmed) => {
-            node.lock().peers.older.remove(&peer.node_id);
+            node.lock().peers.older_versions.remove(&peer.node_id);
             record_peer_cancellations(&node, &peer.node_id, sent, confirmed);
         }
         None => record_older_version(&node, &peer, sent),
@@ -109,7 +109,11 @@
 }
 
 fn record_older_version(node: &Node, peer: &Peer, sent: Instant) {
-    let previous_failure = node.lock().peers.older.insert(peer.node_id.clone(), sent);
+    let previous_failure = node
+        .lock()
+        .peers
+        .older_versions
+        .insert(peer.node_id.clone(), sent);
     if previous_failure.is_none() {
         tracing::info!(
             node_id = peer.node_id,
--- a/src/coordination/peering/delegation/delegate.rs
+++ b/src/coordination/peering/delegation/delegate.rs
@@ -40,7 +40,7 @@
         let Some(delegation) = delegation else {
             continue;
         };
-        if delegation.inventory {
+        if delegation.wants_inventory {
             next_page = write_inventory(&node, delegation.fencing_token, next_page).await;
         }
         if began {
@@ -78,7 +78,7 @@
     (record.fencing_token == leader_token).then_some(Delegation {
         fencing_token: leader_token,
         until: sent + clock_drift::min_elapsed(DELEGATION_TIME) - DELEGATION_MARGIN,
-        inventory: record.inventory,
+        wants_inventory: record.inventory,
     })
 }
 
--- a/src/coordination/peering/delegation/inventories.rs
+++ b/src/coordination/peering/delegation/inventories.rs
@@ -68,7 +68,10 @@
 fn next_batch(node: &Node, fencing_token: FencingToken) -> Option<InventoryBatch> {
     let split_id = random_id();
     let mut state = node.lock();
-    let page_bytes = state.delegate.inventory_bytes.unwrap_or(node.value_bytes());
+    let page_bytes = state
+        .delegate
+        .max_inventory_page_bytes
+        .unwrap_or(node.value_bytes());
     state
         .delegate
         .unwritten_heartbeats
@@ -81,9 +84,12 @@
     let mut state = node.lock();
     state.delegate.unwritten_heartbeats.put_back(heartbeats);
     if let KvError::TooLarge { .. } = error {
-        let page_bytes = state.delegate.inventory_bytes.unwrap_or(node.value_bytes());
+        let page_bytes = state
+            .delegate
+            .max_inventory_page_bytes
+            .unwrap_or(node.value_bytes());
         let reduced = (page_bytes / 2).max(MIN_INVENTORY_PAGE_BYTES);
-        state.delegate.inventory_bytes = Some(reduced);
+        state.delegate.max_inventory_page_bytes = Some(reduced);
         tracing::error!(%error, page_bytes = reduced, "inventory page too large for the store; page size halved");
     }
 }
--- a/src/coordination/peering/delegation/leader.rs
+++ b/src/coordination/peering/delegation/leader.rs
@@ -95,7 +95,7 @@
     }
     let unreachable = |peer: &&Peer| {
         let view = state.peers.views.get(&peer.node_id);
-        view.is_none_or(|view| now.saturating_duration_since(view.at) > PEER_CUT_OFF_AFTER)
+        view.is_none_or(|view| now.saturating_duration_since(view.received_at) > PEER_CUT_OFF_AFTER)
     };
     let peers = node.settings.platform.others.iter();
     let node_ids = peers.filter(unreachable).map(|peer| peer.node_id.clone());
--- a/src/coordination/peering/delegation/reachability_records.rs
+++ b/src/coordination/peering/delegation/reachability_records.rs
@@ -48,7 +48,7 @@
     if leader_reachable || state.leadership.is_some() {
         return 0;
     }
-    state.workers.len() as u32
+    state.worker_heartbeats.len() as u32
 }
 
 /// By the node id of each other controller that doesn't reach the leader: how many workers it
--- a/src/coordination/peering/heartbeat.rs
+++ b/src/coordination/peering/heartbeat.rs
@@ -26,7 +26,7 @@
     let kv_served = !node.is_kv_lost();
     let mut state = node.lock();
     state
-        .workers
+        .worker_heartbeats
         .retain(|_, at| now.saturating_duration_since(*at) < WORKER_REACHABLE_FOR);
     let fencing_token = state
         .leadership
@@ -37,7 +37,7 @@
         node_id: node.node_id().to_owned(),
         zone: node.settings.platform.zone.clone(),
         kv_served,
-        reachable_workers: state.workers.len() as u32,
+        reachable_workers: state.worker_heartbeats.len() as u32,
         up_s: node.up_time().as_secs(),
         fencing_token,
         main_zone: state.peers.main_zone.clone(),
@@ -169,20 +169,23 @@
 
 /// Records what a peer states about itself, in a heartbeat or in the answer to one.
 pub fn record_heartbeat(node: &Node, mut heartbeat: PeerHeartbeat) {
-    let at = node.now();
+    let received_at = node.now();
     let mut state = node.lock();
     if let Some(fencing_token) = heartbeat.fencing_token {
         record_progress(&mut state, std::mem::take(&mut heartbeat.progress));
         lease_votes::end_superseded_leases(&state, fencing_token);
-        record_leader_contact(&mut state, fencing_token, at);
+        record_leader_contact(&mut state, fencing_token, received_at);
         if heartbeat.main_zone.is_some() {
             state.peers.main_zone.clone_from(&heartbeat.main_zone);
         }
     }
-    state
-        .peers
-        .views
-        .insert(heartbeat.node_id.clone(), PeerView { heartbeat, at });
+    state.peers.views.insert(
+        heartbeat.node_id.clone(),
+        PeerView {
+            heartbeat,
+            received_at,
+        },
+    );
 }
 
 /// Replaces the jobs' progress by that of a leader's heartbeat, if the heartbeat has any.
@@ -202,9 +205,12 @@
 
 /// Records when a heartbeat of the leader with this token was received, unless a later leader is
 /// known.
-fn record_leader_contact(state: &mut NodeState, fencing_token: FencingToken, at: Instant) {
+fn record_leader_contact(state: &mut NodeState, fencing_token: FencingToken, received_at: Instant) {
     let latest = state.peers.leader_contact;
     if latest.is_none_or(|contact| fencing_token >= contact.fencing_token) {
-        state.peers.leader_contact = Some(LeaderContact { fencing_token, at });
+        state.peers.leader_contact = Some(LeaderContact {
+            fencing_token,
+            received_at,
+        });
     }
 }
--- a/src/coordination/requests/submission.rs
+++ b/src/coordination/requests/submission.rs
@@ -19,7 +19,7 @@
     id: &str,
     spec: JobSpec,
 ) -> Result<UserResponse, KvError> {
-    let types = node.lock().types.clone();
+    let types = node.lock().machine_types.clone();
     let Some(types) = types else {
         return Ok(UserResponse::unavailable(
             "the machine types are not known yet",
--- a/src/coordination/shard_events.rs
+++ b/src/coordination/shard_events.rs
@@ -84,7 +84,7 @@
         let finished = self.job_index.change_count();
         let mut state = self.lock();
         let own = state.leadership.as_mut()?;
-        let notified = own.finished_notified.replace(finished) == Some(finished);
+        let notified = own.notified_change_count.replace(finished) == Some(finished);
         (!notified).then(|| own.lease.clone())
     }
 
--- a/src/coordination/tests/peering.rs
+++ b/src/coordination/tests/peering.rs
@@ -50,7 +50,7 @@
         lease: lease.clone(),
         shard,
         advance_grants: AdvanceGrants::default(),
-        finished_notified: None,
+        notified_change_count: None,
         activities: Default::default(),
     });
     lease
@@ -99,7 +99,7 @@
     use crate::coordination::requests::{RequestOrigin, UserRequest, answer};
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
-    node.lock().types = Some(Vec::new());
+    node.lock().machine_types = Some(Vec::new());
     let _ = node.clients.kv.get("o/0/owner", KV_DEADLINE).await;
     let peer = peer_heartbeat("beta", None);
     record_heartbeat(&node, peer.clone());
--- a/src/coordination/worker_heartbeats.rs
+++ b/src/coordination/worker_heartbeats.rs
@@ -24,7 +24,9 @@
 /// Answers a heartbeat as the leader, or on its behalf, or redirects the worker.
 pub fn handle_heartbeat(node: &Arc<Node>, heartbeat: &WorkerHeartbeat) -> HeartbeatDecision {
     let now = node.now();
-    node.lock().workers.insert(heartbeat.machine.clone(), now);
+    node.lock()
+        .worker_heartbeats
+        .insert(heartbeat.machine.clone(), now);
     answer_as_leader(node, heartbeat)
         .or_else(|| answer_for_leader(node, heartbeat))
         .unwrap_or_else(|| redirect(node))
--- a/src/coordination/worker_leases/authority.rs
+++ b/src/coordination/worker_leases/authority.rs
@@ -72,7 +72,7 @@
         if now >= delegation.until || heartbeat.fencing_token > delegation.fencing_token {
             return None;
         }
-        if delegation.inventory && heartbeat.fencing_token == delegation.fencing_token {
+        if delegation.wants_inventory && heartbeat.fencing_token == delegation.fencing_token {
             let unwritten = &mut state.delegate.unwritten_heartbeats;
             unwritten.insert(heartbeat.clone());
         }
@@ -131,7 +131,7 @@
 fn in_contact_with_leader(state: &NodeState, fencing_token: FencingToken, now: Instant) -> bool {
     state.peers.leader_contact.is_some_and(|contact| {
         contact.fencing_token >= fencing_token
-            && now.saturating_duration_since(contact.at)
+            && now.saturating_duration_since(contact.received_at)
                 < advance_delegation::LEADER_UNREACHABLE_AFTER
     })
 }
--- a/tests/trial/nodes.rs
+++ b/tests/trial/nodes.rs
@@ -39,7 +39,7 @@
         operator: Operator::default(),
     };
     let node = Node::new(settings, Arc::new(SteadyClock));
-    node.lock().types = Some(vec![MachineType {
+    node.lock().machine_types = Some(vec![MachineType {
         name: "m8".into(),
         cores: 8.0,
         accelerators: 2.0,
--- a/tests/trial/older_controller.rs
+++ b/tests/trial/older_controller.rs
@@ -47,7 +47,7 @@
     node.lock().cancellations.record_catch_up(now);
     query_cancellations(node.clone(), node.settings.platform.others[0].clone(), 0).await;
     assert!(
-        node.lock().peers.older.contains_key("n1"),
+        node.lock().peers.older_versions.contains_key("n1"),
         "logged, and not asked again for a while"
     );
     assert!(node.may_renew_leases(now + bound - DEADLINE));
--- a/tests/trial/user_requests.rs
+++ b/tests/trial/user_requests.rs
@@ -83,7 +83,7 @@
     let valid = job();
     assert_eq!(submit(&cut_off, &valid).await.status, 503);
     accept_a_gang_of_one(&served).await;
-    served.lock().types = None;
+    served.lock().machine_types = None;
     assert_eq!(
         submit(&served, &oversized).await.status,
         503,
