--- a/src/coordination/peering/delegation/reachability_records.rs
+++ b/src/coordination/peering/delegation/reachability_records.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::coordination::node::{KV_DEADLINE, Node};
-use crate::coordination::peering::HEARTBEAT_FRESH;
+use crate::coordination::peering::PEER_HEARTBEAT_MAX_AGE;
 use crate::protocol::kv::{KeyValue, Mutation, Transaction};
 use crate::storage::keys;
 use crate::storage::records::{FORMAT_VERSION, ReachabilityRecord};
@@ -44,7 +44,7 @@
         .peers
         .views
         .get(leader)
-        .is_some_and(|view| view.is_fresher_than(HEARTBEAT_FRESH, now));
+        .is_some_and(|view| view.is_fresher_than(PEER_HEARTBEAT_MAX_AGE, now));
     if leader_reachable || state.leadership.is_some() {
         return 0;
     }
--- a/src/coordination/peering/handover.rs
+++ b/src/coordination/peering/handover.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use super::delegation::workers_reachable_elsewhere;
-use super::{HEARTBEAT_FRESH, LEADER_GRACE, eligibility};
+use super::{LEADER_GRACE, PEER_HEARTBEAT_MAX_AGE, eligibility};
 use crate::coordination::leadership::{StepDownReason, step_down};
 use crate::coordination::node::Node;
 use crate::coordination::node::state::NodeState;
@@ -156,7 +156,9 @@
         .peers
         .views
         .values()
-        .filter(|view| view.is_fresher_than(HEARTBEAT_FRESH, now) && view.heartbeat.kv_served)
+        .filter(|view| {
+            view.is_fresher_than(PEER_HEARTBEAT_MAX_AGE, now) && view.heartbeat.kv_served
+        })
         .map(|view| view.heartbeat.reachable_workers as usize)
         .max()
         .unwrap_or(0)
--- a/src/coordination/peering/mod.rs
+++ b/src/coordination/peering/mod.rs
@@ -31,7 +31,7 @@
 /// for a heartbeat when its leadership begins.
 const LEADER_GRACE: Duration = Duration::from_secs(2);
 /// Age from which a peer's last heartbeat means that the peer can't be reached.
-pub(super) const HEARTBEAT_FRESH: Duration = Duration::from_secs(3);
+pub(super) const PEER_HEARTBEAT_MAX_AGE: Duration = Duration::from_secs(3);
 
 /// Runs the exchange for as long as the process lasts.
 pub async fn run(node: Arc<Node>) {
--- a/src/coordination/requests/forwarding.rs
+++ b/src/coordination/requests/forwarding.rs
@@ -6,7 +6,7 @@
 use super::request::UserRequest;
 use super::response::UserResponse;
 use crate::coordination::node::Node;
-use crate::coordination::peering::{self, HEARTBEAT_FRESH};
+use crate::coordination::peering::{self, PEER_HEARTBEAT_MAX_AGE};
 use crate::protocol::peers::PeerAnswer;
 use crate::settings::platform::Peer;
 
@@ -33,7 +33,7 @@
     let inner = node.lock();
     let served = |peer: &&Peer| {
         inner.peers.views.get(&peer.node_id).is_some_and(|view| {
-            view.heartbeat.kv_served && view.is_fresher_than(HEARTBEAT_FRESH, now)
+            view.heartbeat.kv_served && view.is_fresher_than(PEER_HEARTBEAT_MAX_AGE, now)
         })
     };
     let peers = node.settings.platform.others.iter();
