--- a/src/coordination/shard/delegations/grants.rs
+++ b/src/coordination/shard/delegations/grants.rs
@@ -1,4 +1,5 @@
-//! Granting and revoking delegations, and what they mean for worker leases.
+//! Grants and revokes delegations, and accounts for the worker leases that delegates may have
+//! renewed.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -21,7 +22,8 @@
     }
 
     /// Delegates the renewal of worker leases to a controller that receives the workers'
-    /// heartbeats. If machines are unreconciled, the delegate is asked for their inventory.
+    /// heartbeats. If machines are unreconciled, the record also asks the delegate for the
+    /// inventory of its workers.
     pub fn delegate(&mut self, node_id: &str, now: Instant) {
         if self.has_delegated_to(node_id) {
             return;
@@ -47,7 +49,8 @@
         self.needs_pass = true;
     }
 
-    /// Revokes a delegation: the delegate is reachable again, or receives no heartbeats.
+    /// Revokes a controller's delegation. The caller has found that the controller is reachable
+    /// again, or that it receives no heartbeats from workers.
     pub fn revoke(&mut self, node_id: &str) {
         if !self.has_delegated_to(node_id) {
             return;
@@ -65,8 +68,8 @@
         self.needs_pass = true;
     }
 
-    /// Removes delegations that have ended. Until then the delegate may have renewed the
-    /// lease of any worker, so all leases count from now.
+    /// Removes the delegations that have ended. A delegate may have renewed any worker's lease
+    /// until its delegation ended, so all leases are extended as if they were renewed at `now`.
     pub(in crate::coordination::shard) fn end_delegations(&mut self, now: Instant) {
         if !self.delegations.remove_ended(now) {
             return;
@@ -82,20 +85,20 @@
         }
     }
 
-    /// Whether a delegate may have renewed worker leases that this leader doesn't know of.
+    /// Whether a delegate may have renewed worker leases without this leader's knowledge.
     pub(in crate::coordination::shard) fn others_may_renew_leases(&self) -> bool {
         self.delegations.any_active()
     }
 
-    /// Other controllers may have renewed worker leases by advance delegations until `last`,
-    /// as far as is known at `known_at`.
+    /// Records that other controllers may have renewed worker leases by advance delegations until
+    /// `last`, or not at all if it is None. Renewals after `known_at` are not known yet.
     pub fn note_advance_renewals(&mut self, last: Option<Instant>, known_at: Instant) {
         self.delegations
             .note_advance_renewals(AdvanceRenewals { known_at, last });
     }
 
-    /// What is known of renewals by advance delegations; none until the peering code has
-    /// reported them.
+    /// What is known about renewals by advance delegations; None until the peering code has
+    /// reported them. If the settings permit no advance delegations, there are no renewals.
     pub(in crate::coordination::shard) fn advance_renewals(
         &self,
         now: Instant,
@@ -114,8 +117,8 @@
         self.delegations.set_partitioned_zones(zones);
     }
 
-    /// Whether a controller in the machine's zone may renew its worker's lease by an advance
-    /// delegation, since the zone is partitioned from this leader.
+    /// Whether the machine's zone is likely partitioned from this leader, so that a controller
+    /// in the zone may renew the lease of the machine's worker by an advance delegation.
     pub(in crate::coordination::shard) fn may_be_renewed_in_partition(
         &self,
         machine: &Machine,
--- a/src/coordination/shard/delegations/inventories.rs
+++ b/src/coordination/shard/delegations/inventories.rs
@@ -1,16 +1,17 @@
-//! Machines that delegates reconcile for the leader.
+//! Reconciliation of unreachable machines from the inventories that delegates write, and the rule
+//! by which unreachable machines are not replaced yet.
 
 use std::time::{Duration, Instant};
 
 use crate::coordination::shard::{Job, Machine, Shard};
 use crate::protocol::workers::WorkerHeartbeat;
 
-/// How long delegates have to write the inventory of their workers after the first grant:
-/// the time of a heartbeat or two, of the write and of the leader's read.
-const INVENTORY_WAIT: Duration = Duration::from_secs(12);
-/// By which factor the tasks that wait for reconciliation must outnumber those that may be
-/// on unreconciled machines before these machines are replaced.
-const EXCESS_WAITING_TASKS: u32 = 2;
+/// Time from the first grant of a delegation within which delegates have to write the inventory
+/// of their workers: enough for one or two heartbeats, the write and the leader's read.
+const INVENTORY_TIMEOUT: Duration = Duration::from_secs(12);
+/// Unreconciled machines are replaced if the tasks that wait for reconciliation outnumber the tasks
+/// that may be on these machines by more than this factor.
+const WAITING_TASKS_FACTOR: u32 = 2;
 
 impl Shard {
     /// Whether delegates should write the inventory of their workers.
@@ -18,8 +19,9 @@
         self.others_may_renew_leases() && !self.unreconciled.is_empty()
     }
 
-    /// Applies a heartbeat that a worker sent to its delegate, perhaps a while ago. It shows
-    /// what is on the machine, not that this leader can reach it.
+    /// Applies a heartbeat that a worker sent to its delegate, possibly some time ago. It shows
+    /// which tasks are on the machine, but not that this leader can reach the machine: the time
+    /// of the last contact stays as it was.
     pub fn apply_relayed_heartbeat(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) {
         let id = heartbeat.machine.as_str();
         if heartbeat.fencing_token != self.fencing_token || !self.unreconciled.contains(id) {
@@ -35,9 +37,11 @@
         }
     }
 
-    /// Whether an unreachable machine should not be replaced yet, since it may be in a
-    /// partition where another controller renews its worker's lease. A machine that no
-    /// delegate has reconciled in time holds up all work that may have been on it.
+    /// Whether an unreachable machine should not be replaced yet, because it may be in a
+    /// partition where another controller renews its worker's lease. An unreconciled machine
+    /// delays all tasks that may be on it. It is therefore kept only while a delegate's inventory
+    /// is expected, or while its zone is partitioned and too few tasks wait to justify replacing
+    /// it.
     pub(in crate::coordination::shard) fn left_to_delegates(
         &self,
         machine: &Machine,
@@ -50,19 +54,19 @@
         let inventory_expected = self
             .delegations
             .active_for(now)
-            .is_some_and(|active| active < INVENTORY_WAIT);
+            .is_some_and(|active| active < INVENTORY_TIMEOUT);
         inventory_expected
             || (self.may_be_renewed_in_partition(machine) && !self.reconciliation_blocks_work())
     }
 
-    /// Whether far more tasks wait for reconciliation than may be on unreconciled machines:
-    /// then it is better to replace these machines than to wait for them.
+    /// Whether far more tasks wait for reconciliation than may be on unreconciled machines, so
+    /// that replacing these machines is better than waiting for them.
     fn reconciliation_blocks_work(&self) -> bool {
-        let Some(placed) = self.unreconciled.snapshot_placements() else {
-            // The last snapshot was too large to hold placements.
+        let Some(placed_tasks) = self.unreconciled.snapshot_placements() else {
+            // The last snapshot has no placements: with them, it would have been too large.
             return false;
         };
-        let waiting: u32 = self.jobs.values().map(Job::unreconciled_tasks).sum();
-        waiting > placed.saturating_mul(EXCESS_WAITING_TASKS)
+        let waiting_tasks: u32 = self.jobs.values().map(Job::unreconciled_tasks).sum();
+        waiting_tasks > placed_tasks.saturating_mul(WAITING_TASKS_FACTOR)
     }
 }
--- a/src/coordination/shard/delegations/mod.rs
+++ b/src/coordination/shard/delegations/mod.rs
@@ -1,18 +1,19 @@
-//! Renewal of worker leases by other controllers than the leader.
+//! Renewal of worker leases by controllers other than the leader.
 //!
 //! In a network partition the leader may miss the heartbeats of workers that still reach
-//! another controller. The leader then delegates the renewal of their leases to it: the
-//! delegate answers their heartbeats with the leader's fencing token, so that what runs
-//! there goes on, and stops only tasks of finished jobs. Apart from that, an advance
-//! delegation lets a controller go on answering for a while without the store.
+//! another controller. The leader then delegates the renewal of these workers' leases to that
+//! controller, the delegate. The delegate answers the heartbeats with the leader's fencing
+//! token, so that the workers' tasks keep running, and stops only tasks of finished jobs. In
+//! addition, an advance delegation lets a controller answer heartbeats for a limited time while
+//! it can't reach the store.
 //!
-//! While another controller may renew leases, the leader takes no lease to have expired.
-//! Once the last delegation has ended, leases count from the last moment at which the
-//! delegate may have answered.
+//! While another controller may renew leases, the leader treats no worker's lease as expired.
+//! Once the last delegation has ended, every lease counts as renewed at the last moment at which
+//! the delegate may have answered a heartbeat.
 //!
-//! [`Delegations`] owns that state; `grants` and `inventories` connect it to the shard. The
-//! peering code says which controllers can't be reached and calls them; nothing here sends
-//! or reads anything.
+//! [`Delegations`] owns the state of the delegations; `grants` and `inventories` connect it to
+//! the shard. The peering code determines which controllers are unreachable and calls these
+//! functions; this module does no I/O.
 
 mod grants;
 mod inventories;
@@ -25,9 +26,9 @@
 use super::dispatch::stop_command;
 use crate::protocol::workers::{Command, TaskState, WorkerHeartbeat};
 
-/// What a delegate commands a worker in answer to a heartbeat. It starts nothing, but stops
-/// tasks of jobs that are not open: a cancelled job has to end within its time also where
-/// the worker's lease is renewed.
+/// The commands with which a delegate answers a worker's heartbeat. A delegate starts no tasks,
+/// but stops the tasks of jobs that are not open: a cancelled job has to end within its deadline
+/// also on workers whose leases a delegate renews.
 pub fn delegate_commands(
     heartbeat: &WorkerHeartbeat,
     is_open: impl Fn(&str) -> bool,
@@ -35,8 +36,8 @@
     heartbeat
         .tasks
         .iter()
-        .filter(|line| line.state != TaskState::Ended && !is_open(&line.task.job))
-        .map(|line| stop_command(&line.task, line.attempt, Duration::ZERO))
+        .filter(|status| status.state != TaskState::Ended && !is_open(&status.task.job))
+        .map(|status| stop_command(&status.task, status.attempt, Duration::ZERO))
         .collect()
 }
 
--- a/src/coordination/shard/delegations/table.rs
+++ b/src/coordination/shard/delegations/table.rs
@@ -1,4 +1,4 @@
-//! Which controllers may renew worker leases, and until when they may have done so.
+//! The table of the controllers that may renew worker leases, and until when each may have done so.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -6,53 +6,55 @@
 use crate::coordination::clock_drift;
 use crate::coordination::worker_leases::DELEGATION_TIME;
 
-/// How much later than its decision an answer of a delegate may leave.
-const DELIVERY_MARGIN: Duration = Duration::from_millis(50);
+/// Longest time from a delegate's decision to answer a heartbeat until it sends the answer.
+const ANSWER_SEND_MARGIN: Duration = Duration::from_millis(50);
 
 /// The state of one delegation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Delegation {
-    /// The delegate may answer, from the moment the write of its record is queued.
+    /// The delegate may answer heartbeats, from the moment the write of its record is queued.
     Granted,
-    /// The deletion of its record is queued or in flight.
+    /// The deletion of the delegate's record is queued or in flight.
     Revoking,
-    /// The deletion of its record was durable at this moment. The delegate may answer for
-    /// [`DELEGATION_TIME`] after a read that came before.
+    /// The deletion of the delegate's record became durable at this moment. A delegate that read
+    /// the record earlier may answer heartbeats for [`DELEGATION_TIME`] after that read.
     Revoked { at: Instant },
 }
 
 impl Delegation {
-    /// Whether the delegate can't answer any more.
+    /// Whether the delegate can no longer answer heartbeats.
     fn has_ended(self, now: Instant) -> bool {
-        let last_answer = clock_drift::max_elapsed(DELEGATION_TIME) + DELIVERY_MARGIN;
+        let last_answer = clock_drift::max_elapsed(DELEGATION_TIME) + ANSWER_SEND_MARGIN;
         matches!(self, Self::Revoked { at } if at + last_answer <= now)
     }
 }
 
-/// What is known of renewals by advance delegations, which other controllers use without
-/// a word to the leader.
+/// What is known about renewals by advance delegations, which other controllers use without
+/// notifying the leader.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::coordination::shard) struct AdvanceRenewals {
-    /// The moment up to which they are known.
+    /// The moment up to which renewals are known.
     pub known_at: Instant,
-    /// The latest moment up to then at which there may have been one.
+    /// The latest moment, up to `known_at`, at which such a renewal may have happened; None if
+    /// none can have happened.
     pub last: Option<Instant>,
 }
 
 /// The delegations of this leader, and the zones in which advance delegations may be in use.
 ///
-/// Invariant: a delegate is listed for as long as it may answer workers. While none is, other
-/// controllers renew leases only by advance delegations. `active_since` is set exactly while
-/// a delegate is listed.
+/// Invariants: a delegate is in `by_node` for as long as it may answer workers' heartbeats. While
+/// `by_node` is empty, other controllers renew leases only by advance delegations. `active_since`
+/// is set exactly while `by_node` is not empty.
 #[derive(Debug, Default)]
 pub(in crate::coordination::shard) struct Delegations {
-    /// By the delegate's node id.
+    /// The delegations, by the delegate's node id.
     by_node: BTreeMap<String, Delegation>,
-    /// Since when a delegate has been listed without a break.
+    /// Since when `by_node` has continuously held a delegate.
     active_since: Option<Instant>,
-    /// None until the peering code has reported them.
+    /// Renewals by advance delegations; None until the peering code has reported them.
     advance_renewals: Option<AdvanceRenewals>,
-    /// Zones all of whose controllers are unreachable: likely partitioned from the leader.
+    /// Zones that are likely partitioned from the leader, as all of their controllers are
+    /// unreachable.
     partitioned_zones: BTreeSet<String>,
 }
 
@@ -62,7 +64,7 @@
         self.by_node.get(node_id) == Some(&Delegation::Granted)
     }
 
-    /// The controllers that may renew worker leases.
+    /// The node ids of the controllers that may renew worker leases.
     pub(crate) fn granted(&self) -> impl Iterator<Item = &str> {
         let granted = self
             .by_node
@@ -71,21 +73,21 @@
         granted.map(|(node_id, _)| node_id.as_str())
     }
 
-    /// The controller may renew worker leases from now on.
+    /// Records that the controller may renew worker leases from `now` on.
     pub(crate) fn grant(&mut self, node_id: &str, now: Instant) {
         self.active_since.get_or_insert(now);
         self.by_node.insert(node_id.to_owned(), Delegation::Granted);
     }
 
-    /// The deletion of the delegation's record is queued.
+    /// Records that the deletion of the delegation's record is queued.
     pub(crate) fn begin_revocation(&mut self, node_id: &str) {
         if let Some(delegation) = self.by_node.get_mut(node_id) {
             *delegation = Delegation::Revoking;
         }
     }
 
-    /// The deletion of the delegation's record is durable. It may have been granted again
-    /// since: then nothing changes.
+    /// Records that the deletion of the delegation's record is durable. If the delegation has been
+    /// granted again in the meantime, nothing changes.
     pub(crate) fn revocation_written(&mut self, node_id: &str, now: Instant) {
         if let Some(delegation) = self.by_node.get_mut(node_id)
             && *delegation == Delegation::Revoking
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Removes the delegations under which nobody can answer any more; returns whether
+    /// Removes the delegations whose delegate can no longer answer heartbeats; returns whether
     /// there were any.
     pub(crate) fn remove_ended(&mut self, now: Instant) -> bool {
         let before = self.by_node.len();
@@ -106,23 +108,23 @@
         self.by_node.len() < before
     }
 
-    /// Whether a delegate may have renewed worker leases that the leader doesn't know of.
+    /// Whether a delegate may have renewed worker leases without the leader's knowledge.
     pub(crate) fn any_active(&self) -> bool {
         !self.by_node.is_empty()
     }
 
-    /// For how long there has been a delegate without a break; none if there is none.
+    /// For how long there has continuously been a delegate; None if there is none.
     pub(crate) fn active_for(&self, now: Instant) -> Option<Duration> {
         self.active_since
             .map(|since| now.saturating_duration_since(since))
     }
 
-    /// Sets what is known of renewals by advance delegations.
+    /// Sets what is known about renewals by advance delegations.
     pub(crate) fn note_advance_renewals(&mut self, renewals: AdvanceRenewals) {
         self.advance_renewals = Some(renewals);
     }
 
-    /// What is known of renewals by advance delegations; none until the peering code has
+    /// What is known about renewals by advance delegations; None until the peering code has
     /// reported them.
     pub(crate) fn advance_renewals(&self) -> Option<AdvanceRenewals> {
         self.advance_renewals
--- a/src/coordination/shard/health/failure_evidence.rs
+++ b/src/coordination/shard/health/failure_evidence.rs
@@ -9,54 +9,61 @@
 const SOUND_JOBS_TO_CORDON: usize = 2;
 /// How many jobs must fail on a machine before it is quarantined.
 const JOBS_TO_QUARANTINE: usize = 2;
-/// How long a failure of a job that isn't known to be sound counts against its machine.
-const QUARANTINE: Duration = Duration::from_secs(60);
+/// How long a failure of a job that isn't known to be sound counts against its machine, from the
+/// time of the failure.
+const QUARANTINE_DURATION: Duration = Duration::from_secs(60);
 
-/// The jobs that failed on one machine. A job is sound once a task of it has succeeded on
-/// some machine.
+/// The jobs that failed on one machine. A job is known to be sound once one of its tasks has
+/// succeeded on any machine.
 #[derive(Debug, Default)]
 pub(super) struct FailureEvidence {
-    /// Jobs known to be sound.
+    /// Failed jobs that are known to be sound.
     sound: BTreeSet<JobId>,
-    /// Jobs not known to be sound, and when they failed.
+    /// Failed jobs that are not known to be sound, with the time of each job's last failure.
     unexplained: Vec<(JobId, Instant)>,
 }
 
 impl FailureEvidence {
-    /// Whether the machine should get no new tasks until more is known.
+    /// Whether the machine should get no new tasks for now, because recent failures of several
+    /// jobs may be its fault.
     pub(super) fn is_quarantined(&self, now: Instant) -> bool {
-        let recent = |at: &Instant| now.saturating_duration_since(*at) < QUARANTINE;
-        let unexplained = self.unexplained.iter().filter(|(_, at)| recent(at)).count();
+        let is_recent = |at: &Instant| now.saturating_duration_since(*at) < QUARANTINE_DURATION;
+        let unexplained = self
+            .unexplained
+            .iter()
+            .filter(|(_, at)| is_recent(at))
+            .count();
         unexplained > 0 && self.sound.len() + unexplained >= JOBS_TO_QUARANTINE
     }
 
-    /// A job failed on the machine.
-    pub(super) fn note_failure(&mut self, job: &JobId, sound: bool, now: Instant) {
+    /// Records that a job, which may be known to be sound, failed on the machine.
+    pub(super) fn note_failure(&mut self, job: &JobId, is_sound: bool, now: Instant) {
         self.withdraw(job);
-        if sound {
+        if is_sound {
             self.sound.insert(job.clone());
         } else if !self.sound.contains(job) {
             self.unexplained
-                .retain(|(_, at)| now.saturating_duration_since(*at) < QUARANTINE);
+                .retain(|(_, at)| now.saturating_duration_since(*at) < QUARANTINE_DURATION);
             self.unexplained.push((job.clone(), now));
         }
     }
 
-    /// The job has succeeded elsewhere: if it failed here, it is sound evidence.
+    /// Records that a task of the job has succeeded: if the job failed on this machine, that failure
+    /// now counts as one of a sound job.
     pub(super) fn confirm(&mut self, job: &JobId) {
         if self.withdraw(job) {
             self.sound.insert(job.clone());
         }
     }
 
-    /// The job's unexplained failure is no evidence; returns whether there was one.
+    /// Removes the job's unexplained failure from the evidence; returns whether there was one.
     pub(super) fn withdraw(&mut self, job: &JobId) -> bool {
         let before = self.unexplained.len();
         self.unexplained.retain(|(failed, _)| failed != job);
         self.unexplained.len() < before
     }
 
-    /// Whether the machine is faulty beyond doubt.
+    /// Whether so many sound jobs failed on the machine that it has to be cordoned.
     pub(super) fn proves_fault(&self) -> bool {
         self.sound.len() >= SOUND_JOBS_TO_CORDON
     }
--- a/src/coordination/shard/health/failure_history.rs
+++ b/src/coordination/shard/health/failure_history.rs
@@ -1,4 +1,4 @@
-//! A job's failed attempts, and when the next may start.
+//! The history of a job's failed attempts, and the pause before its next attempt.
 
 use std::collections::BTreeSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -6,53 +6,54 @@
 
 use crate::protocol::{JobId, MachineId};
 
-/// On how many machines a job's tasks have to fail without a success for it to count as
-/// crash-looping.
+/// A job counts as crash-looping once its tasks have failed on this many machines without a
+/// success.
 const MACHINES_TO_CRASH_LOOP: usize = 3;
-/// The same in rounds of failures, for a cluster with fewer machines.
+/// A job also counts as crash-looping after this many rounds of failures without a success, for
+/// clusters with fewer machines.
 const ROUNDS_TO_CRASH_LOOP: u32 = 4;
-/// Pause after the second round of failures in a row; it doubles with each further round.
+/// Pause after the second consecutive round of failures; it doubles with each further round.
 const BACKOFF_BASE: Duration = Duration::from_secs(1);
 /// Longest pause between two rounds, before jitter.
 const BACKOFF_MAX: Duration = Duration::from_secs(60);
-/// How often the pause doubles at the most: more would exceed [`BACKOFF_MAX`] anyway.
-const BACKOFF_DOUBLINGS: u32 = 16;
-/// Share of the pause by which it is shortened or prolonged, so that jobs that failed
+/// Most times that the pause doubles: with more, it would exceed [`BACKOFF_MAX`] anyway.
+const MAX_BACKOFF_DOUBLINGS: u32 = 16;
+/// Largest share of the pause by which jitter shortens or prolongs it, so that jobs that failed
 /// together aren't retried together.
 const BACKOFF_JITTER: f64 = 0.25;
-/// A running task counts as a success after so many times its job's longest failed attempt,
-/// and [`SUCCESS_MARGIN`] more.
-const SUCCESS_MULTIPLE: u32 = 2;
-/// Time added to that multiple, for jobs that fail at once.
+/// A running task counts as a success once it has run for this many times the run time of its
+/// job's longest failed attempt, plus [`SUCCESS_MARGIN`].
+const SUCCESS_RUN_TIME_FACTOR: u32 = 2;
+/// Time added to that multiple, for jobs whose attempts fail immediately.
 const SUCCESS_MARGIN: Duration = Duration::from_secs(5);
 
 /// An attempt that failed by itself.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::coordination::shard) struct FailedAttempt<'a> {
-    /// The job.
+    /// The job whose task was attempted.
     pub job: &'a JobId,
-    /// Where the attempt ran.
+    /// The machine on which the attempt ran.
     pub machine: &'a MachineId,
-    /// When the attempt was decided.
+    /// When the leader decided to start the attempt.
     pub began: Instant,
-    /// For how long it ran.
+    /// For how long the attempt ran.
     pub ran: Duration,
 }
 
 /// A job's failed attempts since its last success.
 #[derive(Debug, Default)]
 pub struct FailureHistory {
-    /// Where its tasks failed: these machines are avoided. A success elsewhere doesn't
-    /// clear them.
+    /// The machines on which the job's tasks failed. They are avoided, even after a success on
+    /// another machine.
     machines: BTreeSet<MachineId>,
-    /// How many of these were added since the last success.
+    /// How many of `machines` were added since the last success.
     machines_since_success: usize,
-    /// Rounds of failures since the last success: attempts that ran at the same time count
-    /// as one round.
+    /// Rounds of failures since the last success. Failures of attempts that ran at the same time
+    /// count as one round.
     rounds: u32,
-    /// When the first failure of the last round was noted.
-    last_round: Option<Instant>,
-    /// The longest run of a failed attempt.
+    /// When the first failure of the last round was recorded.
+    last_round_at: Option<Instant>,
+    /// The longest run time of a failed attempt.
     longest_run: Duration,
 }
 
@@ -62,7 +63,7 @@
         self.machines.contains(machine)
     }
 
-    /// On how many machines tasks of the job have failed.
+    /// The number of machines on which tasks of the job have failed.
     pub fn machines(&self) -> usize {
         self.machines.len()
     }
@@ -72,7 +73,7 @@
         &self.machines
     }
 
-    /// Whether nothing has failed since the last success.
+    /// Whether no task of the job has failed since the last success.
     pub fn is_clear(&self) -> bool {
         self.rounds == 0
     }
@@ -82,7 +83,8 @@
         self.machines_since_success >= MACHINES_TO_CRASH_LOOP || self.rounds >= ROUNDS_TO_CRASH_LOOP
     }
 
-    /// Notes a failure; returns the pause until the next attempt, if one is due.
+    /// Records a failure. Returns the pause before the next attempt if the failure starts a new
+    /// round, other than the first one.
     pub(super) fn note_failure(
         &mut self,
         failure: &FailedAttempt<'_>,
@@ -92,36 +94,39 @@
             self.machines_since_success += 1;
         }
         self.longest_run = self.longest_run.max(failure.ran);
-        if self.last_round.is_some_and(|round| failure.began <= round) {
+        if self
+            .last_round_at
+            .is_some_and(|started| failure.began <= started)
+        {
             return None;
         }
-        self.last_round = Some(now);
+        self.last_round_at = Some(now);
         self.rounds += 1;
         self.backoff(failure.job)
     }
 
-    /// The pause after the present round. A single round is most likely the machine's fault:
-    /// the job is retried elsewhere at once.
+    /// The pause after the current round; None after the first one. A single round is most likely
+    /// the machine's fault, so the job is retried on another machine at once.
     fn backoff(&self, job: &JobId) -> Option<Duration> {
-        let doublings = self.rounds.checked_sub(2)?.min(BACKOFF_DOUBLINGS);
+        let doublings = self.rounds.checked_sub(2)?.min(MAX_BACKOFF_DOUBLINGS);
         let pause = (BACKOFF_BASE * (1 << doublings)).min(BACKOFF_MAX);
         Some(pause.mul_f64(1.0 + BACKOFF_JITTER * jitter(job, self.rounds)))
     }
 
-    /// A task has succeeded: earlier failures are no evidence against the job any more.
+    /// Records that a task has succeeded: earlier failures no longer count against the job.
     pub(super) fn note_success(&mut self) {
         self.machines_since_success = 0;
         self.rounds = 0;
-        self.last_round = None;
+        self.last_round_at = None;
     }
 
-    /// How long a task has to run to count as a success.
-    pub(super) fn success_after(&self) -> Duration {
-        self.longest_run * SUCCESS_MULTIPLE + SUCCESS_MARGIN
+    /// The run time after which a running task counts as a success.
+    pub(super) fn success_run_time(&self) -> Duration {
+        self.longest_run * SUCCESS_RUN_TIME_FACTOR + SUCCESS_MARGIN
     }
 }
 
-/// A number from -1 to 1 that differs from job to job and from round to round.
+/// A pseudo-random number from -1 to 1, derived from the job's id and the round.
 fn jitter(job: &JobId, round: u32) -> f64 {
     let mut hasher = DefaultHasher::new();
     (job, round).hash(&mut hasher);
--- a/src/coordination/shard/health/failures.rs
+++ b/src/coordination/shard/health/failures.rs
@@ -1,4 +1,4 @@
-//! What failed and successful attempts mean for jobs and machines.
+//! Updates the health of jobs and machines when attempts fail or succeed.
 
 use std::time::Instant;
 
@@ -7,19 +7,21 @@
 use crate::coordination::shard::{Attempt, Job, Phase, Shard};
 use crate::protocol::JobId;
 
-/// Tasks of a crash-looping job that may exist at a time.
-const CRASH_LOOPING_TASKS: u32 = 2;
+/// Most tasks of a crash-looping job that may be placed at a time.
+const MAX_CRASH_LOOPING_TASKS: u32 = 2;
 
 impl Job {
-    /// Whether the number of its attempts is limited, since all have failed so far.
+    /// Whether the job's tasks have failed so often without a success that the number of its
+    /// attempts is limited.
     pub fn is_crash_looping(&self) -> bool {
         self.failures.is_crash_looping()
     }
 
-    /// How many more of its tasks may be started, as far as its failures tell.
+    /// How many more of the job's tasks may be started. Only crash-looping jobs that are not gangs
+    /// have a limit.
     pub(in crate::coordination::shard) fn retry_budget(&self) -> u32 {
         if self.is_crash_looping() && !self.spec.is_gang() {
-            CRASH_LOOPING_TASKS.saturating_sub(self.live().len() as u32)
+            MAX_CRASH_LOOPING_TASKS.saturating_sub(self.live().len() as u32)
         } else {
             u32::MAX
         }
@@ -27,7 +29,8 @@
 }
 
 impl Shard {
-    /// An attempt failed by itself: judges its job, or else its machine.
+    /// Records an attempt that failed by itself. The failure counts as evidence against the machine
+    /// unless the job is crash-looping.
     pub(in crate::coordination::shard) fn attempt_failed(
         &mut self,
         failure: &FailedAttempt<'_>,
@@ -41,25 +44,27 @@
             job.not_before = Some(now + pause);
         }
         if !job.is_crash_looping() {
-            let sound = !job.done().is_empty();
-            self.note_machine_failure(failure, sound, now);
+            let is_sound = !job.done().is_empty();
+            self.note_machine_failure(failure, is_sound, now);
         } else if !was_crash_looping {
             tracing::info!(job = %failure.job, "job is crash-looping, its attempts are limited");
             self.withdraw_evidence(failure.job);
         }
     }
 
-    /// Counts a failure as evidence against its machine, and cordons it if that suffices.
-    fn note_machine_failure(&mut self, failure: &FailedAttempt<'_>, sound: bool, now: Instant) {
+    /// Counts a failure as evidence against the machine on which it occurred, and cordons the
+    /// machine if the evidence suffices.
+    fn note_machine_failure(&mut self, failure: &FailedAttempt<'_>, is_sound: bool, now: Instant) {
         if let Some(machine) = self.machines.get_mut(failure.machine)
-            && let Some(reason) = machine.health.note_failure(failure.job, sound, now)
+            && let Some(reason) = machine.health.note_failure(failure.job, is_sound, now)
         {
             log_cordon(&machine.id, reason);
         }
     }
 
-    /// A task of a job has completed, or has run for long: where others of it failed, the
-    /// machine is more likely at fault.
+    /// Records that a task of a job has completed, or has run long enough to count as a success.
+    /// If other tasks of the job failed, their machines are then more likely at fault than the
+    /// job.
     pub(in crate::coordination::shard) fn task_succeeded(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -81,8 +86,8 @@
         }
     }
 
-    /// Withdraws a job's failures as evidence against machines: it is crash-looping, or it
-    /// has ended.
+    /// Withdraws a job's failures as evidence against machines. Called when the job has become
+    /// crash-looping or has ended.
     pub(in crate::coordination::shard) fn withdraw_evidence(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -94,8 +99,8 @@
         }
     }
 
-    /// Counts tasks that have run for longer than any failed attempt of their job as
-    /// successes: a service has no others, since it never completes.
+    /// Counts tasks that have run much longer than any failed attempt of their job as successes.
+    /// The tasks of a service can't succeed in any other way, since they never complete.
     pub(in crate::coordination::shard) fn note_outliving_tasks(&mut self, now: Instant) {
         let failing = self.jobs.values().filter(|job| !job.failures.is_clear());
         let succeeded: Vec<JobId> = failing
@@ -108,12 +113,12 @@
     }
 
     fn has_outliving_task(&self, job: &Job, now: Instant) -> bool {
-        let success_after = job.failures.success_after();
+        let success_run_time = job.failures.success_run_time();
         let outlives = |attempt: &Attempt| {
             attempt.phase == Phase::Running
                 && attempt
                     .running_since
-                    .is_some_and(|since| now.saturating_duration_since(since) > success_after)
+                    .is_some_and(|since| now.saturating_duration_since(since) > success_run_time)
         };
         let machines = job.live().values().filter_map(|id| self.machines.get(id));
         machines
--- a/src/coordination/shard/health/machine_health.rs
+++ b/src/coordination/shard/health/machine_health.rs
@@ -1,4 +1,4 @@
-//! A machine's health: the evidence against it, and whether it may get tasks.
+//! A machine's health: the evidence that it is faulty or slow, and whether it may get tasks.
 
 use std::fmt;
 use std::time::Instant;
@@ -6,15 +6,15 @@
 use super::FailureEvidence;
 use crate::protocol::{JobId, MachineId};
 
-/// Overdue attempts after which a machine is cordoned.
+/// Number of overdue attempts on a machine after which it is cordoned.
 const OVERDUE_ATTEMPTS_TO_CORDON: u32 = 2;
 
 /// Why a machine was cordoned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CordonReason {
-    /// Tasks of several jobs that succeed elsewhere failed on it.
+    /// Tasks of several jobs failed on the machine, while other tasks of these jobs succeeded.
     Failures,
-    /// Several of its tasks ran far longer than others of their jobs elsewhere.
+    /// Several tasks ran far longer on the machine than tasks of the same jobs elsewhere.
     Slowness,
 }
 
@@ -27,63 +27,66 @@
     }
 }
 
-/// What attempts have shown of a machine.
+/// The health of one machine, judged from the attempts on it.
 ///
-/// Invariant: it is cordoned from the moment at which its evidence suffices, and for good.
+/// Invariant: the machine is cordoned as soon as the evidence suffices, and stays cordoned.
 #[derive(Debug, Default)]
 pub struct MachineHealth {
     failures: FailureEvidence,
     overdue_attempts: u32,
-    cordon: Option<CordonReason>,
+    cordon_reason: Option<CordonReason>,
 }
 
 impl MachineHealth {
-    /// Whether it gets no new tasks and is deleted once it is empty.
+    /// Whether the machine gets no new tasks and is deleted once it is empty.
     pub fn is_cordoned(&self) -> bool {
-        self.cordon.is_some()
+        self.cordon_reason.is_some()
     }
 
-    /// Whether it gets no new tasks until more is known of recent failures.
+    /// Whether the machine gets no new tasks for now, because recent failures of several jobs may
+    /// be its fault.
     pub fn is_quarantined(&self, now: Instant) -> bool {
         self.failures.is_quarantined(now)
     }
 
-    /// A job failed on it. Returns why it is cordoned if it is for this.
+    /// Records that a job failed on the machine. Returns the reason if the machine is cordoned as a
+    /// result.
     pub(super) fn note_failure(
         &mut self,
         job: &JobId,
-        sound: bool,
+        is_sound: bool,
         now: Instant,
     ) -> Option<CordonReason> {
-        self.failures.note_failure(job, sound, now);
+        self.failures.note_failure(job, is_sound, now);
         self.cordon_if(self.failures.proves_fault(), CordonReason::Failures)
     }
 
-    /// A job that may have failed on it has succeeded elsewhere. Returns why it is cordoned
-    /// if it is for this.
+    /// Records that a job that may have failed on the machine has succeeded elsewhere. Returns the
+    /// reason if the machine is cordoned as a result.
     pub(super) fn confirm_failure(&mut self, job: &JobId) -> Option<CordonReason> {
         self.failures.confirm(job);
         self.cordon_if(self.failures.proves_fault(), CordonReason::Failures)
     }
 
-    /// The failure of a job that may have failed on it is no evidence.
+    /// Withdraws the failure of a job, if there is one, as evidence against the machine.
     pub(super) fn withdraw_failure(&mut self, job: &JobId) {
         self.failures.withdraw(job);
     }
 
-    /// One more attempt on it is overdue. Returns why it is cordoned if it is for this.
+    /// Records that one more attempt on the machine is overdue. Returns the reason if the machine
+    /// is cordoned as a result.
     pub(super) fn note_overdue_attempt(&mut self) -> Option<CordonReason> {
         self.overdue_attempts += 1;
-        let slow = self.overdue_attempts >= OVERDUE_ATTEMPTS_TO_CORDON;
-        self.cordon_if(slow, CordonReason::Slowness)
+        let is_slow = self.overdue_attempts >= OVERDUE_ATTEMPTS_TO_CORDON;
+        self.cordon_if(is_slow, CordonReason::Slowness)
     }
 
-    fn cordon_if(&mut self, proven: bool, reason: CordonReason) -> Option<CordonReason> {
-        if !proven || self.is_cordoned() {
+    fn cordon_if(&mut self, is_proven: bool, reason: CordonReason) -> Option<CordonReason> {
+        if !is_proven || self.is_cordoned() {
             return None;
         }
-        self.cordon = Some(reason);
-        self.cordon
+        self.cordon_reason = Some(reason);
+        self.cordon_reason
     }
 }
 
--- a/src/coordination/shard/health/slowness.rs
+++ b/src/coordination/shard/health/slowness.rs
@@ -1,4 +1,4 @@
-//! Machines on which tasks run far longer than others of the same job elsewhere.
+//! Detects machines on which tasks run far longer than tasks of the same job elsewhere.
 
 use std::time::{Duration, Instant};
 
@@ -7,17 +7,18 @@
 use crate::protocol::users::JobKind;
 use crate::protocol::{AttemptId, MachineId};
 
-/// Least number of a job's completed tasks that tell how long the others should run.
-const MIN_COMPLETED: u32 = 3;
-/// The same as a share of the job's tasks: the first to complete are the shortest.
+/// Fewest completed tasks of a job from which the expected run time of its other tasks is derived.
+const MIN_COMPLETED_TASKS: u32 = 3;
+/// Smallest share of a job's tasks that must have completed for the same purpose, since the first
+/// tasks to complete are the shortest.
 const MIN_COMPLETED_SHARE: f64 = 0.5;
-/// A task is overdue after so many times the mean run time of its job's completed tasks, and
-/// [`RUN_TIME_MARGIN`] more.
-const OVERDUE_MULTIPLE: f64 = 2.5;
+/// A task is overdue once it has run for this many times the mean run time of its job's completed
+/// tasks, plus [`RUN_TIME_MARGIN`].
+const OVERDUE_RUN_TIME_FACTOR: f64 = 2.5;
 /// Time added to that multiple, for short tasks, whose run times vary more.
 const RUN_TIME_MARGIN: Duration = Duration::from_secs(5);
 
-/// Run times of one job's completed tasks.
+/// The run times of one job's completed tasks, as their sum and number.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RunTimes {
     total: Duration,
@@ -25,30 +26,32 @@
 }
 
 impl RunTimes {
-    /// Notes that a task completed after it had run for `ran`.
+    /// Adds the run time of a task that has completed.
     pub fn note(&mut self, ran: Duration) {
         self.total += ran;
         self.count += 1;
     }
 
-    /// The run time past which a task of a job with so many tasks is overdue; none while too
-    /// few have completed.
+    /// The run time beyond which a task is overdue, for a job with this many tasks; None while too
+    /// few of them have completed.
     fn overdue_after(&self, tasks: u32) -> Option<Duration> {
-        let enough = self.count >= MIN_COMPLETED
+        let has_enough = self.count >= MIN_COMPLETED_TASKS
             && f64::from(self.count) >= f64::from(tasks) * MIN_COMPLETED_SHARE;
-        enough.then(|| (self.total / self.count).mul_f64(OVERDUE_MULTIPLE) + RUN_TIME_MARGIN)
+        has_enough
+            .then(|| (self.total / self.count).mul_f64(OVERDUE_RUN_TIME_FACTOR) + RUN_TIME_MARGIN)
     }
 }
 
-/// An attempt that has run for too long, not yet counted against its machine.
+/// An attempt that has run for too long and is not yet counted against its machine.
 struct OverdueAttempt {
     machine: MachineId,
     attempt: AttemptId,
 }
 
 impl Shard {
-    /// Cordons machines on which several tasks run far longer than others of their jobs do
-    /// elsewhere, and moves their tasks, as far as checkpoints save their work.
+    /// Cordons machines on which several tasks run far longer than tasks of the same jobs
+    /// elsewhere, and stops their tasks so that they start on other machines. Batch and gang tasks
+    /// get time to save a checkpoint.
     pub(in crate::coordination::shard) fn find_slow_machines(&mut self, now: Instant) {
         let overdue: Vec<OverdueAttempt> = self
             .jobs
@@ -66,7 +69,7 @@
 
     /// The overdue attempts of one job.
     fn overdue_attempts(&self, job: &Job, now: Instant) -> Vec<OverdueAttempt> {
-        // Attempts that resume from a checkpoint run for any time.
+        // The run time of an attempt that resumes from a checkpoint may have any length.
         let comparable = job.spec.checkpoint_s <= 0.0 && !job.spec.is_gang();
         let overdue_after = job.ran.overdue_after(job.spec.tasks);
         let Some(overdue_after) = overdue_after.filter(|_| comparable) else {
@@ -81,8 +84,8 @@
             .collect()
     }
 
-    /// Counts an overdue attempt against its machine; returns the machine if it is cordoned
-    /// for it.
+    /// Counts an overdue attempt against its machine; returns the machine's id if the machine is
+    /// cordoned as a result.
     fn note_overdue(&mut self, overdue: &OverdueAttempt) -> Option<MachineId> {
         let machine = self.machines.get_mut(&overdue.machine)?;
         machine.attempts.get_mut(&overdue.attempt)?.overdue = true;
@@ -91,7 +94,7 @@
         Some(machine.id.clone())
     }
 
-    /// Stops all tasks on a machine; those of batch jobs get the time to save a checkpoint.
+    /// Stops all tasks on a machine. Tasks of batch and gang jobs get time to save a checkpoint.
     fn evict_tasks(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -127,8 +130,8 @@
 
 /// Whether an attempt has run for too long and doesn't count against its machine yet.
 fn is_overdue(attempt: &Attempt, overdue_after: Duration, now: Instant) -> bool {
-    let late = attempt
+    let is_late = attempt
         .running_since
         .is_some_and(|since| now.saturating_duration_since(since) > overdue_after);
-    late && attempt.phase == Phase::Running && attempt.stop().is_none() && !attempt.overdue
+    is_late && attempt.phase == Phase::Running && attempt.stop().is_none() && !attempt.overdue
 }
