--- a/src/coordination/shard/persistence/flush.rs
+++ b/src/coordination/shard/persistence/flush.rs
@@ -1,4 +1,4 @@
-//! Sending the shard's transactions and applying their results.
+//! Sends the shard's transactions and applies their results.
 
 use std::time::Instant;
 
@@ -8,15 +8,15 @@
 use crate::coordination::shard::{Action, Shard};
 use crate::protocol::MachineId;
 
-/// The lowest limit of a value that a refused write leads to, in bytes: a single entry of
-/// the roster or piece of the snapshot takes about as much.
+/// Lower bound, in bytes, for the limit on values after writes were refused: a single entry of the
+/// roster or a single piece of the snapshot takes about this many bytes.
 const MIN_VALUE_BYTES: usize = 512;
-/// The lowest limit of a transaction that a refused write leads to, in mutations: one and
-/// the sequence number.
+/// Lower bound, in mutations, for the limit on transactions after writes were refused: one mutation
+/// and that of the sequence number.
 const MIN_TXN_OPS: usize = 2;
 
 impl Shard {
-    /// Sends the next transaction if none is in flight and something is to be written.
+    /// Sends the next transaction if none is in flight and there is something to write.
     pub(in crate::coordination::shard) fn flush_writes(&mut self, now: Instant) {
         let limits = WriteLimits::from(&self.policy);
         self.writes.refill_budgets(&limits, now);
@@ -30,7 +30,8 @@
         }
     }
 
-    /// The transaction in flight was applied.
+    /// Handles the store's confirmation that it applied the transaction in flight: the actions that
+    /// waited for its records follow now.
     pub fn shard_written(&mut self, write: &ShardWrite, now: Instant) {
         self.writes.written(write);
         let mut deletable: Vec<MachineId> = Vec::new();
@@ -56,9 +57,9 @@
         self.flush_writes(now);
     }
 
-    /// The store refused the transaction in flight as too large: its limits are lower than
-    /// the settings say. The same transaction is never sent again; from now on fewer
-    /// mutations a transaction are planned, or smaller values.
+    /// Handles the store's refusal of the transaction in flight as too large: the store's limits
+    /// are lower than the settings say. The same transaction is never sent again; later
+    /// transactions have fewer mutations, or smaller values.
     pub fn write_refused(&mut self, write: &ShardWrite, now: Instant) {
         let mutations = write.mutations.len();
         self.lower_write_limits(mutations);
@@ -73,7 +74,8 @@
         self.flush_writes(now);
     }
 
-    /// Lowers the limit that a refused transaction with so many mutations has exceeded.
+    /// Lowers the limit that a refused transaction with this many mutations has exceeded: the limit
+    /// on mutations, or with a single mutation the limit on the size of values.
     fn lower_write_limits(&mut self, mutations: usize) {
         if mutations > 1 {
             self.policy.txn_ops = (mutations / 2 + 1).max(MIN_TXN_OPS);
--- a/src/coordination/shard/persistence/mod.rs
+++ b/src/coordination/shard/persistence/mod.rs
@@ -1,15 +1,15 @@
 //! Durable writes of the shard to the key-value store.
 //!
-//! [`WriteQueue`] owns everything that waits to be written and decides what the next
-//! transaction holds: the roster of machines, other durable records (rentals,
+//! [`WriteQueue`] owns everything that waits to be written and selects the contents of the next
+//! transaction: the roster of machines, other durable records (rentals,
 //! delegations) and the chunks of the shard's snapshot. The shard calls it whenever it
-//! reconciles, and whenever the store has answered a transaction; the files `records`,
-//! `flush` and `snapshots` connect the two. Nothing here talks to the store: transactions
-//! leave as [`Action::Write`](super::Action::Write).
+//! reconciles, and whenever the store has answered a transaction; the modules `records`,
+//! `flush` and `snapshots` connect the queue to the shard. Nothing here accesses the store: each
+//! transaction is emitted as an [`Action::Write`](super::Action::Write).
 //!
 //! Invariants: at most one transaction is in flight, so that the shard's sequence number
-//! orders them all; what a record permits (tasks on a machine, a deletion, a rental)
-//! follows only once the record is durable.
+//! orders them all; the shard acts on a record (starts tasks on a machine, deletes a machine,
+//! requests a rental) only once the record is durable.
 
 mod flush;
 mod records;
--- a/src/coordination/shard/persistence/records.rs
+++ b/src/coordination/shard/persistence/records.rs
@@ -1,4 +1,4 @@
-//! The records that must be durable before the shard acts on them.
+//! Queues the records that must be durable before the shard acts on them.
 
 use super::shard_write::WritePurpose;
 use crate::coordination::shard::{Machine, Shard};
@@ -41,8 +41,8 @@
         self.writes.remove_roster_entry(id);
     }
 
-    /// Records a rental before it is requested from the cloud, so that a failover repeats the
-    /// same idempotent request.
+    /// Records a rental before it is requested from the cloud, so that after a failover the new
+    /// leader repeats the same idempotent request.
     pub(in crate::coordination::shard) fn record_scale_out(&mut self, rental: &Rental) {
         let record = RentalRecord {
             format_version: FORMAT_VERSION,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Deletes the record of a rental that the cloud has answered.
+    /// Deletes the record of a rental whose request the cloud has answered.
     pub(in crate::coordination::shard) fn clear_scale_out(&mut self, request: &str) {
         self.writes.push_record(
             WritePurpose::ClearScaleOut(request.to_owned()),
--- a/src/coordination/shard/persistence/shard_write.rs
+++ b/src/coordination/shard/persistence/shard_write.rs
@@ -1,4 +1,4 @@
-//! A transaction on the shard's keys, and what it is for.
+//! Transactions on the shard's keys, and the purposes of their mutations.
 
 use serde_json::Value;
 
@@ -6,7 +6,7 @@
 use crate::protocol::cloud::Rental;
 use crate::protocol::kv::Mutation;
 
-/// What follows once a mutation is durable.
+/// The purpose of a mutation: what the shard may do once it is durable.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WritePurpose {
     /// The machine may get tasks.
@@ -15,42 +15,44 @@
     Delete(MachineId),
     /// The rental may be requested.
     RecordScaleOut(Rental),
-    /// Nothing: the request with this id needs no record any more.
+    /// Nothing follows: the rental request with this id no longer needs a record.
     ClearScaleOut(String),
-    /// Nothing: the delegation counts from the moment its write is queued.
+    /// Nothing follows: the delegation counts from the moment its write is queued.
     Delegate,
-    /// The delegation to this node ends within the time for which delegates act on a read.
+    /// The delegation to this node ends once the time for which a delegate acts on a read of its
+    /// record has passed.
     RevokeDelegation(String),
-    /// The store holds this chunk of the snapshot; none if it was deleted.
+    /// The store holds this chunk of the snapshot, or has deleted it.
     SnapshotChunk {
         /// The chunk's key.
         key: String,
-        /// Its new value.
+        /// Its new value; None if the chunk was deleted.
         value: Option<Value>,
     },
 }
 
 impl WritePurpose {
-    /// Whether it follows from pages of the roster. Several entries share a page, so these
+    /// Whether this is the purpose of a roster entry. Several entries share a page, so these
     /// purposes have no mutation of their own; each other purpose has exactly one.
-    pub(super) fn is_of_roster(&self) -> bool {
+    pub(super) fn is_roster_purpose(&self) -> bool {
         matches!(self, Self::Admit(_) | Self::Delete(_))
     }
 }
 
-/// One transaction on the shard's keys. The writer adds the shard's sequence number.
+/// One transaction on the shard's keys. The code that sends it adds the mutation of the shard's
+/// sequence number.
 ///
-/// The roster's pages and their purposes come first. The mutations behind them stand in
-/// the same order as their purposes.
+/// The roster's pages come first among the mutations, and their purposes first among the purposes.
+/// The other mutations are in the same order as their purposes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ShardWrite {
-    /// What follows once it is applied.
+    /// What the shard may do once the transaction is applied.
     pub purposes: Vec<WritePurpose>,
-    /// What it changes.
+    /// The changes of keys, without that of the sequence number.
     pub mutations: Vec<Mutation>,
 }
 
-/// A mutation that waits to be written, and what follows from it.
+/// A mutation that waits to be written, and its purpose.
 #[derive(Debug, Clone)]
 pub(super) struct PendingWrite {
     pub purpose: WritePurpose,
--- a/src/coordination/shard/persistence/snapshot_rounds.rs
+++ b/src/coordination/shard/persistence/snapshot_rounds.rs
@@ -1,4 +1,4 @@
-//! Rounds in which the shard's snapshot is written to the key-value store.
+//! Rounds of writing the shard's snapshot to the key-value store, each in several transactions.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -9,7 +9,7 @@
 use crate::protocol::kv::Mutation;
 use crate::protocol::{AttemptId, MachineId};
 
-/// A completed attempt that its worker may clear once a snapshot holds the completion.
+/// A completed attempt that its worker may clear once a stored snapshot holds the completion.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct CompletedAttempt {
     pub machine: MachineId,
@@ -18,35 +18,35 @@
 
 /// The stored snapshot and the round that brings it up to date.
 ///
-/// Invariant: chunks wait only while a round is under way, and the round ends only when
-/// none does. Whatever was covered by a round is durable once it ends.
+/// Invariant: chunks wait only while a round is under way, and the round ends only when no chunk
+/// waits. All changes that a round covers are durable once it ends.
 #[derive(Debug, Default)]
 pub(super) struct SnapshotRounds {
-    /// The chunks that the store holds, by key.
+    /// The chunks that the store holds, by their keys.
     stored: BTreeMap<String, Value>,
     round: Round,
 }
 
-/// The state of the present round.
+/// The state of the current round.
 #[derive(Debug)]
 enum Round {
-    /// None is under way.
+    /// No round is under way.
     Idle {
-        /// When the last one started; none if the next is due at once.
+        /// When the last round started; None if the next one is due at once.
         last_started: Option<Instant>,
-        /// When the oldest change was made that no snapshot holds.
+        /// When the oldest change that the stored snapshot lacks was made; None if it has all.
         dirty_since: Option<Instant>,
     },
     /// Chunks are being written.
     UnderWay {
         started: Instant,
-        /// When the oldest change was made that this round covers.
+        /// When the oldest change that this round covers was made; None if it covers none.
         dirty_since: Option<Instant>,
-        /// When the oldest change was made that this round doesn't cover.
+        /// When the oldest change that this round doesn't cover was made; None if there is none.
         dirty_after: Option<Instant>,
         /// The completions that this round makes durable.
         covered: Vec<CompletedAttempt>,
-        /// Chunks that are not yet in a transaction, in the order of their writing.
+        /// Chunks that are not yet in a transaction, in the order in which they are written.
         waiting: VecDeque<PendingWrite>,
     },
 }
@@ -61,7 +61,7 @@
 }
 
 impl SnapshotRounds {
-    /// The chunks that were read from the store; no round is under way.
+    /// The state after these chunks were read from the store; no round is under way.
     pub(super) fn recovered(stored: BTreeMap<String, Value>) -> Self {
         Self {
             stored,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Whether the next round should start: none is under way and the last one started at
+    /// Whether the next round should start: no round is under way, and the last one started at
     /// least `interval` ago.
     pub(super) fn is_due(&self, interval: Duration, now: Instant) -> bool {
         match self.round {
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Starts a round that makes the store's snapshot equal to `encoded`, and so makes the
-    /// `covered` completions durable. Only chunks that changed are written.
+    /// Starts a round that makes the store's snapshot equal to `encoded`, which makes the `covered`
+    /// completions durable. Only chunks that changed are written.
     pub(super) fn begin(
         &mut self,
         encoded: &BTreeMap<String, Value>,
@@ -100,11 +100,12 @@
         };
     }
 
-    /// The writes from what is stored to what was encoded.
+    /// The writes that turn the stored chunks into the encoded ones.
     ///
-    /// What a chunk no longer holds has to be written elsewhere first, since a failover may
-    /// come between two transactions: to a later chunk where there are more of them than
-    /// before (jobs were added, or the limits were lowered), else to an earlier one.
+    /// Since a failover may occur between two transactions, an entry that moves to another chunk
+    /// has to be written there before its old chunk is overwritten. Entries move to later chunks
+    /// if there are more chunks than before (jobs were added, or the limits were lowered), and
+    /// otherwise to earlier ones.
     fn changed_chunks(&self, encoded: &BTreeMap<String, Value>) -> VecDeque<PendingWrite> {
         let mut chunks: Vec<_> = encoded.iter().collect();
         if encoded.len() > self.stored.len() {
@@ -122,7 +123,7 @@
         changed.chain(dropped).collect()
     }
 
-    /// Something changed that a snapshot has to hold.
+    /// Records a change that a snapshot has to hold.
     pub(super) fn note_change(&mut self, now: Instant) {
         let oldest = match &mut self.round {
             Round::Idle { dirty_since, .. } => dirty_since,
@@ -131,7 +132,7 @@
         oldest.get_or_insert(now);
     }
 
-    /// For how long the oldest change has not been durable; zero if all are.
+    /// Time since the oldest change that is not durable yet; zero if all changes are durable.
     pub(super) fn unrecorded_for(&self, now: Instant) -> Duration {
         let (Round::Idle { dirty_since, .. } | Round::UnderWay { dirty_since, .. }) = &self.round;
         dirty_since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
@@ -145,7 +146,7 @@
         }
     }
 
-    /// The chunk that is to be written next.
+    /// The chunk to be written next.
     pub(super) fn next_chunk(&self) -> Option<&PendingWrite> {
         match &self.round {
             Round::Idle { .. } => None,
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Takes the chunk that is to be written next.
+    /// Removes and returns the chunk to be written next.
     pub(super) fn take_chunk(&mut self) -> Option<PendingWrite> {
         match &mut self.round {
             Round::Idle { .. } => None,
@@ -161,7 +162,7 @@
         }
     }
 
-    /// The store holds this chunk now, or no longer if there is no value.
+    /// Records that the store now holds this chunk, or has deleted it if there is no value.
     pub(super) fn chunk_stored(&mut self, key: &str, value: Option<&Value>) {
         match value {
             Some(value) => self.stored.insert(key.to_owned(), value.clone()),
@@ -169,8 +170,8 @@
         };
     }
 
-    /// Ends the round if all its chunks are stored; returns the completions that are
-    /// durable from now on. Called only while no transaction is in flight.
+    /// Ends the round if all its chunks are stored, and returns the completions that this makes
+    /// durable. Called only while no transaction is in flight.
     pub(super) fn complete(&mut self) -> Option<Vec<CompletedAttempt>> {
         let Round::UnderWay {
             started,
@@ -193,8 +194,8 @@
         Some(covered)
     }
 
-    /// Abandons the round, if one is under way: the next starts at once and encodes the
-    /// snapshot anew.
+    /// Abandons the round, if one is under way: the next round is due at once and encodes the
+    /// snapshot again.
     pub(super) fn abort(&mut self) {
         if let Round::UnderWay {
             dirty_since,
--- a/src/coordination/shard/persistence/snapshots.rs
+++ b/src/coordination/shard/persistence/snapshots.rs
@@ -1,4 +1,4 @@
-//! What the shard's snapshot holds, and what its workers may clear once it is stored.
+//! Builds the shard's snapshot, and lets workers clear completed attempts once it is stored.
 
 use std::time::Instant;
 
@@ -7,15 +7,15 @@
 use crate::protocol::workers::AttemptOutcome;
 use crate::storage::snapshot::{self, SnapshotRow, TaskPlacement};
 
-/// About how many bytes a placement takes in a snapshot.
+/// Approximate size of a placement in a snapshot.
 const PLACEMENT_BYTES: usize = 18;
-/// About how many bytes a job with placements takes beside these.
+/// Approximate size in a snapshot of a job with placements, without the placements themselves.
 const JOB_BYTES: usize = 54;
-/// Share of the staleness bound that writing all placements may take.
+/// Largest share of the staleness bound that writing all placements may take.
 const PLACEMENT_TIME_SHARE: f64 = 0.5;
 
 impl Shard {
-    /// Encodes a snapshot and queues the chunks of it that changed.
+    /// Encodes a snapshot and queues those of its chunks that changed.
     pub(super) fn begin_snapshot_round(&mut self, now: Instant) {
         let with_placements = self.placements_fit();
         let unfinished = self.jobs.values().filter(|job| job.final_stage.is_none());
@@ -39,8 +39,8 @@
     }
 
     /// Whether a snapshot with all placements can be written well before changes count as
-    /// stale. Completions have to be in every snapshot. Placements are only a hint to the
-    /// next leader, which rebuilds them from heartbeats, and must not hold up the starts.
+    /// stale. Completions have to be in every snapshot. Placements are only a hint to the next
+    /// leader, which rebuilds them from heartbeats, and writing them must not delay task starts.
     fn placements_fit(&self) -> bool {
         let bytes: usize = self.jobs.values().map(placement_bytes).sum();
         let seconds = self.policy.staleness.as_secs_f64() * PLACEMENT_TIME_SHARE;
@@ -49,7 +49,8 @@
         bytes as f64 <= writable_bytes
     }
 
-    /// The completed attempts that their workers may not clear yet.
+    /// The completed attempts that workers may not clear yet, as no stored snapshot holds their
+    /// completion.
     fn unrecorded_completions(&self) -> Vec<CompletedAttempt> {
         let mut completed = Vec::new();
         for machine in self.machines.values() {
@@ -76,7 +77,7 @@
     }
 }
 
-/// The machines of a job's tasks, by task index.
+/// The placements of a job's tasks, in the order of the tasks' indices.
 fn placements(job: &Job) -> Vec<TaskPlacement> {
     let live = job.live().iter();
     let mut placed: Vec<TaskPlacement> = live
@@ -89,7 +90,7 @@
     placed
 }
 
-/// About how many bytes a job's placements take in a snapshot.
+/// Approximate size in a snapshot of a job's placements, zero if it has none.
 fn placement_bytes(job: &Job) -> usize {
     match job.live().len() {
         0 => 0,
--- a/src/coordination/shard/persistence/token_bucket.rs
+++ b/src/coordination/shard/persistence/token_bucket.rs
@@ -12,8 +12,8 @@
 }
 
 impl TokenBucket {
-    /// Adds what has accrued since the last refill, up to `capacity` tokens. The first
-    /// refill gives one second's worth.
+    /// Adds the tokens accrued since the last refill, up to a balance of `capacity`. The first
+    /// refill sets the balance to the tokens of one second.
     pub(super) fn refill(&mut self, rate_per_s: f64, capacity: f64, now: Instant) {
         self.tokens = match self.refilled_at {
             Some(last) => {
@@ -25,7 +25,7 @@
         self.refilled_at = Some(now);
     }
 
-    /// Tokens left; negative while a debt is paid off.
+    /// The balance; negative while a debt is paid off.
     pub(super) fn available(&self) -> f64 {
         self.tokens
     }
--- a/src/coordination/shard/persistence/transaction.rs
+++ b/src/coordination/shard/persistence/transaction.rs
@@ -1,17 +1,17 @@
-//! Putting one transaction together within the store's limits.
+//! Builds a transaction within the store's limits.
 
 use super::shard_write::{PendingWrite, ShardWrite, WritePurpose};
 use crate::protocol::kv::Mutation;
 
-/// Bytes of mutations planned for one transaction. The store takes 64 KiB in all; the
-/// rest is left for the sequence number, the preconditions and the frame.
+/// Most bytes of mutations in one transaction. The store accepts requests of up to 64 KiB; the
+/// rest is reserved for the sequence number, the preconditions and the framing.
 const MAX_TXN_BYTES: usize = 48 * 1024;
-/// Bytes that a mutation takes in a request beside its key and value.
+/// Bytes that a mutation takes in a request in addition to its key and value.
 const MUTATION_FRAME_BYTES: usize = 32;
-/// Mutations of every transaction that the shard's sequence number takes.
+/// Mutations reserved in every transaction for the shard's sequence number.
 const SEQUENCE_MUTATIONS: usize = 1;
 
-/// A transaction that is being put together.
+/// A transaction that is being built.
 #[derive(Debug)]
 pub(super) struct TransactionBuilder {
     purposes: Vec<WritePurpose>,
@@ -22,7 +22,7 @@
 }
 
 impl TransactionBuilder {
-    /// An empty transaction, for a store that takes `txn_ops` mutations in one.
+    /// An empty transaction, for a store that accepts `txn_ops` mutations in a transaction.
     pub(super) fn new(txn_ops: usize) -> Self {
         Self {
             purposes: Vec::new(),
@@ -33,27 +33,27 @@
         }
     }
 
-    /// How many mutations it may hold.
+    /// How many mutations the transaction may hold, without that of the sequence number.
     pub(super) fn max_mutations(&self) -> usize {
         self.max_mutations
     }
 
-    /// Whether it holds nothing yet.
+    /// Whether the transaction holds no mutation yet.
     pub(super) fn is_empty(&self) -> bool {
         self.mutations.is_empty()
     }
 
-    /// Whether it holds nothing but chunks of the snapshot.
+    /// Whether the transaction holds only chunks of the snapshot.
     pub(super) fn is_snapshot_only(&self) -> bool {
         self.snapshot_only
     }
 
-    /// Whether a mutation whose value takes up to `value_bytes` can be added for certain.
+    /// Whether any mutation whose value takes at most `value_bytes` can be added.
     pub(super) fn has_room_for_value(&self, value_bytes: usize) -> bool {
         self.has_room() && self.bytes + value_bytes <= MAX_TXN_BYTES
     }
 
-    /// Whether this mutation can be added. A single one of any size can.
+    /// Whether this mutation can be added. The first mutation may have any size.
     pub(super) fn has_room_for(&self, mutation: &Mutation) -> bool {
         let within_bytes = self.bytes + mutation_size(mutation) <= MAX_TXN_BYTES;
         self.has_room() && (within_bytes || self.is_empty())
@@ -69,7 +69,7 @@
         self.push_mutation(mutation);
     }
 
-    /// Adds what follows once the roster's pages are durable.
+    /// Moves the purposes of the roster's pages into the transaction.
     pub(super) fn append_roster_purposes(&mut self, purposes: &mut Vec<WritePurpose>) {
         self.purposes.append(purposes);
     }
@@ -95,7 +95,7 @@
         self.mutations.push(mutation);
     }
 
-    /// The transaction, ready to be sent.
+    /// Returns the finished transaction.
     pub(super) fn build(self) -> ShardWrite {
         ShardWrite {
             purposes: self.purposes,
@@ -104,7 +104,7 @@
     }
 }
 
-/// About how many bytes a mutation takes in a request.
+/// Approximate size of a mutation in a request.
 fn mutation_size(mutation: &Mutation) -> usize {
     let payload = match mutation {
         Mutation::Put { key, value, .. } => key.len() + value.to_string().len(),
--- a/src/coordination/shard/persistence/write_limits.rs
+++ b/src/coordination/shard/persistence/write_limits.rs
@@ -1,24 +1,24 @@
-//! The limits of the key-value store and the budgets of the shard's writes.
+//! The key-value store's limits, and the rates at which the shard may write.
 
 use std::time::Duration;
 
 use crate::coordination::shard::Policy;
 
-/// Least burst of snapshot chunks, in mutations: one chunk and the sequence number.
+/// Smallest burst for snapshots, in mutations: one chunk and the sequence number.
 const MIN_CHUNK_BURST: f64 = 2.0;
 
-/// What the store takes at a time, and how fast it may be written to.
+/// Limits on the size, rate and frequency of the shard's writes.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct WriteLimits {
-    /// Mutations in one transaction, with that of the sequence number.
+    /// Most mutations in one transaction, including that of the sequence number.
     pub txn_ops: usize,
-    /// Bytes of one value.
+    /// Most bytes of one value.
     pub value_bytes: usize,
-    /// Mutations a second for snapshots.
+    /// Most mutations a second for snapshots.
     pub snapshot_writes_per_s: f64,
-    /// Mutations a second for all other records.
+    /// Most mutations a second for all other records.
     pub record_writes_per_s: f64,
-    /// Least time from the start of one snapshot round to the start of the next.
+    /// Shortest time from the start of one snapshot round to the start of the next.
     pub snapshot_interval: Duration,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl WriteLimits {
-    /// The most chunks that the budget ever allows at once, in mutations.
+    /// The largest balance of the snapshot budget, in mutations.
     pub(super) fn chunk_burst(&self) -> f64 {
         self.snapshot_writes_per_s.max(MIN_CHUNK_BURST)
     }
--- a/src/coordination/shard/persistence/write_queue.rs
+++ b/src/coordination/shard/persistence/write_queue.rs
@@ -1,4 +1,5 @@
-//! The queue of durable writes: what the next transaction on the shard's keys holds.
+//! The queue of durable writes, which selects the contents of the next transaction on the shard's
+//! keys.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -15,40 +16,40 @@
 use crate::storage::records::RosterRecord;
 use crate::storage::roster::Roster;
 
-/// What is to be done next about durable writes.
+/// The next step of writing durable state.
 #[derive(Debug)]
 pub(super) enum NextWrite {
     /// Send this transaction.
     Send(ShardWrite),
-    /// The whole snapshot is stored, and with it these completions.
+    /// The whole snapshot is stored, which makes these completions durable.
     SnapshotStored(Vec<CompletedAttempt>),
 }
 
 /// All writes of the shard that are not durable yet, and their budgets.
 ///
-/// Invariant: while a transaction is in flight, no other is handed out; each one handed out
-/// is answered by [`Self::written`] or [`Self::refused`].
+/// Invariant: while a transaction is in flight, [`Self::next`] returns no other; for each one that
+/// it returned, the caller reports the result by [`Self::written`] or [`Self::refused`].
 ///
-/// The queues have no bound of their own: each entry stands for one change of a machine, a
-/// rental or a delegation, or for one chunk of the snapshot.
+/// The queues have no length limit: each entry corresponds to one change of a machine, a rental or
+/// a delegation, or to one chunk of the snapshot.
 #[derive(Debug, Default)]
 pub(in crate::coordination::shard) struct WriteQueue {
-    /// Rentals and delegations, oldest first.
+    /// Records of rentals and delegations, oldest first.
     records: VecDeque<PendingWrite>,
     /// The machines that may hold tasks.
     roster: Roster,
-    /// What follows once all changed pages of the roster are durable.
+    /// The purposes of the roster's changed pages, applied once all of these pages are durable.
     roster_purposes: Vec<WritePurpose>,
     snapshots: SnapshotRounds,
-    /// Budget of snapshots: mutations with chunks, and sequence numbers for these alone.
+    /// Budget for snapshot chunks, and for the sequence numbers of transactions with nothing else.
     snapshot_budget: TokenBucket,
-    /// Budget of all other records. While it is in debt they wait, and gather.
+    /// Budget for all other records, which wait and accumulate while it is in debt.
     record_budget: TokenBucket,
     in_flight: bool,
 }
 
 impl WriteQueue {
-    /// The queue of a new leader: the store holds these chunks of a snapshot.
+    /// The queue of a new leader that has read these chunks of a snapshot from the store.
     pub(crate) fn recovered(chunks: BTreeMap<String, Value>) -> Self {
         Self {
             snapshots: SnapshotRounds::recovered(chunks),
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Takes in an entry of a page of the stored roster.
+    /// Adds an entry that was read from a page of the stored roster.
     pub(crate) fn load_roster_entry(
         &mut self,
         page: u32,
@@ -66,17 +67,17 @@
         self.roster.load(page, machine, record);
     }
 
-    /// Progress of a task that a snapshot has to hold.
+    /// Records a change of a task's progress, which a snapshot has to hold.
     pub(crate) fn progress_changed(&mut self, now: Instant) {
         self.snapshots.note_change(now);
     }
 
-    /// Whether some progress has not been durable for longer than `bound`.
+    /// Whether some change of progress was made more than `bound` ago and is still not durable.
     pub(crate) fn is_stale(&self, now: Instant, bound: Duration) -> bool {
         self.snapshots.unrecorded_for(now) > bound
     }
 
-    /// The queues and the snapshot budget, as text for operators.
+    /// Describes the queues and the snapshot budget as text for operators.
     pub(crate) fn describe(&self, now: Instant) -> String {
         format!(
             "writes: {} records, {} roster entries and {} chunks wait, {:.0} chunks allowed now, unrecorded for {:?}",
@@ -93,8 +94,7 @@
         self.records.push_back(PendingWrite { purpose, mutation });
     }
 
-    /// Enters a machine into the roster or changes its entry; `value_bytes` is the most
-    /// that a page may take.
+    /// Adds a machine to the roster or changes its entry. A page takes at most `value_bytes`.
     pub(super) fn put_roster_entry(
         &mut self,
         machine: &MachineId,
@@ -111,7 +111,7 @@
         self.roster.remove(machine);
     }
 
-    /// Adds to the budgets what has accrued since the last call.
+    /// Adds the tokens accrued since the last call to the budgets.
     pub(super) fn refill_budgets(&mut self, limits: &WriteLimits, now: Instant) {
         let chunk_burst = limits.chunk_burst();
         self.snapshot_budget
@@ -135,8 +135,8 @@
         self.snapshots.begin(encoded, covered, now);
     }
 
-    /// The next transaction, unless one is in flight. If nothing is left to write, the end
-    /// of the snapshot round under way.
+    /// Returns the next transaction, or None while one is in flight. If nothing is left to write,
+    /// ends the snapshot round that is under way.
     pub(super) fn next(&mut self, limits: &WriteLimits) -> Option<NextWrite> {
         if self.in_flight {
             return None;
@@ -145,13 +145,13 @@
         if transaction.is_empty() {
             return self.snapshots.complete().map(NextWrite::SnapshotStored);
         }
-        self.budget_of(&transaction).spend_one();
+        self.sequence_budget(&transaction).spend_one();
         self.in_flight = true;
         Some(NextWrite::Send(transaction.build()))
     }
 
-    /// The budget that the transaction's sequence number is taken from.
-    fn budget_of(&mut self, transaction: &TransactionBuilder) -> &mut TokenBucket {
+    /// The budget from which the transaction's sequence number is paid.
+    fn sequence_budget(&mut self, transaction: &TransactionBuilder) -> &mut TokenBucket {
         if transaction.is_snapshot_only() {
             &mut self.snapshot_budget
         } else {
@@ -166,15 +166,15 @@
             self.take_roster_pages(limits, &mut transaction);
             self.take_records(&mut transaction);
         }
-        // Records go first; chunks take what is left of a transaction.
+        // Records go first; chunks fill the rest of a transaction.
         if !records_allowed || self.records.is_empty() {
             self.take_chunks(limits, &mut transaction);
         }
         transaction
     }
 
-    /// Takes changed pages of the roster. What follows from the entries follows once all
-    /// pages are in this or an earlier transaction.
+    /// Moves changed pages of the roster into the transaction. The purposes of their entries are
+    /// added once all changed pages are in this or an earlier transaction.
     fn take_roster_pages(&mut self, limits: &WriteLimits, transaction: &mut TransactionBuilder) {
         while self.roster.has_mutations() && transaction.has_room_for_value(limits.value_bytes) {
             if let Some(page) = self.roster.next_mutation(limits.value_bytes) {
@@ -196,8 +196,9 @@
         }
     }
 
-    /// Takes chunks of the snapshot. They go along with records, or wait until the budget
-    /// allows a full transaction: one for each chunk would spend as much on sequence numbers.
+    /// Moves chunks of the snapshot into the transaction. Chunks are added to records, or wait
+    /// until the budget allows a full transaction of chunks: a transaction for each chunk would
+    /// spend as much of the budget on sequence numbers as on chunks.
     fn take_chunks(&mut self, limits: &WriteLimits, transaction: &mut TransactionBuilder) {
         let chunks = self
             .snapshots
@@ -218,7 +219,7 @@
         }
     }
 
-    /// The transaction in flight was applied.
+    /// Records that the transaction in flight was applied.
     pub(super) fn written(&mut self, write: &ShardWrite) {
         self.in_flight = false;
         for purpose in &write.purposes {
@@ -228,13 +229,13 @@
         }
     }
 
-    /// The store refused the transaction in flight as too large. Its records and pages of
-    /// the roster are queued again; the snapshot is encoded again, within the new limits.
+    /// Records that the store refused the transaction in flight as too large. Its records and
+    /// roster pages are queued again; the snapshot is encoded again within the new limits.
     pub(super) fn refused(&mut self, write: &ShardWrite) {
         self.in_flight = false;
         let mut mutations = self.requeue_roster_pages(write).into_iter();
         for purpose in &write.purposes {
-            if purpose.is_of_roster() {
+            if purpose.is_roster_purpose() {
                 self.roster_purposes.push(purpose.clone());
                 continue;
             }
@@ -256,7 +257,7 @@
         let mut others = Vec::new();
         for mutation in &write.mutations {
             let (Mutation::Put { key, .. } | Mutation::Delete { key }) = mutation;
-            if !self.roster.not_written(key) {
+            if !self.roster.mark_unwritten(key) {
                 others.push(mutation);
             }
         }
--- a/src/storage/roster.rs
+++ b/src/storage/roster.rs
@@ -1,9 +1,9 @@
 //! The roster: all machines that may have tasks, as the leader wants them stored.
 //!
-//! A new leader loads it to know of which machines it has to await a heartbeat before their tasks
-//! may start elsewhere. So a machine is entered before its first task, and removed after its
-//! last. Many machines share a page, a value of the store, so that one write admits or removes
-//! all that come or go together.
+//! A new leader loads the roster to learn from which machines it has to await a heartbeat before
+//! tasks that may be on them can start elsewhere. So a machine is added to the roster before its
+//! first task, and removed after its last. Many machines share a page, which is one value of the
+//! store, so that one write adds or removes all machines that are admitted or deleted together.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,9 +15,9 @@
 use crate::protocol::MachineId;
 use crate::protocol::kv::Mutation;
 
-/// Bytes of a page that are kept free for what surrounds its entries.
+/// Bytes of a page that are reserved for the fields around its entries.
 const ROSTER_PAGE_OVERHEAD_BYTES: usize = 64;
-/// Bytes that an entry takes beside its name and record: two quotes, a colon and a comma.
+/// Bytes that an entry takes in addition to its name and record: two quotes, a colon and a comma.
 const ROSTER_ENTRY_OVERHEAD_BYTES: usize = 4;
 
 /// One stored page.
@@ -32,7 +32,7 @@
 #[derive(Debug, Default)]
 struct Page {
     machines: BTreeMap<MachineId, RosterRecord>,
-    /// Bytes of all its entries.
+    /// Total size of the page's entries.
     bytes: usize,
 }
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Removes the last entries until the others fit; one entry always stays.
+    /// Removes and returns the last entries until the others fit; at least one entry stays.
     fn remove_excess(&mut self, capacity: usize) -> Vec<(MachineId, RosterRecord)> {
         let mut removed = Vec::new();
         while self.bytes > capacity
@@ -66,40 +66,41 @@
     }
 }
 
-/// The roster as it should be stored, and which of its pages have to be written for that.
+/// The roster as it should be stored, and the pages that have to be written to reach this state.
 ///
 /// Every machine is on exactly one page.
 #[derive(Debug, Default)]
 pub struct Roster {
     pages: BTreeMap<u32, Page>,
+    /// The number of the page that holds each machine.
     page_of: BTreeMap<MachineId, u32>,
-    /// Pages that differ from what is stored.
+    /// Pages that differ from the stored ones.
     changed: BTreeSet<u32>,
-    /// Changed pages of which some entries were moved to others. They are written last, so that
-    /// no machine is missing from the store in between.
+    /// Changed pages from which entries were moved to other pages. They are written last, so that
+    /// no machine is ever missing from the store.
     shrinking: BTreeSet<u32>,
 }
 
-/// Decodes one stored page.
+/// Decodes the entries of one stored page, by machine id.
 pub fn decode_page(value: &Value) -> Result<BTreeMap<String, RosterRecord>, serde_json::Error> {
     StoredPage::deserialize(value).map(|page| page.machines)
 }
 
-/// Bytes that an entry takes of a page.
+/// Size of an entry in a page.
 fn entry_bytes(id: &str, record: &RosterRecord) -> usize {
     let record = serde_json::to_vec(record).map_or(0, |text| text.len());
     id.len() + record + ROSTER_ENTRY_OVERHEAD_BYTES
 }
 
-/// Bytes of a page's entries, for a value of at most `value_bytes`.
+/// Most bytes of entries in a page whose value takes at most `value_bytes`.
 fn page_capacity(value_bytes: usize) -> usize {
     value_bytes.saturating_sub(ROSTER_PAGE_OVERHEAD_BYTES)
 }
 
 impl Roster {
-    /// Adds an entry of a stored page. A machine may be on two stored pages, since its page was
-    /// being split when its leader's term ended: it stays on the one loaded first, and the other
-    /// has to be written again.
+    /// Adds an entry of a stored page. A machine is on two stored pages if an earlier leader's term
+    /// ended while it was splitting the machine's page: the machine then stays on the page that is
+    /// loaded first, and the other page has to be written again.
     pub fn load(&mut self, page: u32, id: MachineId, record: RosterRecord) {
         let target = self.pages.entry(page).or_default();
         if self.page_of.contains_key(&id) {
@@ -110,18 +111,18 @@
         self.page_of.insert(id, page);
     }
 
-    /// Adds a machine or replaces its entry, on the first page with enough capacity.
-    /// `value_bytes` is the most that a page may take.
+    /// Adds a machine or replaces its entry, on the first page with enough capacity. A page takes
+    /// at most `value_bytes`.
     pub fn put(&mut self, id: &MachineId, record: RosterRecord, value_bytes: usize) {
         self.remove(id);
         let bytes = entry_bytes(id, &record);
         let capacity = page_capacity(value_bytes);
-        let free = (0..).find(|number| {
+        let first_with_capacity = (0..).find(|number| {
             self.pages
                 .get(number)
                 .is_none_or(|page| page.has_capacity_for(bytes, capacity))
         });
-        let number = free.unwrap_or(u32::MAX);
+        let number = first_with_capacity.unwrap_or(u32::MAX);
         let page = self.pages.entry(number).or_default();
         page.insert(id.clone(), record);
         self.page_of.insert(id.clone(), number);
@@ -139,8 +140,8 @@
         self.changed.insert(number);
     }
 
-    /// Moves entries off changed pages that take more than a value may: what was written under a
-    /// larger limit can't be written again as it is.
+    /// Moves entries from changed pages that take more than `value_bytes` to other pages: a page
+    /// that was written under a larger limit can't be written again unchanged.
     fn split_oversized(&mut self, value_bytes: usize) {
         let capacity = page_capacity(value_bytes);
         let oversized: Vec<u32> = self
@@ -165,8 +166,9 @@
         }
     }
 
-    /// Marks the page with this key as not written after all; false if it is no page's key.
-    pub fn not_written(&mut self, key: &str) -> bool {
+    /// Marks the page with this key as changed, since its write has failed; returns false if the
+    /// key is not that of a roster page.
+    pub fn mark_unwritten(&mut self, key: &str) -> bool {
         let page = key.strip_prefix(&keys::roster_prefix());
         let Some(number) = page.and_then(|page| page.parse().ok()) else {
             return false;
@@ -180,8 +182,8 @@
         !(self.changed.is_empty() && self.shrinking.is_empty())
     }
 
-    /// The mutation that writes the next changed page, which then counts as written; None if no
-    /// page is left. `value_bytes` is the most that a page may take.
+    /// Returns the mutation that writes the next changed page, and marks the page as written; None
+    /// if no changed page is left. A page takes at most `value_bytes`.
     pub fn next_mutation(&mut self, value_bytes: usize) -> Option<Mutation> {
         self.split_oversized(value_bytes);
         let number = self
