--- a/src/storage/inventory.rs
+++ b/src/storage/inventory.rs
@@ -1,10 +1,10 @@
 //! The layout of a delegate's inventory: the heartbeats of delegated workers, as values of the
 //! key-value store, from which the leader reconciles machines that it can't reach.
 //!
-//! A page has whole heartbeats. One that is larger than a value may be, which can only be since
-//! the limits were lowered, is split into parts, each on a page of its own. Versions that don't
-//! know parts ignore them, and so never take a part for a whole heartbeat: they reconcile the
-//! machine once its worker's lease has expired.
+//! A page normally holds whole heartbeats. A heartbeat that exceeds the limit on values, which is
+//! possible only after the limit was lowered, is split into parts, each on a page of its own.
+//! Versions that don't know parts ignore them, and so never mistake a part for a whole heartbeat:
+//! they reconcile the machine once its worker's lease has expired.
 
 use std::collections::BTreeMap;
 
@@ -12,15 +12,16 @@
 use crate::protocol::FencingToken;
 use crate::protocol::workers::{TaskStatus, WorkerHeartbeat};
 
-/// Bytes of a page that are kept free for what surrounds its heartbeats.
+/// Bytes of a page that are reserved for the fields around its heartbeats.
 const INVENTORY_PAGE_OVERHEAD_BYTES: usize = 96;
-/// Bytes of a page with a part that are kept free for the part's own fields.
+/// Bytes of a page with a part that are reserved for the part's own fields.
 const PART_OVERHEAD_BYTES: usize = 128;
-/// What counts as the size of a value that can't be encoded: more than any page has, and far
-/// from an overflow when a few are added.
+/// Assumed size of a value that can't be encoded: larger than any page, but small enough that the
+/// sum of a few such sizes doesn't overflow.
 const UNENCODABLE_BYTES: usize = usize::MAX / 4;
 
-/// Pages that are written together: one of whole heartbeats, or all parts of one heartbeat.
+/// Pages that are written together: one page of whole heartbeats, or the pages with all parts of
+/// one heartbeat.
 #[derive(Debug)]
 pub struct InventoryBatch {
     /// The pages.
@@ -29,7 +30,7 @@
     pub heartbeats: Vec<WorkerHeartbeat>,
 }
 
-/// The latest heartbeats of delegated workers, by machine, that are on no page yet.
+/// The latest heartbeats of delegated workers that are not in a batch yet, by machine.
 #[derive(Debug, Default)]
 pub struct PendingHeartbeats {
     heartbeats: BTreeMap<String, WorkerHeartbeat>,
@@ -46,7 +47,7 @@
         self.heartbeats.clear();
     }
 
-    /// Returns heartbeats that could not be written, except where there is a newer one.
+    /// Adds heartbeats that could not be written again, except those of machines with a newer one.
     pub fn put_back(&mut self, heartbeats: Vec<WorkerHeartbeat>) {
         for heartbeat in heartbeats {
             self.heartbeats
@@ -55,9 +56,9 @@
         }
     }
 
-    /// Takes the next heartbeats that fit a value of this size together, or one that has to be
-    /// split; None if none are pending. `split_id` distinguishes the parts of one heartbeat from
-    /// those of all others.
+    /// Removes and returns the next heartbeats that together fit into one value of `value_bytes`,
+    /// or one heartbeat that has to be split; None if no heartbeats are pending. `split_id`
+    /// identifies the parts of one heartbeat among all parts.
     pub fn next_batch(
         &mut self,
         fencing_token: FencingToken,
@@ -85,13 +86,16 @@
                 .map(|part| page_with_part(part, fencing_token))
                 .collect()
         } else {
-            vec![page_of_whole(heartbeats.clone(), fencing_token)]
+            vec![page_with_heartbeats(heartbeats.clone(), fencing_token)]
         };
         Some(InventoryBatch { pages, heartbeats })
     }
 }
 
-fn page_of_whole(heartbeats: Vec<WorkerHeartbeat>, fencing_token: FencingToken) -> InventoryRecord {
+fn page_with_heartbeats(
+    heartbeats: Vec<WorkerHeartbeat>,
+    fencing_token: FencingToken,
+) -> InventoryRecord {
     InventoryRecord {
         format_version: FORMAT_VERSION,
         fencing_token,
@@ -122,18 +126,18 @@
     };
     let overhead = json_bytes(&without_tasks(heartbeat)) + PART_OVERHEAD_BYTES;
     let mut parts = Vec::new();
-    let mut first = 0;
+    let mut first_task = 0;
     let mut bytes = overhead;
     for (index, task) in heartbeat.tasks.iter().enumerate() {
         let size = json_bytes(task) + 1;
-        if bytes + size > capacity && index > first {
-            parts.push(part(first, &heartbeat.tasks[first..index]));
-            first = index;
+        if bytes + size > capacity && index > first_task {
+            parts.push(part(first_task, &heartbeat.tasks[first_task..index]));
+            first_task = index;
             bytes = overhead;
         }
         bytes += size;
     }
-    parts.push(part(first, &heartbeat.tasks[first..]));
+    parts.push(part(first_task, &heartbeat.tasks[first_task..]));
     parts
 }
 
@@ -156,9 +160,9 @@
     serde_json::to_vec(value).map_or(UNENCODABLE_BYTES, |text| text.len())
 }
 
-/// All heartbeats that these pages have whole, in one piece or in parts, if they were received
-/// on behalf of the leader with this fencing token. A heartbeat of which a part is missing is
-/// left out: some of a machine's tasks must never be taken for all of them.
+/// All heartbeats that these pages hold completely, whether whole or in parts, and that were
+/// received on behalf of the leader with this fencing token. A heartbeat with a missing part is
+/// left out: some of a machine's tasks must never be mistaken for all of them.
 pub fn whole_heartbeats(
     pages: impl IntoIterator<Item = InventoryRecord>,
     fencing_token: FencingToken,
@@ -175,21 +179,21 @@
             parts.entry(key).or_default().push(part);
         }
     }
-    heartbeats.extend(parts.into_values().filter_map(join));
+    heartbeats.extend(parts.into_values().filter_map(join_parts));
     heartbeats
 }
 
-/// Joins the parts of one heartbeat; None if one is missing.
-fn join(mut parts: Vec<HeartbeatPart>) -> Option<WorkerHeartbeat> {
+/// Joins the parts of one heartbeat; None if a part is missing.
+fn join_parts(mut parts: Vec<HeartbeatPart>) -> Option<WorkerHeartbeat> {
     parts.sort_by_key(|part| part.first_task);
     let first = parts.first()?;
     let total_tasks = first.total_tasks;
     let mut joined = without_tasks(&first.heartbeat);
     for part in parts {
-        let same_heartbeat = part.total_tasks == total_tasks
+        let is_same_heartbeat = part.total_tasks == total_tasks
             && part.heartbeat.agent_epoch == joined.agent_epoch
             && part.heartbeat.sequence == joined.sequence;
-        if !same_heartbeat || part.first_task != joined.tasks.len() {
+        if !is_same_heartbeat || part.first_task != joined.tasks.len() {
             return None;
         }
         joined.tasks.extend(part.heartbeat.tasks);
--- a/src/storage/job_index.rs
+++ b/src/storage/job_index.rs
@@ -1,10 +1,10 @@
-//! One controller's index of all jobs: which are open, and in which final state the latest
-//! others ended.
+//! One controller's index of all jobs: the open jobs, and the final states of the jobs that ended
+//! most recently.
 //!
 //! [`JobIndex::catch_up`] makes reads of the index linearizable: it reads every change of the
-//! jobs' records up to the store's current revision, so that whatever the index then says was
-//! true at some moment after the call. Callers that wait at the same time share one read, which
-//! keeps the cost of many users' polls to a few requests a second. A final state never changes
+//! jobs' records up to the store's current revision, so that the index then reflects a state of the
+//! store at some moment after the call. Callers that wait at the same time share one read, which
+//! limits the cost of many users' polls to a few requests a second. A final state never changes
 //! and needs no catch-up read.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -23,7 +23,7 @@
 
 /// Deadline of a catch-up read.
 const CATCH_UP_DEADLINE: Duration = Duration::from_millis(1200);
-/// Deadline of each page when all open jobs are listed.
+/// Deadline of the read of each page when all open jobs are listed.
 const RELOAD_DEADLINE: Duration = Duration::from_millis(1500);
 
 /// A job's final state.
@@ -44,35 +44,36 @@
     }
 }
 
-/// What the index knows of a job.
+/// The status of a job according to the index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobStatus {
     /// Accepted, and neither done nor cancelled.
     Open,
     /// In its final state.
     Finished(FinalState),
-    /// Not open. Only the store tells whether it ended long ago or never existed.
+    /// Not open: the job ended too long ago for the index to hold its final state, or it never
+    /// existed. Only the store has the answer.
     Unknown,
 }
 
-/// The last catch-up read: when it was sent, and its result, which all waiting callers share.
+/// The last catch-up read: the time of its request, and the result that all waiting callers share.
 #[derive(Debug)]
 struct LastCatchUp {
     sent: Instant,
     result: Result<(), KvError>,
 }
 
-/// The index of all jobs, shared by everything in one controller that needs it.
+/// The index of all jobs, shared by all components of one controller.
 pub struct JobIndex {
     state: Mutex<IndexState>,
-    /// Held while a catch-up read is under way, so that there is one at a time.
+    /// Locked while a catch-up read is under way, so that only one is under way at a time.
     last_catch_up: tokio::sync::Mutex<Option<LastCatchUp>>,
-    /// Least time between the sending of two catch-up reads.
+    /// Shortest time between the requests of two catch-up reads.
     catch_up_interval: Duration,
 }
 
 impl JobIndex {
-    /// An empty index that sends at most one catch-up read in this time.
+    /// An empty index that sends at most one catch-up read in each `catch_up_interval`.
     pub fn new(catch_up_interval: Duration) -> Self {
         Self {
             state: Mutex::default(),
@@ -85,7 +86,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A job's final state, if the index has it. True at any time, without a catch-up read.
+    /// A job's final state, if the index has it. It is valid without a catch-up read.
     pub fn final_state(&self, id: &str) -> Option<FinalState> {
         self.state().final_state(id)
     }
@@ -104,7 +105,7 @@
     }
 
     /// All jobs known to be cancelled at a later revision than this, in the order of their
-    /// revisions; None if some have been forgotten, so that the list may not be complete.
+    /// revisions; None if the list may be incomplete, because the index has dropped some of them.
     pub fn cancelled_after(&self, revision: u64) -> Option<Vec<CancelledJob>> {
         self.state().cancelled_after(revision)
     }
@@ -114,8 +115,8 @@
         self.state().revision()
     }
 
-    /// A count that rises whenever some job may have ceased to be open. If it is above an earlier
-    /// value, [`Self::has_ended`] may give another answer.
+    /// A counter that increases whenever some job may have ceased to be open. If it has increased,
+    /// [`Self::has_ended`] may return a different result.
     pub fn change_count(&self) -> u64 {
         self.state().change_count()
     }
@@ -130,13 +131,13 @@
         self.state().is_open(id)
     }
 
-    /// What is known of a job as of the last catch-up read.
+    /// The status of a job as of the last catch-up read.
     pub fn find(&self, id: &str) -> JobStatus {
         self.state().find(id)
     }
 
-    /// Returns once a catch-up read that was sent after this call has been answered, with the
-    /// time at which it was sent. All callers that wait share one read, and its failure.
+    /// Waits until a catch-up read that was sent after this call has been answered, and returns the
+    /// time at which it was sent. All callers that wait share one read, and its error if it fails.
     pub async fn catch_up(&self, kv: &KvClient, clock: &dyn Clock) -> Result<Instant, KvError> {
         let called = clock.now();
         let mut last = self.last_catch_up.lock().await;
@@ -144,8 +145,8 @@
             if last.sent >= called {
                 return last.result.clone().map(|()| last.sent);
             }
-            let next = last.sent + self.catch_up_interval;
-            tokio::time::sleep(next.saturating_duration_since(clock.now())).await;
+            let next_allowed = last.sent + self.catch_up_interval;
+            tokio::time::sleep(next_allowed.saturating_duration_since(clock.now())).await;
         }
         let sent = clock.now();
         let result = self.refresh(kv).await;
@@ -156,13 +157,13 @@
         result.map(|()| sent)
     }
 
-    /// Applies all changes of job records up to a revision.
+    /// Applies all changes of job records up to a store revision.
     pub(crate) fn apply(&self, events: Vec<WatchEvent>, revision: u64) {
         self.state().apply(events, revision);
     }
 
-    /// Reads the changes since the last read, or all open jobs if the store no longer has those
-    /// changes.
+    /// Reads the changes since the last read, or lists all open jobs if there was no read yet or if
+    /// the store no longer has those changes.
     async fn refresh(&self, kv: &KvClient) -> Result<(), KvError> {
         let revision = self.revision();
         if let Some(revision) = revision {
--- a/src/storage/job_index/state.rs
+++ b/src/storage/job_index/state.rs
@@ -1,4 +1,4 @@
-//! The index itself: a pure state that events are applied to.
+//! The state of the job index, to which changes are applied; it does no I/O.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
@@ -9,25 +9,25 @@
 use crate::storage::keys;
 use crate::storage::records::FinalRecord;
 
-/// Most final states that are kept; those of other jobs are read from the store one by one.
+/// Most final states that the index holds; those of other jobs are read from the store one by one.
 pub(super) const MAX_FINAL_STATES: usize = 20_000;
-/// Most cancellations that are kept for other controllers to ask for.
+/// Most cancellations that the index holds for requests by other controllers.
 const MAX_CANCELLATIONS: usize = 2_000;
 
-/// What is known of all jobs up to one store revision.
+/// The state of all jobs up to one store revision.
 #[derive(Debug, Default)]
 pub(super) struct IndexState {
-    /// The revision up to which it is complete; None before the first load.
+    /// The revision up to which the index is complete; None before the first load.
     revision: Option<u64>,
     open: HashSet<String>,
     finished: HashMap<String, FinalState>,
-    /// The jobs of `finished`, the one recorded first in front.
+    /// The jobs of `finished`, in the order in which they were recorded.
     finished_order: VecDeque<String>,
-    /// The latest cancelled jobs by the revision of their cancellation.
+    /// The latest cancelled jobs, by the revision of their cancellation.
     cancelled: BTreeMap<u64, String>,
     /// The latest revision of a cancellation that was dropped from `cancelled`.
-    cancelled_dropped: u64,
-    /// Rises whenever a job may have ceased to be open.
+    last_dropped_cancellation: u64,
+    /// Increases whenever a job may have ceased to be open.
     change_count: u64,
 }
 
@@ -62,7 +62,7 @@
     }
 
     pub(super) fn cancelled_after(&self, revision: u64) -> Option<Vec<CancelledJob>> {
-        if revision < self.cancelled_dropped {
+        if revision < self.last_dropped_cancellation {
             return None;
         }
         let later = self.cancelled.range(revision.saturating_add(1)..);
@@ -74,7 +74,7 @@
     }
 
     pub(super) fn record_cancelled(&mut self, id: &str, revision: u64) {
-        // The number of tasks doesn't matter: users see none of a cancelled job as done.
+        // The number of tasks is irrelevant: users see no done tasks of a cancelled job.
         let tasks = self.final_state(id).map_or(0, |state| state.tasks);
         let state = FinalState {
             stage: JobStage::Cancelled,
@@ -92,14 +92,14 @@
         if state.stage == JobStage::Cancelled {
             self.cancelled.insert(revision, id.to_owned());
         }
-        self.drop_oldest();
+        self.drop_excess();
     }
 
-    /// Keeps the index within its bounds.
-    fn drop_oldest(&mut self) {
+    /// Drops the oldest entries beyond [`MAX_CANCELLATIONS`] and [`MAX_FINAL_STATES`].
+    fn drop_excess(&mut self) {
         while self.cancelled.len() > MAX_CANCELLATIONS {
             if let Some((revision, _)) = self.cancelled.pop_first() {
-                self.cancelled_dropped = self.cancelled_dropped.max(revision);
+                self.last_dropped_cancellation = self.last_dropped_cancellation.max(revision);
             }
         }
         while self.finished_order.len() > MAX_FINAL_STATES {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Replaces the open jobs by all that the store had at a revision.
+    /// Replaces the open jobs by those that the store held at a revision.
     pub(super) fn load(&mut self, items: &[KeyValue], revision: u64) {
         let ids = items
             .iter()
--- a/src/storage/job_transition.rs
+++ b/src/storage/job_transition.rs
@@ -1,12 +1,13 @@
-//! Transitions of a job's durable state that the store has to commit before anybody gets a confirmation.
+//! Transactions that change a job's durable state. The store has to commit one before any user or
+//! controller gets a confirmation of the change.
 
 use super::keys;
 use super::records::FinalRecord;
 use crate::protocol::kv::{Mutation, Transaction};
 
-/// Replaces a job's open record, if it is still the one of this revision, by its final one. The
-/// precondition makes it happen at most once: of a completion and a cancellation that meet, one
-/// is committed, and a final state never changes.
+/// The transaction that replaces a job's open record by its final record, provided that the open
+/// record is still at this revision. The precondition makes the transition happen at most once: if
+/// a completion and a cancellation compete, only one is committed, and a final state never changes.
 pub fn finish_job(
     id: &str,
     mod_revision: u64,
--- a/src/storage/keys.rs
+++ b/src/storage/keys.rs
@@ -2,9 +2,9 @@
 //!
 //! | key | value | written by |
 //! | --- | --- | --- |
-//! | `j/open/JOB` | [`JobRecord`](super::records::JobRecord) | any controller, at a submission |
-//! | `j/over/JOB` | [`FinalRecord`](super::records::FinalRecord) | the leader, or any controller at a cancellation |
-//! | `o/SHARD/owner` | [`LeaderRecord`](super::records::LeaderRecord) | the controller that is elected |
+//! | `j/open/JOB` | [`JobRecord`](super::records::JobRecord) | any controller, when a job is submitted |
+//! | `j/over/JOB` | [`FinalRecord`](super::records::FinalRecord) | the leader, or any controller when a job is cancelled |
+//! | `o/SHARD/owner` | [`LeaderRecord`](super::records::LeaderRecord) | the controller that becomes leader |
 //! | `o/SHARD/keep/NODE` | [`DelegateRecord`](super::records::DelegateRecord) | the leader |
 //! | `k/SHARD/NODE/PAGE` | [`InventoryRecord`](super::records::InventoryRecord) | the delegate |
 //! | `s/SHARD/seq` | [`SequenceRecord`](super::records::SequenceRecord) | the leader, with each of its writes |
@@ -15,36 +15,36 @@
 
 use super::records::SHARD;
 
-/// Prefix of all jobs.
+/// Prefix of the records of all jobs.
 pub const ALL_JOBS: &str = "j/";
 
-/// Prefix of the open jobs.
+/// Prefix of the records of open jobs.
 pub const JOBS: &str = "j/open/";
 
-/// Prefix of the jobs in a final state.
+/// Prefix of the records of jobs in a final state.
 pub const FINAL_JOBS: &str = "j/over/";
 
-/// An open job.
+/// Key of an open job's record.
 pub fn job(id: &str) -> String {
     format!("{JOBS}{id}")
 }
 
-/// A job in its final state.
+/// Key of the record of a job in its final state.
 pub fn final_job(id: &str) -> String {
     format!("{FINAL_JOBS}{id}")
 }
 
-/// Prefix of the shard's leadership record and of its delegations, which one watch covers.
+/// Prefix of the shard's leadership record and of its delegations, so that one watch covers both.
 pub fn leader_prefix() -> String {
     format!("o/{SHARD}/")
 }
 
-/// The shard's leadership record, attached to its leader's lease.
+/// Key of the shard's leadership record, which is attached to the leader's lease.
 pub fn leader() -> String {
     format!("o/{SHARD}/owner")
 }
 
-/// The delegation to a controller that workers reach while they can't reach the leader. It
+/// Key of the delegation to a controller that workers reach while they can't reach the leader. It
 /// shares a prefix with the leadership record, so that one read returns both.
 pub fn delegate(node_id: &str) -> String {
     format!("o/{SHARD}/keep/{node_id}")
@@ -55,12 +55,12 @@
     format!("k/{SHARD}/")
 }
 
-/// One page of a delegate's inventory.
+/// Key of one page of a delegate's inventory.
 pub fn inventory(node_id: &str, page: u32) -> String {
     format!("k/{SHARD}/{node_id}/{page:04}")
 }
 
-/// The shard's sequence number.
+/// Key of the shard's sequence number.
 pub fn sequence() -> String {
     format!("s/{SHARD}/seq")
 }
@@ -70,7 +70,7 @@
     format!("s/{SHARD}/snap/")
 }
 
-/// One chunk of the shard's snapshot.
+/// Key of one chunk of the shard's snapshot.
 pub fn chunk(bucket: usize, part: usize) -> String {
     format!("s/{SHARD}/snap/{bucket:02}/{part:03}")
 }
@@ -80,17 +80,17 @@
     format!("m/{SHARD}/")
 }
 
-/// One page of the roster.
+/// Key of one page of the roster.
 pub fn roster_page(page: u32) -> String {
     format!("m/{SHARD}/{page:04}")
 }
 
-/// Prefix of the pending rentals: scale-out requests whose answer isn't known yet.
+/// Prefix of the records of pending rentals: scale-out requests whose answer isn't known yet.
 pub fn rental_prefix() -> String {
     format!("b/{SHARD}/")
 }
 
-/// A pending rental.
+/// Key of a pending rental's record.
 pub fn pending_rental(request: &str) -> String {
     format!("b/{SHARD}/{request}")
 }
@@ -100,7 +100,7 @@
     format!("h/{SHARD}/")
 }
 
-/// How many workers reach one controller that can't reach the leader.
+/// Key of a reachability record: how many workers reach a controller that can't reach the leader.
 pub fn reachability(node_id: &str) -> String {
     format!("h/{SHARD}/{node_id}")
 }
--- a/src/storage/kv_client.rs
+++ b/src/storage/kv_client.rs
@@ -1,8 +1,8 @@
 //! The key-value store's client.
 //!
 //! The store is consensus-backed: reads are linearizable, and a transaction is a compare-and-swap
-//! of several keys. Every failed request says what was requested and whether it may have taken
-//! effect; the client never repeats one by itself.
+//! of several keys. The error of a failed request says what was requested and whether the request
+//! may have taken effect; the client never retries a request by itself.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,7 +11,9 @@
 use hyper::StatusCode;
 
 use self::health::HealthMonitor;
-use self::http::{decode, encode, is_served, method, says_no_such_lease, text, unexpected};
+use self::http::{
+    decode, encode, http_method, is_served, says_no_such_lease, status_and_body, unexpected_answer,
+};
 use self::latencies::LatencyHistogram;
 use crate::clock::Clock;
 use crate::protocol::kv::{
@@ -30,32 +32,34 @@
 mod http;
 mod latencies;
 
-/// How much longer than the store may wait for changes the answer to a watch is awaited.
+/// Time for which the client waits for the answer to a watch, in addition to the time for which the
+/// store may wait for changes.
 const WATCH_ANSWER_MARGIN: Duration = Duration::from_millis(1500);
 
-/// All keys with a prefix.
+/// The result of listing all keys with a prefix.
 #[derive(Debug)]
 pub struct KeyList {
-    /// The keys, in order.
+    /// The keys with their values, in the order of the keys.
     pub items: Vec<KeyValue>,
-    /// A store revision no later than that of any page read: a watch after it misses no change.
+    /// A store revision no later than that of any page read: a watch that starts after it misses
+    /// no change.
     pub revision: u64,
 }
 
-/// What became of a transaction.
+/// The outcome of a transaction that the store has processed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TransactionOutcome {
     /// All its mutations were applied.
     Committed {
-        /// The revision that they share.
+        /// The revision of all its mutations.
         revision: u64,
     },
     /// A precondition did not hold: nothing was changed.
     Conflict,
 }
 
-/// The client. Lease requests and watches have connections of their own, so that neither a
-/// burst of other requests nor a watch that waits delays a renewal.
+/// A client of the key-value store. Lease requests and watches have connections of their own, so
+/// that neither a burst of other requests nor a waiting watch delays a lease renewal.
 pub struct KvClient {
     addr: SocketAddr,
     clock: Arc<dyn Clock>,
@@ -63,7 +67,7 @@
     leases: HttpClient,
     watches: HttpClient,
     health: HealthMonitor,
-    /// Of all requests but watches, which wait on purpose.
+    /// Latencies of all requests except watches, which wait on purpose.
     latencies: LatencyHistogram,
 }
 
@@ -81,12 +85,12 @@
         }
     }
 
-    /// How long the store has taken to answer since the start.
+    /// Percentiles of the time that the store has taken to answer, since this client was created.
     pub fn latencies(&self) -> Latencies {
         self.latencies.percentiles()
     }
 
-    /// When the store last served this controller, and when it last failed to.
+    /// When the store last served this controller, and when it last failed to serve it.
     pub fn health(&self) -> KvHealth {
         self.health.get()
     }
@@ -102,11 +106,11 @@
         match answer.status {
             StatusCode::OK => decode(request, &answer).map(Some),
             StatusCode::NOT_FOUND => Ok(None),
-            _ => Err(unexpected(request, &answer)),
+            _ => Err(unexpected_answer(request, &answer)),
         }
     }
 
-    /// Reads all keys with a prefix in order, page by page. The deadline is that of each page.
+    /// Reads all keys with a prefix in order, page by page. The deadline applies to each page.
     pub async fn list(&self, prefix: &str, deadline: Duration) -> Result<KeyList, KvError> {
         let mut items = Vec::new();
         let mut revision = None;
@@ -120,7 +124,7 @@
                 .call(&self.requests, &request, Vec::new(), deadline)
                 .await?;
             if answer.status != StatusCode::OK {
-                return Err(unexpected(request, &answer));
+                return Err(unexpected_answer(request, &answer));
             }
             let page: KeyPage = decode(request, &answer)?;
             let revision = *revision.get_or_insert(page.revision);
@@ -153,13 +157,13 @@
             }
             StatusCode::BAD_REQUEST => Err(KvError::TooLarge {
                 request,
-                answer: text(&answer),
+                answer: status_and_body(&answer),
             }),
-            _ => Err(unexpected(request, &answer)),
+            _ => Err(unexpected_answer(request, &answer)),
         }
     }
 
-    /// Requests a lease, and returns its id.
+    /// Obtains a lease with this time to live, and returns its id.
     pub async fn grant_lease(&self, ttl: Duration, deadline: Duration) -> Result<u64, KvError> {
         let request = KvRequest::GrantLease;
         let body = LeaseRequest {
@@ -168,7 +172,7 @@
         let body = encode(&request, &body)?;
         let answer = self.call(&self.leases, &request, body, deadline).await?;
         if answer.status != StatusCode::OK {
-            return Err(unexpected(request, &answer));
+            return Err(unexpected_answer(request, &answer));
         }
         decode::<LeaseGranted>(request, &answer).map(|granted| granted.lease)
     }
@@ -182,11 +186,12 @@
         match answer.status {
             StatusCode::OK => Ok(()),
             StatusCode::NOT_FOUND => Err(KvError::LeaseEnded { request }),
-            _ => Err(unexpected(request, &answer)),
+            _ => Err(unexpected_answer(request, &answer)),
         }
     }
 
-    /// Revokes a lease, which deletes the keys attached to it; no error if it has ended.
+    /// Revokes a lease, which deletes the keys attached to it. If the lease has already ended, the
+    /// call succeeds.
     pub async fn revoke_lease(&self, lease: u64, deadline: Duration) -> Result<(), KvError> {
         let request = KvRequest::RevokeLease { lease };
         let answer = self
@@ -195,7 +200,7 @@
         if answer.status.is_success() || answer.status == StatusCode::NOT_FOUND {
             Ok(())
         } else {
-            Err(unexpected(request, &answer))
+            Err(unexpected_answer(request, &answer))
         }
     }
 
@@ -239,11 +244,11 @@
         match answer.status {
             StatusCode::OK => decode(request, &answer),
             StatusCode::GONE => Err(KvError::Compacted { request }),
-            _ => Err(unexpected(request, &answer)),
+            _ => Err(unexpected_answer(request, &answer)),
         }
     }
 
-    /// Sends a request and records its latency and the store's health.
+    /// Sends a request, and records its latency and whether the store served it.
     async fn call(
         &self,
         client: &HttpClient,
@@ -253,7 +258,13 @@
     ) -> Result<Answer, KvError> {
         let sent = self.clock.now();
         let result = client
-            .call(method(request), self.addr, &request.path(), body, deadline)
+            .call(
+                http_method(request),
+                self.addr,
+                &request.path(),
+                body,
+                deadline,
+            )
             .await;
         let answered = self.clock.now();
         if result.is_ok() && !matches!(request, KvRequest::Watch { .. }) {
@@ -273,7 +284,8 @@
             },
             Err(CallError::NotSent) => Err(refused(Refusal::NotConnected)),
             Err(CallError::NoAnswer) => Err(KvError::NoAnswer { request: request() }),
-            // Only a watch's answer has no bound of its own.
+            // Only the answer to a watch has no size limit of its own. As after a compaction, the
+            // caller has to list the keys again.
             Err(CallError::TooLarge) => Err(KvError::Compacted { request: request() }),
         }
     }
--- a/src/storage/kv_client/error.rs
+++ b/src/storage/kv_client/error.rs
@@ -1,4 +1,4 @@
-//! Why a request to the key-value store failed.
+//! The errors of requests to the key-value store.
 
 use std::sync::Arc;
 
@@ -6,22 +6,22 @@
 
 use crate::protocol::kv::KvRequest;
 
-/// Why a request was surely not carried out.
+/// Why a request was refused, in which case it certainly had no effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Refusal {
-    /// It answered 503: it doesn't serve this controller now.
+    /// The store answered 503: it doesn't serve this controller now.
     #[error("unavailable (503)")]
     Unavailable,
-    /// It answered 429: the limit on the rate of requests or changes is used up.
+    /// The store answered 429: the limit on the rate of requests or changes is used up.
     #[error("rate limited (429)")]
     RateLimited,
-    /// No connection to it came about.
+    /// No connection to the store could be established.
     #[error("no connection")]
     NotConnected,
-    /// This controller's own share of the store's writes is used up; nothing was sent.
+    /// This controller's own share of the store's write rate is used up; nothing was sent.
     #[error("this controller's share of the writes is used up")]
     LocalRateLimit,
-    /// Other writers changed the same keys at every attempt.
+    /// At every attempt, other writers had changed the same keys.
     #[error("too many conflicts")]
     TooManyConflicts,
 }
@@ -29,7 +29,7 @@
 /// Why a request to the key-value store failed.
 #[derive(Debug, Clone, Error)]
 pub enum KvError {
-    /// The store refused the request: nothing was done, and it may be repeated.
+    /// The request was refused: it had no effect, and it may be repeated.
     #[error("{request} was refused: {reason}")]
     Refused {
         /// The request.
@@ -37,7 +37,7 @@
         /// Why it was refused.
         reason: Refusal,
     },
-    /// No answer came in time: the store may have carried the request out, or may still do so.
+    /// No answer arrived in time: the request may have taken effect, or may still do so.
     #[error("{request} was not answered in time")]
     NoAnswer {
         /// The request.
@@ -49,15 +49,15 @@
         /// The request.
         request: KvRequest,
     },
-    /// The changes since the watch's starting point are compacted, or more than an answer can
-    /// hold: the keys have to be listed again.
+    /// The changes since the watch's starting revision are compacted, or are more than an answer
+    /// can hold: the keys have to be listed again.
     #[error("{request} starts too far in the past")]
     Compacted {
         /// The request.
         request: KvRequest,
     },
-    /// The store calls the request malformed: larger than one of its limits, as far as is known.
-    /// It will never be accepted as it is.
+    /// The store rejected the request as malformed: as far as is known, because it exceeds one of
+    /// the store's limits. The same request will never be accepted.
     #[error("{request} exceeds a limit: {answer}")]
     TooLarge {
         /// The request.
@@ -65,7 +65,7 @@
         /// The answer's status and body.
         answer: String,
     },
-    /// The answer's status is outside the store's protocol.
+    /// The store's protocol has no such status for the answer.
     #[error("{request} had an unexpected answer: {answer}")]
     UnexpectedAnswer {
         /// The request.
@@ -78,16 +78,16 @@
     UndecodableAnswer {
         /// The request.
         request: KvRequest,
-        /// What is wrong with it. Shared, as all that wait for one read get its error.
+        /// The decoding error, shared since all callers that wait for one read get its error.
         #[source]
         source: Arc<serde_json::Error>,
     },
-    /// The request's body, or a record in it, can't be encoded.
-    #[error("{what} can't be encoded: {source}")]
+    /// The request's body, or a record that it should contain, can't be encoded.
+    #[error("{item} can't be encoded: {source}")]
     Unencodable {
-        /// What was to be encoded.
-        what: String,
-        /// Why it can't be.
+        /// The request or record.
+        item: String,
+        /// The encoding error.
         #[source]
         source: Arc<serde_json::Error>,
     },
@@ -96,22 +96,22 @@
     UndecodableRecord {
         /// The record's key.
         key: String,
-        /// What is wrong with it.
+        /// The decoding error.
         #[source]
         source: Arc<serde_json::Error>,
     },
 }
 
 impl KvError {
-    /// A value for the store can't be encoded.
-    pub fn unencodable(what: impl ToString, source: serde_json::Error) -> Self {
+    /// The error for a request or record, `item`, that can't be encoded.
+    pub fn unencodable(item: impl ToString, source: serde_json::Error) -> Self {
         Self::Unencodable {
-            what: what.to_string(),
+            item: item.to_string(),
             source: Arc::new(source),
         }
     }
 
-    /// The record at this key can't be decoded.
+    /// The error for the stored record at this key, which can't be decoded.
     pub fn undecodable_record(key: impl Into<String>, source: serde_json::Error) -> Self {
         Self::UndecodableRecord {
             key: key.into(),
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Whether the store is merely busy: the same request may succeed after a pause.
+    /// Whether the store's rate limit is used up: the same request may succeed after a pause.
     pub fn is_rate_limited(&self) -> bool {
         matches!(
             self,
@@ -130,8 +130,8 @@
         )
     }
 
-    /// Whether the request, its answer or a record is not what the store's protocol says, so
-    /// that the same request fails again.
+    /// Whether the request, its answer or a record violates the store's protocol, so that the same
+    /// request would fail again.
     pub fn is_protocol_error(&self) -> bool {
         match self {
             Self::UnexpectedAnswer { .. }
--- a/src/storage/kv_client/http.rs
+++ b/src/storage/kv_client/http.rs
@@ -1,4 +1,4 @@
-//! How requests and answers look in HTTP.
+//! The encoding of requests and answers in HTTP.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::protocol::kv::{KvRequest, NO_SUCH_LEASE};
 use crate::transport::client::{Answer, CallError};
 
-pub(super) fn method(request: &KvRequest) -> Method {
+pub(super) fn http_method(request: &KvRequest) -> Method {
     match request {
         KvRequest::Get { .. } | KvRequest::List { .. } | KvRequest::Watch { .. } => Method::GET,
         KvRequest::Transaction | KvRequest::GrantLease | KvRequest::RenewLease { .. } => {
@@ -21,7 +21,7 @@
     }
 }
 
-/// Whether the store has served this request, whatever it answered.
+/// Whether the store served this request: it answered, with any status other than 503.
 pub(super) fn is_served(result: &Result<Answer, CallError>) -> bool {
     match result {
         Ok(answer) => answer.status != StatusCode::SERVICE_UNAVAILABLE,
@@ -34,7 +34,7 @@
     answer
         .body
         .windows(message.len())
-        .any(|found| found == message)
+        .any(|window| window == message)
 }
 
 pub(super) fn encode(request: &KvRequest, body: &impl Serialize) -> Result<Vec<u8>, KvError> {
@@ -51,15 +51,15 @@
     })
 }
 
-pub(super) fn unexpected(request: KvRequest, answer: &Answer) -> KvError {
+pub(super) fn unexpected_answer(request: KvRequest, answer: &Answer) -> KvError {
     KvError::UnexpectedAnswer {
         request,
-        answer: text(answer),
+        answer: status_and_body(answer),
     }
 }
 
-/// An answer for a message: its status, and its body if that is JSON.
-pub(super) fn text(answer: &Answer) -> String {
+/// Formats an answer for an error message: its status, and its body if that is JSON.
+pub(super) fn status_and_body(answer: &Answer) -> String {
     let body: Value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
     format!("{} {body}", answer.status)
 }
--- a/src/storage/kv_client/latencies.rs
+++ b/src/storage/kv_client/latencies.rs
@@ -1,25 +1,25 @@
-//! How long the key-value store takes to answer.
+//! A histogram of the key-value store's latencies.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 
-/// Longest latency that the histogram distinguishes from longer ones, in microseconds.
+/// Longest latency that the histogram records, in microseconds; longer ones count as this.
 const MAX_LATENCY_US: u64 = 60_000_000;
 /// Significant decimal digits that the histogram keeps.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// Percentiles of the store's latencies since the start.
+/// Percentiles of the store's latencies since the client was created.
 #[derive(Debug, Clone, Copy)]
 pub struct Latencies {
-    /// How many requests were answered.
+    /// How many requests, watches excepted, were answered.
     pub answered: u64,
-    /// The median.
+    /// The median latency.
     pub p50: Duration,
-    /// The 99th percentile.
+    /// The 99th percentile of the latencies.
     pub p99: Duration,
-    /// The longest.
+    /// The longest latency.
     pub longest: Duration,
 }
 
@@ -48,11 +48,11 @@
 
     pub(super) fn percentiles(&self) -> Latencies {
         let histogram = self.lock();
-        let at = |quantile| Duration::from_micros(histogram.value_at_quantile(quantile));
+        let percentile = |quantile| Duration::from_micros(histogram.value_at_quantile(quantile));
         Latencies {
             answered: histogram.len(),
-            p50: at(0.5),
-            p99: at(0.99),
+            p50: percentile(0.5),
+            p99: percentile(0.99),
             longest: Duration::from_micros(histogram.max()),
         }
     }
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,8 +1,8 @@
 //! Durable state: the key-value store's client, the layout of keys and records, and the encoding
-//! of what is stored in many pieces (snapshot, roster, inventory).
+//! of data that is split over many values (snapshot, roster, inventory).
 //!
-//! The coordination layer calls it. It never decides when something is written, and it knows no
-//! leadership: fencing is the preconditions that a caller adds to its transactions.
+//! The coordination layer calls this module and decides when something is written. This module has
+//! no notion of leadership: callers fence their transactions by adding preconditions.
 
 pub mod inventory;
 pub mod job_index;
--- a/src/storage/rate_limiter.rs
+++ b/src/storage/rate_limiter.rs
@@ -5,34 +5,35 @@
 
 use thiserror::Error;
 
-/// How many seconds' worth of permits that nobody used can be used in one burst.
+/// Time for which unused permits accumulate; they can be used in one burst.
 const BURST: Duration = Duration::from_secs(1);
-/// Least rate, in permits per second: a lower one counts as this.
+/// Lowest rate, in permits per second; lower rates are raised to it.
 const MIN_RATE: f64 = 0.01;
 
-/// The next permit is due later than a caller may be made to wait.
+/// The error of a caller that would have to wait longer for a permit than the limiter allows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("the next permit is due in {wait:?}, and the longest wait is {max_wait:?}")]
 pub struct RateLimited {
     /// How long the caller would have had to wait.
     pub wait: Duration,
-    /// The longest wait that the limiter grants.
+    /// The longest wait that the limiter allows.
     pub max_wait: Duration,
 }
 
-/// A token bucket: it grants permits at a steady rate in the order of the calls, and those that
-/// were not used for up to `BURST` at once.
+/// A token bucket: it grants permits at a steady rate in the order of the calls. Permits that were
+/// not used within the last `BURST` can be used at once.
 pub struct RateLimiter {
     /// Time between two permits.
     interval: Duration,
-    /// Longest wait that is granted.
+    /// Longest time for which a caller may have to wait.
     max_wait: Duration,
-    /// When the next permit is due at the steady rate; None before the first.
+    /// When the next permit is due at the steady rate; None before the first call.
     next_due: Mutex<Option<Instant>>,
 }
 
 impl RateLimiter {
-    /// A limiter of so many permits a second, which makes no caller wait longer than `max_wait`.
+    /// A limiter that grants this many permits a second and makes no caller wait longer than
+    /// `max_wait`.
     pub fn new(permits_per_second: f64, max_wait: Duration) -> Self {
         Self {
             interval: Duration::from_secs_f64(1.0 / permits_per_second.max(MIN_RATE)),
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Reserves the next permit: the caller has to wait for so long before it proceeds.
+    /// Reserves the next permit, and returns how long the caller has to wait before it proceeds.
     pub fn reserve(&self, now: Instant) -> Result<Duration, RateLimited> {
         let mut next_due = self.next_due();
         let due = next_due.unwrap_or(now);
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -18,9 +18,9 @@
 /// and final job records have a prefix of their own beside that of the open ones.
 pub const FORMAT_VERSION: u32 = 2;
 
-/// Lengths in bytes to which a final record's names are cut, one after the other, until the
-/// record fits a value.
-const NAME_CUTS: [usize; 3] = [200, 64, 16];
+/// Limits on the names in a final record, in bytes. They are applied in this order until the record
+/// fits into a value.
+const NAME_LIMITS_BYTES: [usize; 3] = [200, 64, 16];
 
 /// An open job: accepted, and neither done nor cancelled.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -43,9 +43,9 @@
     pub format_version: u32,
     /// The final state: done or cancelled.
     pub stage: JobStage,
-    /// How many tasks it had.
+    /// How many tasks the job had.
     pub tasks: u32,
-    /// Its description, by which the resources of tasks that still run are accounted.
+    /// The job's description, from which the resources of tasks that still run are accounted.
     pub spec: JobSpec,
 }
 
@@ -62,15 +62,15 @@
 
     /// Shortens the record until it takes at most `value_bytes`, a limit that may have been
     /// lowered since the job was accepted. The resources of its tasks are kept; the list of
-    /// machine types is dropped, since no task starts any more, and long names are cut.
+    /// machine types is dropped, since no task starts any more, and long names are truncated.
     pub fn within(mut self, value_bytes: usize) -> Self {
         if self.fits(value_bytes) {
             return self;
         }
         self.spec.machine_types = None;
-        for longest in NAME_CUTS {
-            cut(&mut self.spec.image, longest);
-            cut(&mut self.spec.class, longest);
+        for max_bytes in NAME_LIMITS_BYTES {
+            truncate_to(&mut self.spec.image, max_bytes);
+            truncate_to(&mut self.spec.class, max_bytes);
             if self.fits(value_bytes) {
                 break;
             }
@@ -83,9 +83,9 @@
     }
 }
 
-/// Cuts a text to at most this many bytes, between two characters.
-fn cut(text: &mut String, longest: usize) {
-    let end = (0..=longest.min(text.len()))
+/// Truncates a text to at most `max_bytes`, without splitting a character.
+fn truncate_to(text: &mut String, max_bytes: usize) {
+    let end = (0..=max_bytes.min(text.len()))
         .rev()
         .find(|at| text.is_char_boundary(*at));
     text.truncate(end.unwrap_or(0));
@@ -104,7 +104,7 @@
     /// The id of the lease to which the record is attached.
     #[serde(rename = "hold")]
     pub lease: u64,
-    /// Distinguishes the incarnations of a controller's process.
+    /// Identifies the incarnation of the leader's process: it differs after a restart.
     #[serde(rename = "run")]
     pub incarnation: u64,
 }
@@ -137,8 +137,8 @@
     /// Whole heartbeats.
     #[serde(rename = "reports")]
     pub heartbeats: Vec<WorkerHeartbeat>,
-    /// Parts of heartbeats that are larger than a value may be. Versions that don't know the
-    /// field ignore it.
+    /// Parts of heartbeats that exceed the limit on values. Versions that don't know the field
+    /// ignore it.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub parts: Vec<HeartbeatPart>,
 }
@@ -146,7 +146,8 @@
 /// A part of one heartbeat: some of its tasks, in the heartbeat's order.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HeartbeatPart {
-    /// The same for all parts of the heartbeat, and for no others of this delegate.
+    /// Identifies the split: all parts of this heartbeat have the same id, and the delegate uses it
+    /// for no other heartbeat.
     #[serde(rename = "group")]
     pub split_id: u64,
     /// How many tasks the whole heartbeat lists.
@@ -175,23 +176,23 @@
     pub number: u64,
 }
 
-/// A machine's entry in a page of the roster. The names are one letter long to fit more
-/// machines into a page.
+/// A machine's entry in a page of the roster. The stored names are one letter long, so that more
+/// machines fit into a page.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RosterRecord {
-    /// Its worker's address.
+    /// The address of the machine's worker.
     #[serde(rename = "a")]
     pub addr: String,
-    /// Its type.
+    /// The machine's type.
     #[serde(rename = "t")]
     pub machine_type: String,
-    /// Its zone.
+    /// The machine's zone.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     #[serde(rename = "s", default, skip_serializing_if = "is_false")]
     pub spot: bool,
-    /// Whether its deletion has been decided: it gets no tasks, whoever leads.
+    /// Whether the machine's deletion has been decided: no leader gives it tasks any more.
     #[serde(rename = "r", default, skip_serializing_if = "is_false")]
     pub deleting: bool,
 }
@@ -206,7 +207,7 @@
     /// The version of its format.
     #[serde(rename = "v")]
     pub format_version: u32,
-    /// The request, to be repeated under the same name.
+    /// The request. A new leader repeats it under the same name.
     pub rental: Rental,
 }
 
@@ -216,10 +217,10 @@
     /// The version of its format.
     #[serde(rename = "v")]
     pub format_version: u32,
-    /// How many workers.
+    /// The number of workers whose heartbeats reach the controller.
     #[serde(rename = "workers")]
     pub reachable_workers: u32,
-    /// Time of day of the count, in milliseconds since 1970.
+    /// Time of day at which the workers were counted, in milliseconds since 1970.
     #[serde(rename = "at_ms")]
     pub counted_at_ms: u64,
 }
--- a/src/storage/snapshot.rs
+++ b/src/storage/snapshot.rs
@@ -1,8 +1,8 @@
-//! The shard's snapshot: which tasks of each open job are done, and on which machines the others
-//! were last placed.
+//! The encoding of the shard's snapshot: which tasks of each open job are done, and on which
+//! machines the other tasks were last placed.
 //!
-//! It is spread over chunks, each a value of the store, by a hash of the job's id, so that a
-//! change of one job writes one chunk again. A job too large for one entry has several.
+//! Jobs are spread by a hash of their ids over chunks, each one value of the store, so that a
+//! change of one job rewrites only one chunk. A job that is too large for one entry has several.
 
 use std::collections::BTreeMap;
 
@@ -14,15 +14,15 @@
 use super::task_set::{TaskSet, format_range};
 use crate::protocol::users::MAX_TASKS;
 
-/// Buckets that jobs are spread over by a hash of their id.
+/// Number of buckets over which jobs are spread by a hash of their ids.
 const BUCKETS: usize = 8;
-/// Bytes of a chunk that are kept free for what surrounds its entries.
+/// Bytes of a chunk that are reserved for the fields around its entries.
 const CHUNK_OVERHEAD_BYTES: usize = 64;
-/// Bytes that an entry takes beside its texts.
+/// Bytes that an entry takes in addition to the texts of its fields.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
-/// Most bytes of each of an entry's two lists.
+/// Most bytes of each of an entry's two lists (done tasks and placements).
 const MAX_LIST_BYTES: usize = 1024;
-/// The same as a fraction of a value: one over this.
+/// The same limit relative to a value: a list takes at most the value's size divided by this.
 const LISTS_PER_VALUE: usize = 4;
 
 /// One open job to be encoded.
@@ -41,11 +41,11 @@
 pub struct TaskPlacement {
     /// The task's index in its job.
     pub index: u32,
-    /// The machine.
+    /// The machine's id.
     pub machine: String,
 }
 
-/// One job's state as it was decoded from a snapshot.
+/// The progress of one job, as decoded from a snapshot.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct JobProgress {
     /// The tasks that are done.
@@ -54,15 +54,15 @@
     pub placements: BTreeMap<u32, String>,
 }
 
-/// An entry of a chunk: a job, or a part of one.
+/// An entry of a chunk: a job's progress, or a part of it.
 #[derive(Debug, Serialize, Deserialize)]
 struct Entry {
     #[serde(rename = "j")]
     job: String,
-    /// Ranges of the tasks that are done, as `0-4,7`.
+    /// Ranges of the tasks that are done, such as `0-4,7`.
     #[serde(rename = "d", default, skip_serializing_if = "String::is_empty")]
     done: String,
-    /// Placements, as `3@vm-1,9@vm-2`.
+    /// Placements, such as `3@vm-1,9@vm-2`.
     #[serde(rename = "p", default, skip_serializing_if = "String::is_empty")]
     placements: String,
 }
@@ -73,7 +73,7 @@
     }
 }
 
-/// One value of the store.
+/// One chunk, stored as one value.
 #[derive(Debug, Serialize, Deserialize)]
 struct Chunk {
     #[serde(rename = "v")]
@@ -103,7 +103,10 @@
     let capacity = value_bytes.saturating_sub(CHUNK_OVERHEAD_BYTES);
     let mut chunks = BTreeMap::new();
     for (bucket, entries) in buckets.into_iter().enumerate() {
-        for (part, entries) in divide(entries, capacity).into_iter().enumerate() {
+        for (part, entries) in divide_into_chunks(entries, capacity)
+            .into_iter()
+            .enumerate()
+        {
             let chunk = Chunk {
                 format_version: FORMAT_VERSION,
                 entries,
@@ -116,7 +119,7 @@
     chunks
 }
 
-/// One job's entries: the pieces of its two lists, side by side.
+/// One job's entries, each with one piece of the done list and one of the placement list.
 fn entries(row: SnapshotRow<'_>, max_list_bytes: usize) -> Vec<Entry> {
     let ranges = row.done.ranges();
     let done = join_up_to(max_list_bytes, ranges.iter().map(format_range));
@@ -139,7 +142,8 @@
     entries
 }
 
-/// Joins items by commas into texts shorter than `max_bytes`, if no item alone is longer.
+/// Joins items by commas into texts of at most `max_bytes`. An item that is longer by itself forms
+/// a text of its own.
 fn join_up_to(max_bytes: usize, items: impl Iterator<Item = String>) -> Vec<String> {
     let mut texts: Vec<String> = Vec::new();
     for item in items {
@@ -154,8 +158,8 @@
     texts
 }
 
-/// Divides a bucket's entries into as many chunks as they need.
-fn divide(entries: Vec<Entry>, capacity: usize) -> Vec<Vec<Entry>> {
+/// Divides a bucket's entries into as many chunks as needed.
+fn divide_into_chunks(entries: Vec<Entry>, capacity: usize) -> Vec<Vec<Entry>> {
     let mut chunks: Vec<Vec<Entry>> = Vec::new();
     let mut used = 0;
     for entry in entries {
@@ -174,7 +178,7 @@
     chunks
 }
 
-/// Decodes chunks, joining the entries of one job. A chunk that can't be decoded is left out:
+/// Decodes chunks, and merges the entries of each job. A chunk that can't be decoded is left out:
 /// its tasks count as not done, and run again.
 pub fn decode<'a>(chunks: impl IntoIterator<Item = &'a Value>) -> BTreeMap<String, JobProgress> {
     let mut jobs: BTreeMap<String, JobProgress> = BTreeMap::new();
