--- a/src/coordination/shard/persistence/write_queue.rs
+++ b/src/coordination/shard/persistence/write_queue.rs
@@ -163,19 +163,19 @@
         let mut transaction = TransactionBuilder::new(limits.txn_ops);
         let records_allowed = self.record_budget.available() > 0.0;
         if records_allowed {
-            self.take_roster_pages(limits, &mut transaction);
-            self.take_records(&mut transaction);
+            self.add_roster_pages(limits, &mut transaction);
+            self.add_records(&mut transaction);
         }
         // Records go first; chunks fill the rest of a transaction.
         if !records_allowed || self.records.is_empty() {
-            self.take_chunks(limits, &mut transaction);
+            self.add_chunks(limits, &mut transaction);
         }
         transaction
     }
 
     /// Moves changed pages of the roster into the transaction. The purposes of their entries are
     /// added once all changed pages are in this or an earlier transaction.
-    fn take_roster_pages(&mut self, limits: &WriteLimits, transaction: &mut TransactionBuilder) {
+    fn add_roster_pages(&mut self, limits: &WriteLimits, transaction: &mut TransactionBuilder) {
         while self.roster.has_mutations() && transaction.has_room_for_value(limits.value_bytes) {
             if let Some(page) = self.roster.next_mutation(limits.value_bytes) {
                 transaction.push_roster_page(page);
@@ -186,7 +186,7 @@
         }
     }
 
-    fn take_records(&mut self, transaction: &mut TransactionBuilder) {
+    fn add_records(&mut self, transaction: &mut TransactionBuilder) {
         while let Some(next) = self.records.front()
             && transaction.has_room_for(&next.mutation)
             && let Some(record) = self.records.pop_front()
@@ -199,7 +199,7 @@
     /// Moves chunks of the snapshot into the transaction. Chunks are added to records, or wait
     /// until the budget allows a full transaction of chunks: a transaction for each chunk would
     /// spend as much of the budget on sequence numbers as on chunks.
-    fn take_chunks(&mut self, limits: &WriteLimits, transaction: &mut TransactionBuilder) {
+    fn add_chunks(&mut self, limits: &WriteLimits, transaction: &mut TransactionBuilder) {
         let chunks = self
             .snapshots
             .waiting_chunks()
--- a/src/storage/inventory.rs
+++ b/src/storage/inventory.rs
@@ -47,7 +47,7 @@
         self.heartbeats.clear();
     }
 
-    /// Adds heartbeats that could not be written again, except those of machines with a newer one.
+    /// Puts heartbeats back that could not be written, except where the machine has a newer one.
     pub fn put_back(&mut self, heartbeats: Vec<WorkerHeartbeat>) {
         for heartbeat in heartbeats {
             self.heartbeats
--- a/src/storage/job_index/state.rs
+++ b/src/storage/job_index/state.rs
@@ -26,7 +26,7 @@
     /// The latest cancelled jobs, by the revision of their cancellation.
     cancelled: BTreeMap<u64, String>,
     /// The latest revision of a cancellation that was dropped from `cancelled`.
-    last_dropped_cancellation: u64,
+    max_dropped_revision: u64,
     /// Increases whenever a job may have ceased to be open.
     change_count: u64,
 }
@@ -62,7 +62,7 @@
     }
 
     pub(super) fn cancelled_after(&self, revision: u64) -> Option<Vec<CancelledJob>> {
-        if revision < self.last_dropped_cancellation {
+        if revision < self.max_dropped_revision {
             return None;
         }
         let later = self.cancelled.range(revision.saturating_add(1)..);
@@ -99,7 +99,7 @@
     fn drop_excess(&mut self) {
         while self.cancelled.len() > MAX_CANCELLATIONS {
             if let Some((revision, _)) = self.cancelled.pop_first() {
-                self.last_dropped_cancellation = self.last_dropped_cancellation.max(revision);
+                self.max_dropped_revision = self.max_dropped_revision.max(revision);
             }
         }
         while self.finished_order.len() > MAX_FINAL_STATES {
