--- a/src/coordination/shard/delegations/inventories.rs
+++ b/src/coordination/shard/delegations/inventories.rs
@@ -51,11 +51,11 @@
             return self.others_may_renew_leases()
                 || self.delegations.is_partitioned(&machine.zone);
         }
-        let inventory_expected = self
+        let is_inventory_expected = self
             .delegations
             .active_for(now)
             .is_some_and(|active| active < INVENTORY_TIMEOUT);
-        inventory_expected
+        is_inventory_expected
             || (self.may_be_renewed_in_partition(machine) && !self.reconciliation_blocks_work())
     }
 
--- a/src/coordination/shard/health/failures.rs
+++ b/src/coordination/shard/health/failures.rs
@@ -102,12 +102,12 @@
     /// Counts tasks that have run much longer than any failed attempt of their job as successes.
     /// The tasks of a service can't succeed in any other way, since they never complete.
     pub(in crate::coordination::shard) fn note_outliving_tasks(&mut self, now: Instant) {
-        let failing = self.jobs.values().filter(|job| !job.failures.is_clear());
-        let succeeded: Vec<JobId> = failing
+        let failing_jobs = self.jobs.values().filter(|job| !job.failures.is_clear());
+        let succeeded_jobs: Vec<JobId> = failing_jobs
             .filter(|job| self.has_outliving_task(job, now))
             .map(|job| job.id.clone())
             .collect();
-        for id in succeeded {
+        for id in succeeded_jobs {
             self.task_succeeded(&id);
         }
     }
--- a/src/coordination/shard/health/slowness.rs
+++ b/src/coordination/shard/health/slowness.rs
@@ -58,11 +58,11 @@
             .values()
             .flat_map(|job| self.overdue_attempts(job, now))
             .collect();
-        let slow: Vec<MachineId> = overdue
+        let slow_machines: Vec<MachineId> = overdue
             .iter()
             .filter_map(|overdue| self.note_overdue(overdue))
             .collect();
-        for id in slow {
+        for id in slow_machines {
             self.evict_tasks(&id);
         }
     }
@@ -70,9 +70,9 @@
     /// The overdue attempts of one job.
     fn overdue_attempts(&self, job: &Job, now: Instant) -> Vec<OverdueAttempt> {
         // The run time of an attempt that resumes from a checkpoint may have any length.
-        let comparable = job.spec.checkpoint_s <= 0.0 && !job.spec.is_gang();
+        let is_comparable = job.spec.checkpoint_s <= 0.0 && !job.spec.is_gang();
         let overdue_after = job.ran.overdue_after(job.spec.tasks);
-        let Some(overdue_after) = overdue_after.filter(|_| comparable) else {
+        let Some(overdue_after) = overdue_after.filter(|_| is_comparable) else {
             return Vec::new();
         };
         let mut hosts: Vec<&MachineId> = job.live().values().collect();
--- a/src/coordination/shard/persistence/snapshot_rounds.rs
+++ b/src/coordination/shard/persistence/snapshot_rounds.rs
@@ -43,7 +43,7 @@
         /// When the oldest change that this round covers was made; None if it covers none.
         dirty_since: Option<Instant>,
         /// When the oldest change that this round doesn't cover was made; None if there is none.
-        dirty_after: Option<Instant>,
+        uncovered_since: Option<Instant>,
         /// The completions that this round makes durable.
         covered: Vec<CompletedAttempt>,
         /// Chunks that are not yet in a transaction, in the order in which they are written.
@@ -94,7 +94,7 @@
         self.round = Round::UnderWay {
             started: now,
             dirty_since,
-            dirty_after: None,
+            uncovered_since: None,
             covered,
             waiting: self.changed_chunks(encoded),
         };
@@ -115,19 +115,21 @@
             .into_iter()
             .filter(|(key, value)| self.stored.get(*key) != Some(*value))
             .map(|(key, value)| chunk_write(key, Some(value)));
-        let dropped = self
+        let deleted = self
             .stored
             .keys()
             .filter(|key| !encoded.contains_key(*key))
             .map(|key| chunk_write(key, None));
-        changed.chain(dropped).collect()
+        changed.chain(deleted).collect()
     }
 
     /// Records a change that a snapshot has to hold.
     pub(super) fn note_change(&mut self, now: Instant) {
         let oldest = match &mut self.round {
             Round::Idle { dirty_since, .. } => dirty_since,
-            Round::UnderWay { dirty_after, .. } => dirty_after,
+            Round::UnderWay {
+                uncovered_since, ..
+            } => uncovered_since,
         };
         oldest.get_or_insert(now);
     }
@@ -175,7 +177,7 @@
     pub(super) fn complete(&mut self) -> Option<Vec<CompletedAttempt>> {
         let Round::UnderWay {
             started,
-            dirty_after,
+            uncovered_since,
             covered,
             waiting,
             ..
@@ -189,7 +191,7 @@
         let covered = std::mem::take(covered);
         self.round = Round::Idle {
             last_started: Some(*started),
-            dirty_since: *dirty_after,
+            dirty_since: *uncovered_since,
         };
         Some(covered)
     }
@@ -199,13 +201,13 @@
     pub(super) fn abort(&mut self) {
         if let Round::UnderWay {
             dirty_since,
-            dirty_after,
+            uncovered_since,
             ..
         } = self.round
         {
             self.round = Round::Idle {
                 last_started: None,
-                dirty_since: dirty_since.or(dirty_after),
+                dirty_since: dirty_since.or(uncovered_since),
             };
         }
     }
--- a/src/coordination/shard/persistence/snapshots.rs
+++ b/src/coordination/shard/persistence/snapshots.rs
@@ -43,9 +43,9 @@
     /// leader, which rebuilds them from heartbeats, and writing them must not delay task starts.
     fn placements_fit(&self) -> bool {
         let bytes: usize = self.jobs.values().map(placement_bytes).sum();
-        let seconds = self.policy.staleness.as_secs_f64() * PLACEMENT_TIME_SHARE;
-        let chunks = self.policy.snapshot_writes_per_s * seconds;
-        let writable_bytes = chunks * self.policy.value_bytes as f64;
+        let max_seconds = self.policy.staleness.as_secs_f64() * PLACEMENT_TIME_SHARE;
+        let max_chunks = self.policy.snapshot_writes_per_s * max_seconds;
+        let writable_bytes = max_chunks * self.policy.value_bytes as f64;
         bytes as f64 <= writable_bytes
     }
 
@@ -80,20 +80,20 @@
 /// The placements of a job's tasks, in the order of the tasks' indices.
 fn placements(job: &Job) -> Vec<TaskPlacement> {
     let live = job.live().iter();
-    let mut placed: Vec<TaskPlacement> = live
+    let mut placements: Vec<TaskPlacement> = live
         .map(|(index, machine)| TaskPlacement {
             index: *index,
             machine: machine.to_string(),
         })
         .collect();
-    placed.sort_unstable_by_key(|placement| placement.index);
-    placed
+    placements.sort_unstable_by_key(|placement| placement.index);
+    placements
 }
 
 /// Approximate size in a snapshot of a job's placements, zero if it has none.
 fn placement_bytes(job: &Job) -> usize {
     match job.live().len() {
         0 => 0,
-        placed => placed * PLACEMENT_BYTES + JOB_BYTES,
+        placed_tasks => placed_tasks * PLACEMENT_BYTES + JOB_BYTES,
     }
 }
--- a/src/coordination/shard/persistence/write_queue.rs
+++ b/src/coordination/shard/persistence/write_queue.rs
@@ -45,7 +45,7 @@
     snapshot_budget: TokenBucket,
     /// Budget for all other records, which wait and accumulate while it is in debt.
     record_budget: TokenBucket,
-    in_flight: bool,
+    has_write_in_flight: bool,
 }
 
 impl WriteQueue {
@@ -122,7 +122,7 @@
 
     /// Whether a snapshot round should start now.
     pub(super) fn snapshot_due(&self, limits: &WriteLimits, now: Instant) -> bool {
-        !self.in_flight && self.snapshots.is_due(limits.snapshot_interval, now)
+        !self.has_write_in_flight && self.snapshots.is_due(limits.snapshot_interval, now)
     }
 
     /// Starts a snapshot round; see [`SnapshotRounds::begin`].
@@ -138,7 +138,7 @@
     /// Returns the next transaction, or None while one is in flight. If nothing is left to write,
     /// ends the snapshot round that is under way.
     pub(super) fn next(&mut self, limits: &WriteLimits) -> Option<NextWrite> {
-        if self.in_flight {
+        if self.has_write_in_flight {
             return None;
         }
         let transaction = self.fill_transaction(limits);
@@ -146,7 +146,7 @@
             return self.snapshots.complete().map(NextWrite::SnapshotStored);
         }
         self.sequence_budget(&transaction).spend_one();
-        self.in_flight = true;
+        self.has_write_in_flight = true;
         Some(NextWrite::Send(transaction.build()))
     }
 
@@ -221,7 +221,7 @@
 
     /// Records that the transaction in flight was applied.
     pub(super) fn written(&mut self, write: &ShardWrite) {
-        self.in_flight = false;
+        self.has_write_in_flight = false;
         for purpose in &write.purposes {
             if let WritePurpose::SnapshotChunk { key, value } = purpose {
                 self.snapshots.chunk_stored(key, value.as_ref());
@@ -232,7 +232,7 @@
     /// Records that the store refused the transaction in flight as too large. Its records and
     /// roster pages are queued again; the snapshot is encoded again within the new limits.
     pub(super) fn refused(&mut self, write: &ShardWrite) {
-        self.in_flight = false;
+        self.has_write_in_flight = false;
         let mut mutations = self.requeue_roster_pages(write).into_iter();
         for purpose in &write.purposes {
             if purpose.is_roster_purpose() {
@@ -254,13 +254,13 @@
 
     /// Marks the refused pages of the roster as changed; returns the other mutations.
     fn requeue_roster_pages<'a>(&mut self, write: &'a ShardWrite) -> Vec<&'a Mutation> {
-        let mut others = Vec::new();
+        let mut other_mutations = Vec::new();
         for mutation in &write.mutations {
             let (Mutation::Put { key, .. } | Mutation::Delete { key }) = mutation;
             if !self.roster.mark_unwritten(key) {
-                others.push(mutation);
+                other_mutations.push(mutation);
             }
         }
-        others
+        other_mutations
     }
 }
--- a/src/storage/job_index/state.rs
+++ b/src/storage/job_index/state.rs
@@ -19,13 +19,13 @@
 pub(super) struct IndexState {
     /// The revision up to which the index is complete; None before the first load.
     revision: Option<u64>,
-    open: HashSet<String>,
-    finished: HashMap<String, FinalState>,
-    /// The jobs of `finished`, in the order in which they were recorded.
-    finished_order: VecDeque<String>,
+    open_jobs: HashSet<String>,
+    final_states: HashMap<String, FinalState>,
+    /// The jobs of `final_states`, in the order in which they were recorded.
+    final_states_order: VecDeque<String>,
     /// The latest cancelled jobs, by the revision of their cancellation.
-    cancelled: BTreeMap<u64, String>,
-    /// The latest revision of a cancellation that was dropped from `cancelled`.
+    cancellations: BTreeMap<u64, String>,
+    /// The latest revision of a cancellation that was dropped from `cancellations`.
     max_dropped_revision: u64,
     /// Increases whenever a job may have ceased to be open.
     change_count: u64,
@@ -41,22 +41,23 @@
     }
 
     pub(super) fn final_state(&self, id: &str) -> Option<FinalState> {
-        self.finished.get(id).copied()
+        self.final_states.get(id).copied()
     }
 
     pub(super) fn is_open(&self, id: &str) -> bool {
-        self.open.contains(id)
+        self.open_jobs.contains(id)
     }
 
     pub(super) fn has_ended(&self, id: &str, mod_revision: u64) -> bool {
-        self.finished.contains_key(id)
-            || (!self.open.contains(id) && self.revision.is_some_and(|known| mod_revision <= known))
+        self.final_states.contains_key(id)
+            || (!self.open_jobs.contains(id)
+                && self.revision.is_some_and(|known| mod_revision <= known))
     }
 
     pub(super) fn find(&self, id: &str) -> JobStatus {
-        match self.finished.get(id) {
+        match self.final_states.get(id) {
             Some(state) => JobStatus::Finished(*state),
-            None if self.open.contains(id) => JobStatus::Open,
+            None if self.open_jobs.contains(id) => JobStatus::Open,
             None => JobStatus::Unknown,
         }
     }
@@ -65,7 +66,7 @@
         if revision < self.max_dropped_revision {
             return None;
         }
-        let later = self.cancelled.range(revision.saturating_add(1)..);
+        let later = self.cancellations.range(revision.saturating_add(1)..);
         let jobs = later.map(|(revision, job)| CancelledJob {
             job: job.clone(),
             revision: *revision,
@@ -84,27 +85,27 @@
     }
 
     pub(super) fn record_final(&mut self, id: &str, state: FinalState, revision: u64) {
-        self.open.remove(id);
+        self.open_jobs.remove(id);
         self.change_count += 1;
-        if self.finished.insert(id.to_owned(), state).is_none() {
-            self.finished_order.push_back(id.to_owned());
+        if self.final_states.insert(id.to_owned(), state).is_none() {
+            self.final_states_order.push_back(id.to_owned());
         }
         if state.stage == JobStage::Cancelled {
-            self.cancelled.insert(revision, id.to_owned());
+            self.cancellations.insert(revision, id.to_owned());
         }
         self.drop_excess();
     }
 
     /// Drops the oldest entries beyond [`MAX_CANCELLATIONS`] and [`MAX_FINAL_STATES`].
     fn drop_excess(&mut self) {
-        while self.cancelled.len() > MAX_CANCELLATIONS {
-            if let Some((revision, _)) = self.cancelled.pop_first() {
+        while self.cancellations.len() > MAX_CANCELLATIONS {
+            if let Some((revision, _)) = self.cancellations.pop_first() {
                 self.max_dropped_revision = self.max_dropped_revision.max(revision);
             }
         }
-        while self.finished_order.len() > MAX_FINAL_STATES {
-            if let Some(oldest) = self.finished_order.pop_front() {
-                self.finished.remove(&oldest);
+        while self.final_states_order.len() > MAX_FINAL_STATES {
+            if let Some(oldest) = self.final_states_order.pop_front() {
+                self.final_states.remove(&oldest);
             }
         }
     }
@@ -114,7 +115,7 @@
         let ids = items
             .iter()
             .filter_map(|item| item.key.strip_prefix(keys::JOBS));
-        self.open = ids.map(str::to_owned).collect();
+        self.open_jobs = ids.map(str::to_owned).collect();
         self.revision = Some(revision);
         self.change_count += 1;
     }
@@ -135,7 +136,7 @@
                 mod_revision,
             } => {
                 if let Some(id) = key.strip_prefix(keys::JOBS) {
-                    self.open.insert(id.to_owned());
+                    self.open_jobs.insert(id.to_owned());
                 } else if let Some(id) = key.strip_prefix(keys::FINAL_JOBS)
                     && let Ok(record) = serde_json::from_value::<FinalRecord>(value)
                 {
@@ -144,7 +145,7 @@
             }
             WatchEvent::Delete { key, .. } => {
                 if let Some(id) = key.strip_prefix(keys::JOBS) {
-                    self.open.remove(id);
+                    self.open_jobs.remove(id);
                     self.change_count += 1;
                 }
             }
@@ -153,6 +154,6 @@
 
     #[cfg(test)]
     pub(super) fn finished_len(&self) -> usize {
-        self.finished.len()
+        self.final_states.len()
     }
 }
--- a/src/storage/task_set.rs
+++ b/src/storage/task_set.rs
@@ -108,9 +108,9 @@
 
 /// The positions of the set bits of a word, in ascending order.
 fn set_bits(word: u64) -> impl Iterator<Item = u32> {
-    let without_lowest = |rest: &u64| Some(rest & (rest - 1)).filter(|rest| *rest != 0);
-    let rests = successors(Some(word).filter(|word| *word != 0), without_lowest);
-    rests.map(u64::trailing_zeros)
+    let without_lowest_bit = |rest: &u64| Some(rest & (rest - 1)).filter(|rest| *rest != 0);
+    let remaining_words = successors(Some(word).filter(|word| *word != 0), without_lowest_bit);
+    remaining_words.map(u64::trailing_zeros)
 }
 
 /// Formats a range in the notation that [`TaskSet::insert_ranges`] reads.
