--- a/src/coordination/requests/status_query.rs
+++ b/src/coordination/requests/status_query.rs
@@ -15,7 +15,7 @@
 /// and never back, so that a job found in neither was never accepted.
 pub(super) async fn poll(node: &Arc<Node>, id: &str) -> Result<UserResponse, KvError> {
     retry_rate_limited(|| node.catch_up()).await?;
-    match node.job_index.find(id) {
+    match node.job_index.status(id) {
         JobStatus::Open => Ok(UserResponse::unfinished_job(id, task_counts(node, id))),
         JobStatus::Finished(FinalState { stage, tasks }) => {
             Ok(UserResponse::finished_job(id, stage, tasks))
--- a/src/storage/job_index.rs
+++ b/src/storage/job_index.rs
@@ -132,8 +132,8 @@
     }
 
     /// The status of a job as of the last catch-up read.
-    pub fn find(&self, id: &str) -> JobStatus {
-        self.state().find(id)
+    pub fn status(&self, id: &str) -> JobStatus {
+        self.state().status(id)
     }
 
     /// Waits until a catch-up read that was sent after this call has been answered, and returns the
--- a/src/storage/job_index/state.rs
+++ b/src/storage/job_index/state.rs
@@ -54,7 +54,7 @@
                 && self.revision.is_some_and(|known| mod_revision <= known))
     }
 
-    pub(super) fn find(&self, id: &str) -> JobStatus {
+    pub(super) fn status(&self, id: &str) -> JobStatus {
         match self.final_states.get(id) {
             Some(state) => JobStatus::Finished(*state),
             None if self.open_jobs.contains(id) => JobStatus::Open,
--- a/src/storage/job_index/tests.rs
+++ b/src/storage/job_index/tests.rs
@@ -21,10 +21,10 @@
 #[test]
 fn a_job_goes_from_open_to_finished_and_old_final_states_are_dropped() {
     let job_index = JobIndex::new(Duration::ZERO);
-    assert_eq!(job_index.find("run-1"), JobStatus::Unknown);
+    assert_eq!(job_index.status("run-1"), JobStatus::Unknown);
     let open = keys::job("run-1");
     job_index.apply(vec![put(&open, json!({}))], 5);
-    assert_eq!(job_index.find("run-1"), JobStatus::Open);
+    assert_eq!(job_index.status("run-1"), JobStatus::Open);
     assert_eq!(job_index.final_state("run-1"), None);
     job_index.apply(
         vec![WatchEvent::Delete {
@@ -34,18 +34,18 @@
         6,
     );
     assert_eq!(
-        job_index.find("run-1"),
+        job_index.status("run-1"),
         JobStatus::Unknown,
         "its record tells"
     );
     job_index.state().record_final("run-1", done(3), 6);
-    assert_eq!(job_index.find("run-1"), JobStatus::Finished(done(3)));
+    assert_eq!(job_index.status("run-1"), JobStatus::Finished(done(3)));
     for n in 0..MAX_FINAL_STATES {
         job_index
             .state()
             .record_final(&format!("run-9{n}"), done(1), 7);
     }
-    assert_eq!(job_index.find("run-1"), JobStatus::Unknown);
+    assert_eq!(job_index.status("run-1"), JobStatus::Unknown);
     assert_eq!(job_index.state().finished_len(), MAX_FINAL_STATES);
 }
 
@@ -54,7 +54,7 @@
     let job_index = JobIndex::new(Duration::ZERO);
     job_index.apply(vec![put(&keys::job("run-1"), json!({}))], 5);
     job_index.state().load(&[], 9);
-    assert_eq!(job_index.find("run-1"), JobStatus::Unknown);
+    assert_eq!(job_index.status("run-1"), JobStatus::Unknown);
     assert_eq!(job_index.revision(), Some(9));
 }
 
