--- a/src/coordination/executor/jobs.rs
+++ b/src/coordination/executor/jobs.rs
@@ -59,7 +59,7 @@
         }
     };
     let last = FinalRecord::new(JobStage::Done, record.spec).within(node.value_bytes());
-    let Ok(transaction) = job_transition::finish_job(job, mod_revision, &last) else {
+    let Ok(transaction) = job_transition::finish_job_transaction(job, mod_revision, &last) else {
         return FinishTry::Abandoned;
     };
     let transaction = transaction.guard(keys::leader(), lease.fencing_token.revision());
--- a/src/storage/job_transition.rs
+++ b/src/storage/job_transition.rs
@@ -8,7 +8,7 @@
 /// The transaction that replaces a job's open record by its final record, provided that the open
 /// record is still at this revision. The precondition makes the transition happen at most once: if
 /// a completion and a cancellation compete, only one is committed, and a final state never changes.
-pub fn finish_job(
+pub fn finish_job_transaction(
     id: &str,
     mod_revision: u64,
     record: &FinalRecord,
--- a/tests/trial/nodes.rs
+++ b/tests/trial/nodes.rs
@@ -109,7 +109,8 @@
     let body = submission(id, 1.0).to_string();
     let Submission { spec, .. } = parse_submission(body.as_bytes()).expect("a submission");
     let last = FinalRecord::new(JobStage::Done, spec);
-    let txn = job_transition::finish_job(id, item.mod_revision, &last).expect("a transaction");
+    let txn = job_transition::finish_job_transaction(id, item.mod_revision, &last)
+        .expect("a transaction");
     matches!(
         node.clients.kv.txn(&txn, DEADLINE).await,
         Ok(TransactionOutcome::Committed { .. })
