--- a/src/coordination/executor/jobs.rs
+++ b/src/coordination/executor/jobs.rs
@@ -58,7 +58,7 @@
             return FinishTry::Abandoned;
         }
     };
-    let last = FinalRecord::new(JobStage::Done, record.spec).within(node.value_bytes());
+    let last = FinalRecord::new(JobStage::Done, record.spec).shortened_to(node.value_bytes());
     let Ok(transaction) = job_transition::finish_job_transaction(job, mod_revision, &last) else {
         return FinishTry::Abandoned;
     };
--- a/src/coordination/requests/cancellation.rs
+++ b/src/coordination/requests/cancellation.rs
@@ -45,7 +45,7 @@
 ) -> Result<Option<UserResponse>, KvError> {
     let job: JobRecord = serde_json::from_value(open.value)
         .map_err(|source| KvError::undecodable_record(&open.key, source))?;
-    let record = FinalRecord::new(JobStage::Cancelled, job.spec).within(node.value_bytes());
+    let record = FinalRecord::new(JobStage::Cancelled, job.spec).shortened_to(node.value_bytes());
     let transaction = job_transition::finish_job_transaction(id, open.mod_revision, &record)
         .map_err(|source| KvError::unencodable("a final record", source))?;
     match write_in_turn(node, &transaction).await? {
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -63,7 +63,7 @@
     /// Shortens the record until it takes at most `value_bytes`, a limit that may have been
     /// lowered since the job was accepted. The resources of its tasks are kept; the list of
     /// machine types is dropped, since no task starts any more, and long names are truncated.
-    pub fn within(mut self, value_bytes: usize) -> Self {
+    pub fn shortened_to(mut self, value_bytes: usize) -> Self {
         if self.fits(value_bytes) {
             return self;
         }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -153,7 +153,7 @@
     job.spec.image = "ä".repeat(100);
     let whole = FinalRecord::new(JobStage::Done, job.spec);
     assert!(serde_json::to_vec(&whole).expect("JSON").len() > 16_384);
-    let last = whole.clone().within(512);
+    let last = whole.clone().shortened_to(512);
     assert!(serde_json::to_vec(&last).expect("JSON").len() <= 512);
     let read: FinalRecord = serde_json::from_value(serde_json::to_value(&last).expect("JSON"))
         .expect("what the older version reads");
@@ -161,7 +161,7 @@
     assert_eq!(read.spec.team, whole.spec.team);
     assert_eq!(read.spec.cores, whole.spec.cores);
     assert_eq!(
-        whole.clone().within(1 << 20),
+        whole.clone().shortened_to(1 << 20),
         whole,
         "unchanged within the limit"
     );
