--- a/src/coordination/node/status.rs
+++ b/src/coordination/node/status.rs
@@ -33,7 +33,7 @@
         writeln!(
             page,
             "key-value store: {} answers, p50 {:?}, p99 {:?}, longest {:?}",
-            latencies.answered, latencies.p50, latencies.p99, latencies.longest,
+            latencies.answered_requests, latencies.p50, latencies.p99, latencies.max,
         )?;
         for view in state.peers.views.values() {
             write_peer(page, view, now)?;
--- a/src/storage/kv_client/latencies.rs
+++ b/src/storage/kv_client/latencies.rs
@@ -14,13 +14,13 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Latencies {
     /// How many requests, watches excepted, were answered.
-    pub answered: u64,
+    pub answered_requests: u64,
     /// The median latency.
     pub p50: Duration,
     /// The 99th percentile of the latencies.
     pub p99: Duration,
     /// The longest latency.
-    pub longest: Duration,
+    pub max: Duration,
 }
 
 /// The latencies of answered requests, in microseconds.
@@ -50,10 +50,10 @@
         let histogram = self.lock();
         let percentile = |quantile| Duration::from_micros(histogram.value_at_quantile(quantile));
         Latencies {
-            answered: histogram.len(),
+            answered_requests: histogram.len(),
             p50: percentile(0.5),
             p99: percentile(0.99),
-            longest: Duration::from_micros(histogram.max()),
+            max: Duration::from_micros(histogram.max()),
         }
     }
 }
