--- a/src/coordination/shard/health/failure_history.rs
+++ b/src/coordination/shard/health/failure_history.rs
@@ -59,17 +59,17 @@
 
 impl FailureHistory {
     /// Whether a task of the job has failed on the machine.
-    pub fn includes(&self, machine: &MachineId) -> bool {
+    pub fn has_failed_on(&self, machine: &MachineId) -> bool {
         self.machines.contains(machine)
     }
 
     /// The number of machines on which tasks of the job have failed.
-    pub fn machines(&self) -> usize {
+    pub fn machine_count(&self) -> usize {
         self.machines.len()
     }
 
     /// The machines on which tasks of the job have failed.
-    pub(super) fn failed_on(&self) -> &BTreeSet<MachineId> {
+    pub(super) fn machines(&self) -> &BTreeSet<MachineId> {
         &self.machines
     }
 
--- a/src/coordination/shard/health/failures.rs
+++ b/src/coordination/shard/health/failures.rs
@@ -77,7 +77,7 @@
         }
         job.failures.note_success();
         job.not_before = None;
-        for machine_id in job.failures.failed_on().clone() {
+        for machine_id in job.failures.machines().clone() {
             if let Some(machine) = self.machines.get_mut(&machine_id)
                 && let Some(reason) = machine.health.confirm_failure(id)
             {
@@ -92,7 +92,7 @@
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        for machine_id in job.failures.failed_on() {
+        for machine_id in job.failures.machines() {
             if let Some(machine) = self.machines.get_mut(machine_id) {
                 machine.health.withdraw_failure(id);
             }
--- a/src/coordination/shard/health/tests.rs
+++ b/src/coordination/shard/health/tests.rs
@@ -35,7 +35,10 @@
     assert!(history.is_crash_looping());
     history.note_success();
     assert!(history.is_clear() && !history.is_crash_looping());
-    assert!(history.includes(&machine), "it is avoided all the same");
+    assert!(
+        history.has_failed_on(&machine),
+        "it is avoided all the same"
+    );
 }
 
 #[test]
--- a/src/coordination/shard/scheduler/gang/placement.rs
+++ b/src/coordination/shard/scheduler/gang/placement.rs
@@ -189,7 +189,7 @@
         pass: &SchedulingPass,
     ) -> Vec<GangCandidate> {
         let spec = &job.spec;
-        let avoid_failed = job.failures.machines() < pass.candidates().len();
+        let avoid_failed = job.failures.machine_count() < pass.candidates().len();
         let mut ranked = Vec::new();
         for (index, candidate) in pass.candidates().iter().enumerate() {
             let fitting_tasks = candidate.fitting_tasks(spec);
@@ -197,7 +197,7 @@
                 && candidate.allows(spec)
                 && candidate.cost_acceptable(job)
                 && zone.includes(&candidate.zone)
-                && !(avoid_failed && job.failures.includes(&candidate.id))
+                && !(avoid_failed && job.failures.has_failed_on(&candidate.id))
                 && !self.ran_current_attempt(job, &candidate.id);
             if eligible {
                 ranked.push(GangCandidate {
--- a/src/coordination/shard/scheduler/placement.rs
+++ b/src/coordination/shard/scheduler/placement.rs
@@ -54,7 +54,7 @@
         } else {
             zones.zones_in_use().next().filter(|_| spec.one_zone)
         };
-        let avoid_failed = job.failures.machines() < pass.candidates().len();
+        let avoid_failed = job.failures.machine_count() < pass.candidates().len();
         let keep_with_services = self.must_stay_with_services(job, &zones, pass);
         let eligible = |candidate: &Candidate| {
             candidate.fits(spec)
@@ -63,7 +63,7 @@
                 && !(keep_with_services && candidate.releasable)
                 && pinned_zone.is_none_or(|zone| *zone == candidate.zone)
                 && zones.admits(&candidate.zone)
-                && !(avoid_failed && job.failures.includes(&candidate.id))
+                && !(avoid_failed && job.failures.has_failed_on(&candidate.id))
         };
         self.best_candidate(spec, pass, eligible)
             .filter(|index| !self.prefers_preemption(job, *index, pass))
@@ -85,7 +85,7 @@
                 !candidate.releasable
                     && candidate.allows(spec)
                     && zones.admits(&candidate.zone)
-                    && !job.failures.includes(&candidate.id)
+                    && !job.failures.has_failed_on(&candidate.id)
                     && (candidate.free.fits_task(spec) || self.can_preempt_one_for(candidate, spec))
             })
     }
