--- a/src/coordination/shard/health/failure_history.rs
+++ b/src/coordination/shard/health/failure_history.rs
@@ -37,7 +37,7 @@
     /// When the leader decided to start the attempt.
     pub began: Instant,
     /// For how long the attempt ran.
-    pub ran: Duration,
+    pub run_time: Duration,
 }
 
 /// A job's failed attempts since its last success.
@@ -93,7 +93,7 @@
         if self.machines.insert(failure.machine.clone()) {
             self.machines_since_success += 1;
         }
-        self.longest_run = self.longest_run.max(failure.ran);
+        self.longest_run = self.longest_run.max(failure.run_time);
         if self
             .last_round_at
             .is_some_and(|started| failure.began <= started)
--- a/src/coordination/shard/health/slowness.rs
+++ b/src/coordination/shard/health/slowness.rs
@@ -27,8 +27,8 @@
 
 impl RunTimes {
     /// Adds the run time of a task that has completed.
-    pub fn note(&mut self, ran: Duration) {
-        self.total += ran;
+    pub fn add(&mut self, run_time: Duration) {
+        self.total += run_time;
         self.count += 1;
     }
 
@@ -71,7 +71,7 @@
     fn overdue_attempts(&self, job: &Job, now: Instant) -> Vec<OverdueAttempt> {
         // The run time of an attempt that resumes from a checkpoint may have any length.
         let is_comparable = job.spec.checkpoint_s <= 0.0 && !job.spec.is_gang();
-        let overdue_after = job.ran.overdue_after(job.spec.tasks);
+        let overdue_after = job.run_times.overdue_after(job.spec.tasks);
         let Some(overdue_after) = overdue_after.filter(|_| is_comparable) else {
             return Vec::new();
         };
--- a/src/coordination/shard/health/tests.rs
+++ b/src/coordination/shard/health/tests.rs
@@ -15,7 +15,7 @@
             job: &job,
             machine: &machine,
             began: now,
-            ran: Duration::ZERO,
+            run_time: Duration::ZERO,
         };
         now += Duration::from_secs(1);
         pauses.push(history.note_failure(&failure, now));
--- a/src/coordination/shard/jobs/mod.rs
+++ b/src/coordination/shard/jobs/mod.rs
@@ -51,7 +51,7 @@
     /// None of its tasks is started before this moment.
     pub not_before: Option<Instant>,
     /// Run times of its completed tasks, to find machines that are slower.
-    pub ran: RunTimes,
+    pub run_times: RunTimes,
     /// Its final stage, once it is finished.
     pub final_stage: Option<JobStage>,
     /// Whether the write of its final record was requested.
@@ -79,7 +79,7 @@
             both: 0,
             failures: FailureHistory::default(),
             not_before: None,
-            ran: RunTimes::default(),
+            run_times: RunTimes::default(),
             final_stage: None,
             finish_sent: false,
             accepts_extra_cost: false,
--- a/src/coordination/shard/reconciler/outcomes.rs
+++ b/src/coordination/shard/reconciler/outcomes.rs
@@ -60,7 +60,7 @@
                     job: &task.job,
                     machine: id,
                     began: ended.began,
-                    ran: ended.ran.unwrap_or_default(),
+                    run_time: ended.ran.unwrap_or_default(),
                 };
                 self.attempt_failed(&failure, now);
             }
@@ -88,7 +88,7 @@
         } else {
             job.complete(task.index);
             if let Some(ran) = ended.ran.filter(|_| ended.is_comparable) {
-                job.ran.note(ran);
+                job.run_times.add(ran);
             }
         }
         self.task_succeeded(&task.job);
