--- a/src/coordination/peering/delegation/leader.rs
+++ b/src/coordination/peering/delegation/leader.rs
@@ -58,7 +58,7 @@
     node.with_shard(&lease, "delegations", |shard, now| {
         revoke_all_but(shard, reaches_workers);
         for node_id in node_ids.iter().filter(|node_id| reaches_workers(node_id)) {
-            shard.delegate(node_id, now);
+            shard.grant_delegation(node_id, now);
         }
     });
     let wants_inventories =
@@ -72,7 +72,7 @@
 fn revoke_all_but(shard: &mut Shard, needed: impl Fn(&str) -> bool) {
     for node_id in shard.delegates() {
         if !needed(&node_id) {
-            shard.revoke(&node_id);
+            shard.revoke_delegation(&node_id);
         }
     }
 }
--- a/src/coordination/shard/autoscaler/machine_loss.rs
+++ b/src/coordination/shard/autoscaler/machine_loss.rs
@@ -164,7 +164,7 @@
         now: Instant,
     ) -> Option<DeletionReason> {
         let is_unanswered = machine.commands.unanswered() >= MIN_UNANSWERED_PROBES;
-        if !is_unanswered || self.left_to_delegates(machine, now) {
+        if !is_unanswered || self.should_defer_replacement(machine, now) {
             return None;
         }
         if overview.has_few_unreconciled && self.unreconciled.contains(&machine.id) {
--- a/src/coordination/shard/delegations/grants.rs
+++ b/src/coordination/shard/delegations/grants.rs
@@ -24,7 +24,7 @@
     /// Delegates the renewal of worker leases to a controller that receives the workers'
     /// heartbeats. If machines are unreconciled, the record also asks the delegate for the
     /// inventory of its workers.
-    pub fn delegate(&mut self, node_id: &str, now: Instant) {
+    pub fn grant_delegation(&mut self, node_id: &str, now: Instant) {
         if self.has_delegated_to(node_id) {
             return;
         }
@@ -51,7 +51,7 @@
 
     /// Revokes a controller's delegation. The caller has found that the controller is reachable
     /// again, or that it receives no heartbeats from workers.
-    pub fn revoke(&mut self, node_id: &str) {
+    pub fn revoke_delegation(&mut self, node_id: &str) {
         if !self.has_delegated_to(node_id) {
             return;
         }
@@ -70,7 +70,7 @@
 
     /// Removes the delegations that have ended. A delegate may have renewed any worker's lease
     /// until its delegation ended, so all leases are extended as if they were renewed at `now`.
-    pub(in crate::coordination::shard) fn end_delegations(&mut self, now: Instant) {
+    pub(in crate::coordination::shard) fn remove_ended_delegations(&mut self, now: Instant) {
         if !self.delegations.remove_ended(now) {
             return;
         }
--- a/src/coordination/shard/delegations/inventories.rs
+++ b/src/coordination/shard/delegations/inventories.rs
@@ -42,7 +42,7 @@
     /// delays all tasks that may be on it. It is therefore kept only while a delegate's inventory
     /// is expected, or while its zone is partitioned and too few tasks wait to justify replacing
     /// it.
-    pub(in crate::coordination::shard) fn left_to_delegates(
+    pub(in crate::coordination::shard) fn should_defer_replacement(
         &self,
         machine: &Machine,
         now: Instant,
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -109,7 +109,7 @@
     /// leader loop calls it several times a second.
     pub fn tick(&mut self, now: Instant) {
         self.machines.refresh();
-        self.end_delegations(now);
+        self.remove_ended_delegations(now);
         self.expire_leases(now);
         if self.running.recount_if_due(&self.machines, now) {
             self.note_outliving_tasks(now);
--- a/src/coordination/shard/tests/delegations.rs
+++ b/src/coordination/shard/tests/delegations.rs
@@ -25,14 +25,14 @@
     let runs = vec![running_task(&task.to_string(), attempt)];
     script.execute(&batch, runs.clone());
     script.heartbeat("vm-1", runs);
-    script.shard.delegate("beta", script.now);
+    script.shard.grant_delegation("beta", script.now);
     script.reconcile();
     advance_with_heartbeats_of(&mut script, "vm-2", 120);
     assert!(script.launches().is_empty(), "it may still run there");
     assert!(!script.machine("vm-1").is_deleting());
     // The revocation is written at once here. The delegate may answer a little longer, and
     // the worker's lease runs from its last answer.
-    script.shard.revoke("beta");
+    script.shard.revoke_delegation("beta");
     script.reconcile();
     for _ in 0..26 {
         advance_with_heartbeats_of(&mut script, "vm-2", 1);
@@ -63,7 +63,7 @@
         ..RecoveredState::default()
     });
     script.heartbeat("vm-2", Vec::new());
-    script.shard.delegate("beta", script.now);
+    script.shard.grant_delegation("beta", script.now);
     script.reconcile();
     assert!(script.shard.wants_inventories());
     assert!(script.launches().is_empty(), "both tasks may run on vm-1");
--- a/src/coordination/shard/tests/failover.rs
+++ b/src/coordination/shard/tests/failover.rs
@@ -107,7 +107,7 @@
         ..RecoveredState::default()
     });
     // Their delegate renews the leases of vm-0 and vm-3, but has written no inventory.
-    script.shard.delegate("beta", script.now);
+    script.shard.grant_delegation("beta", script.now);
     for _ in 0..80 {
         script.heartbeat("vm-1", Vec::new());
         script.heartbeat("vm-2", Vec::new());
--- a/src/coordination/shard/tests/store_limits.rs
+++ b/src/coordination/shard/tests/store_limits.rs
@@ -179,7 +179,9 @@
             list_tasks(&mut script, done);
         }
         if step % 10 == 0 {
-            script.shard.delegate(&format!("peer-{step}"), script.now);
+            script
+                .shard
+                .grant_delegation(&format!("peer-{step}"), script.now);
         }
         script.shard.tick(script.now);
         write_all(&mut script, &mut store);
