--- a/src/coordination/executor/mod.rs
+++ b/src/coordination/executor/mod.rs
@@ -53,7 +53,7 @@
 async fn apply_write(node: &Arc<Node>, lease: &Arc<ShardLease>, write: &ShardWrite) {
     let outcome = shard_write::write(node, lease, write).await;
     node.with_shard(lease, "written", |shard, now| match outcome {
-        WriteOutcome::Applied => shard.shard_written(write, now),
+        WriteOutcome::Applied => shard.write_applied(write, now),
         WriteOutcome::TooLarge => shard.write_refused(write, now),
         WriteOutcome::LeaseEnded => {}
     });
--- a/src/coordination/shard/action.rs
+++ b/src/coordination/shard/action.rs
@@ -22,7 +22,7 @@
         /// The commands; an empty batch is a probe, which only asks for a heartbeat.
         commands: Vec<Command>,
     },
-    /// Write to the shard's keys; answered by [`super::Shard::shard_written`].
+    /// Write to the shard's keys; answered by [`super::Shard::write_applied`].
     Write(ShardWrite),
     /// Record that a job is done; answered by [`super::Shard::job_finished`].
     Finish {
--- a/src/coordination/shard/persistence/flush.rs
+++ b/src/coordination/shard/persistence/flush.rs
@@ -32,8 +32,8 @@
 
     /// Handles the store's confirmation that it applied the transaction in flight: the actions that
     /// waited for its records follow now.
-    pub fn shard_written(&mut self, write: &ShardWrite, now: Instant) {
-        self.writes.written(write);
+    pub fn write_applied(&mut self, write: &ShardWrite, now: Instant) {
+        self.writes.write_applied(write);
         let mut deletable: Vec<MachineId> = Vec::new();
         for purpose in &write.purposes {
             match purpose {
@@ -70,7 +70,7 @@
             value_bytes = self.policy.value_bytes,
             "transaction too large for the key-value store, limits lowered"
         );
-        self.writes.refused(write);
+        self.writes.write_refused(write);
         self.flush_writes(now);
     }
 
--- a/src/coordination/shard/persistence/tests.rs
+++ b/src/coordination/shard/persistence/tests.rs
@@ -142,7 +142,7 @@
         None,
         "in flight"
     );
-    queue.written(&write);
+    queue.write_applied(&write);
     let rest = next_write(&mut queue, now + INTERVAL * 10).expect("the rest");
     assert_eq!(rest.mutations.len(), 2);
 }
@@ -155,7 +155,7 @@
     push_rentals(&mut queue, 0..7);
     // Seven records and the sequence number, of which two were saved up.
     let write = next_write(&mut queue, start).expect("a transaction");
-    queue.written(&write);
+    queue.write_applied(&write);
     push_rentals(&mut queue, 7..8);
     assert_eq!(next_write(&mut queue, at(1)), None);
     push_rentals(&mut queue, 8..10);
@@ -172,7 +172,7 @@
     queue.begin_snapshot_round(&few, Vec::new(), start);
     let alone = next_write(&mut queue, start).expect("the budget allows both");
     assert_eq!(alone.mutations.len(), 2);
-    queue.written(&alone);
+    queue.write_applied(&alone);
     assert_eq!(
         next_write(&mut queue, start),
         None,
@@ -214,7 +214,7 @@
     queue.begin_snapshot_round(&chunks(&[("a", 1)]), Vec::new(), now);
     let refused = next_write(&mut queue, now).expect("a transaction");
     assert_eq!(refused.mutations.len(), 3);
-    queue.refused(&refused);
+    queue.write_refused(&refused);
     assert!(queue.snapshot_due(&LIMITS, now), "a round starts anew");
     let again = next_write(&mut queue, now + INTERVAL * 10).expect("a transaction");
     assert_eq!(again.mutations[..], refused.mutations[..2]);
--- a/src/coordination/shard/persistence/write_queue.rs
+++ b/src/coordination/shard/persistence/write_queue.rs
@@ -28,7 +28,7 @@
 /// All writes of the shard that are not durable yet, and their budgets.
 ///
 /// Invariant: while a transaction is in flight, [`Self::next`] returns no other; for each one that
-/// it returned, the caller reports the result by [`Self::written`] or [`Self::refused`].
+/// it returned, the caller reports the result by [`Self::write_applied`] or [`Self::write_refused`].
 ///
 /// The queues have no length limit: each entry corresponds to one change of a machine, a rental or
 /// a delegation, or to one chunk of the snapshot.
@@ -220,7 +220,7 @@
     }
 
     /// Records that the transaction in flight was applied.
-    pub(super) fn written(&mut self, write: &ShardWrite) {
+    pub(super) fn write_applied(&mut self, write: &ShardWrite) {
         self.has_write_in_flight = false;
         for purpose in &write.purposes {
             if let WritePurpose::SnapshotChunk { key, value } = purpose {
@@ -231,7 +231,7 @@
 
     /// Records that the store refused the transaction in flight as too large. Its records and
     /// roster pages are queued again; the snapshot is encoded again within the new limits.
-    pub(super) fn refused(&mut self, write: &ShardWrite) {
+    pub(super) fn write_refused(&mut self, write: &ShardWrite) {
         self.has_write_in_flight = false;
         let mut mutations = self.requeue_roster_pages(write).into_iter();
         for purpose in &write.purposes {
--- a/src/coordination/shard/tests/launches.rs
+++ b/src/coordination/shard/tests/launches.rs
@@ -23,7 +23,7 @@
         .expect("the admission is written");
     assert!(matches!(admit.purposes[0], WritePurpose::Admit(_)));
     assert!(!actions.iter().any(|a| matches!(a, Action::Command { .. })));
-    script.shard.shard_written(&admit, script.now);
+    script.shard.write_applied(&admit, script.now);
     script.reconcile();
     assert_eq!(script.launches().len(), 1);
 }
--- a/src/coordination/shard/tests/scale/cluster.rs
+++ b/src/coordination/shard/tests/scale/cluster.rs
@@ -161,7 +161,7 @@
                         }
                     }
                 }
-                self.script.shard.shard_written(&write, self.script.now);
+                self.script.shard.write_applied(&write, self.script.now);
             }
             Action::Command {
                 machine,
--- a/src/coordination/shard/tests/scale/records.rs
+++ b/src/coordination/shard/tests/scale/records.rs
@@ -127,7 +127,7 @@
         }
         for write in writes {
             mutations += write.mutations.len();
-            script.shard.shard_written(&write, script.now);
+            script.shard.write_applied(&write, script.now);
         }
     }
 }
--- a/src/coordination/shard/tests/scripted_shard.rs
+++ b/src/coordination/shard/tests/scripted_shard.rs
@@ -128,7 +128,7 @@
                 self.snapshot_chunks.insert(key.clone(), value.clone());
             }
         }
-        self.shard.shard_written(write, self.now);
+        self.shard.write_applied(write, self.now);
     }
 
     pub(super) fn advance(&mut self, time: Duration) {
--- a/src/coordination/shard/tests/simulation/delivery.rs
+++ b/src/coordination/shard/tests/simulation/delivery.rs
@@ -24,7 +24,7 @@
             }
             Message::Write(write) => self.apply_write(write),
             Message::Written { leader, write } => {
-                self.on_incarnation(leader, |shard| shard.shard_written(&write, now));
+                self.on_incarnation(leader, |shard| shard.write_applied(&write, now));
             }
             Message::Finish(finish) => self.apply_finish(finish),
             Message::JobFinished { job, stage } => {
--- a/src/coordination/shard/tests/snapshots.rs
+++ b/src/coordination/shard/tests/snapshots.rs
@@ -63,7 +63,7 @@
         HeartbeatOutcome::Answer(commands) => assert!(!clears(&commands)),
         HeartbeatOutcome::Refuse => panic!("refused"),
     }
-    script.shard.shard_written(&snapshot, script.now);
+    script.shard.write_applied(&snapshot, script.now);
     script.reconcile();
     script.advance(Duration::from_secs(4));
     let commands = script.heartbeat("vm-1", vec![done, running(1)]);
--- a/src/coordination/shard/tests/store_limits.rs
+++ b/src/coordination/shard/tests/store_limits.rs
@@ -78,7 +78,7 @@
         }
         for write in writes {
             if store.commit(&write) {
-                script.shard.shard_written(&write, script.now);
+                script.shard.write_applied(&write, script.now);
             } else {
                 script.shard.write_refused(&write, script.now);
             }
--- a/tests/upgrade/cluster.rs
+++ b/tests/upgrade/cluster.rs
@@ -119,7 +119,7 @@
         match action {
             Action::Write(write) => {
                 self.write(&write);
-                shard.shard_written(&write, self.now);
+                shard.write_applied(&write, self.now);
             }
             Action::Command {
                 machine,
