--- a/src/coordination/shard/delegations/grants.rs
+++ b/src/coordination/shard/delegations/grants.rs
@@ -18,7 +18,10 @@
 
     /// The node ids of the controllers that may renew worker leases.
     pub fn delegates(&self) -> Vec<String> {
-        self.delegations.granted().map(str::to_owned).collect()
+        self.delegations
+            .granted_node_ids()
+            .map(str::to_owned)
+            .collect()
     }
 
     /// Delegates the renewal of worker leases to a controller that receives the workers'
@@ -87,7 +90,7 @@
 
     /// Whether a delegate may have renewed worker leases without this leader's knowledge.
     pub(in crate::coordination::shard) fn others_may_renew_leases(&self) -> bool {
-        self.delegations.any_active()
+        self.delegations.has_active()
     }
 
     /// Records that other controllers may have renewed worker leases by advance delegations until
--- a/src/coordination/shard/delegations/inventories.rs
+++ b/src/coordination/shard/delegations/inventories.rs
@@ -53,7 +53,7 @@
         }
         let is_inventory_expected = self
             .delegations
-            .active_for(now)
+            .active_duration(now)
             .is_some_and(|active| active < INVENTORY_TIMEOUT);
         is_inventory_expected
             || (self.may_be_renewed_in_partition(machine) && !self.reconciliation_blocks_work())
--- a/src/coordination/shard/delegations/table.rs
+++ b/src/coordination/shard/delegations/table.rs
@@ -65,7 +65,7 @@
     }
 
     /// The node ids of the controllers that may renew worker leases.
-    pub(crate) fn granted(&self) -> impl Iterator<Item = &str> {
+    pub(crate) fn granted_node_ids(&self) -> impl Iterator<Item = &str> {
         let granted = self
             .by_node
             .iter()
@@ -109,12 +109,12 @@
     }
 
     /// Whether a delegate may have renewed worker leases without the leader's knowledge.
-    pub(crate) fn any_active(&self) -> bool {
+    pub(crate) fn has_active(&self) -> bool {
         !self.by_node.is_empty()
     }
 
     /// For how long there has continuously been a delegate; None if there is none.
-    pub(crate) fn active_for(&self, now: Instant) -> Option<Duration> {
+    pub(crate) fn active_duration(&self, now: Instant) -> Option<Duration> {
         self.active_since
             .map(|since| now.saturating_duration_since(since))
     }
--- a/src/coordination/shard/delegations/tests.rs
+++ b/src/coordination/shard/delegations/tests.rs
@@ -14,10 +14,10 @@
     let revoked = start + Duration::from_secs(30);
     delegations.revocation_written("beta", revoked);
     assert!(!delegations.remove_ended(revoked + DELEGATION_TIME));
-    assert!(delegations.any_active(), "its clock may run slow");
+    assert!(delegations.has_active(), "its clock may run slow");
     assert!(delegations.remove_ended(revoked + DELEGATION_TIME * 2));
-    assert!(!delegations.any_active());
-    assert_eq!(delegations.active_for(revoked), None);
+    assert!(!delegations.has_active());
+    assert_eq!(delegations.active_duration(revoked), None);
 }
 
 #[test]
@@ -28,8 +28,8 @@
     delegations.begin_revocation("beta");
     delegations.grant("beta", start + Duration::from_secs(1));
     delegations.revocation_written("beta", start + Duration::from_secs(2));
-    assert_eq!(delegations.granted().collect::<Vec<_>>(), ["beta"]);
+    assert_eq!(delegations.granted_node_ids().collect::<Vec<_>>(), ["beta"]);
     let later = start + Duration::from_secs(60);
     assert!(!delegations.remove_ended(later));
-    assert_eq!(delegations.active_for(later), Some(later - start));
+    assert_eq!(delegations.active_duration(later), Some(later - start));
 }
--- a/src/coordination/shard/health/machine_health.rs
+++ b/src/coordination/shard/health/machine_health.rs
@@ -64,7 +64,7 @@
     /// Records that a job that may have failed on the machine has succeeded elsewhere. Returns the
     /// reason if the machine is cordoned as a result.
     pub(super) fn confirm_failure(&mut self, job: &JobId) -> Option<CordonReason> {
-        self.failures.confirm(job);
+        self.failures.mark_job_sound(job);
         self.cordon_if(self.failures.proves_fault(), CordonReason::Failures)
     }
 
--- a/src/coordination/shard/health/tests.rs
+++ b/src/coordination/shard/health/tests.rs
@@ -51,9 +51,9 @@
     evidence.note_failure(&second, false, now);
     assert!(evidence.is_quarantined(now));
     assert!(!evidence.is_quarantined(now + Duration::from_secs(61)));
-    evidence.confirm(&first);
+    evidence.mark_job_sound(&first);
     assert!(!evidence.proves_fault());
-    evidence.confirm(&second);
+    evidence.mark_job_sound(&second);
     assert!(evidence.proves_fault());
     assert!(!evidence.is_quarantined(now), "nothing is unexplained");
 }
