--- a/src/coordination/shard/health/failure_evidence.rs
+++ b/src/coordination/shard/health/failure_evidence.rs
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Records that a task of the job has succeeded: if the job failed on this machine, that failure
-    /// now counts as one of a sound job.
+    /// Records that a task of the job has succeeded: if the job failed on this machine, that
+    /// failure now counts as one of a sound job.
     pub(super) fn mark_job_sound(&mut self, job: &JobId) {
         if self.withdraw(job) {
             self.sound.insert(job.clone());
--- a/src/coordination/shard/persistence/write_queue.rs
+++ b/src/coordination/shard/persistence/write_queue.rs
@@ -28,7 +28,8 @@
 /// All writes of the shard that are not durable yet, and their budgets.
 ///
 /// Invariant: while a transaction is in flight, [`Self::next`] returns no other; for each one that
-/// it returned, the caller reports the result by [`Self::write_applied`] or [`Self::write_refused`].
+/// it returned, the caller reports the result by [`Self::write_applied`] or
+/// [`Self::write_refused`].
 ///
 /// The queues have no length limit: each entry corresponds to one change of a machine, a rental or
 /// a delegation, or to one chunk of the snapshot.
