--- a/tests/layers.rs
+++ b/tests/layers.rs
@@ -1,4 +1,8 @@
-//! The layers of the crate: each source file imports only its own layer and those below it.
+//! Checks the layering of the crate: a source file imports modules of its own layer and of lower
+//! layers only.
+//!
+//! The check searches the source text for paths that begin with `crate::` or with as many
+//! `super::` as lead to the crate's root.
 
 #![allow(clippy::expect_used, reason = "a panic is how a test fails")]
 
@@ -16,27 +20,29 @@
     &["api"],
     &["server", "cli"],
 ];
-/// Fewer imports than this among all files would mean that the scan misses them.
-const LEAST_IMPORTS: usize = 100;
+/// The scan of all source files finds at least this many imports. If it finds fewer, it has missed
+/// some, and the check proves nothing.
+const MIN_IMPORTS: usize = 100;
 
-/// Why a source text breaks the layers.
+/// A way in which a source file breaks the layering.
 #[derive(Debug, PartialEq, Eq)]
 enum Violation {
     /// `LAYERS` doesn't name this module.
     UnknownModule(String),
-    /// A module imports one of a higher layer.
+    /// The module `from` imports the top-level module `to`, which is in a higher layer.
     Upward { from: String, to: String },
 }
 
-fn layer(module: &str) -> Result<usize, Violation> {
+/// The index in [`LAYERS`] of the layer that contains a top-level module.
+fn layer_index(module: &str) -> Result<usize, Violation> {
     LAYERS
         .iter()
         .position(|modules| modules.contains(&module))
         .ok_or_else(|| Violation::UnknownModule(module.to_owned()))
 }
 
-/// The text without comments and the contents of string literals.
-fn code_of(text: &str) -> String {
+/// Removes comments and string literals from a source text.
+fn strip_comments_and_strings(text: &str) -> String {
     let mut code = String::new();
     let mut rest = text;
     while let Some(first) = rest.chars().next() {
@@ -49,7 +55,7 @@
         } else if rest.starts_with("r#\"") {
             rest = rest[3..].find("\"#").map_or("", |end| &rest[end + 5..]);
         } else if first == '"' {
-            rest = after_string(rest);
+            rest = text_after_string(rest);
         } else {
             code.push(first);
             rest = &rest[first.len_utf8()..];
@@ -58,71 +64,75 @@
     code
 }
 
-/// What follows the string literal at the start of the text.
-fn after_string(text: &str) -> &str {
+/// Returns the text after the string literal with which `text` starts.
+fn text_after_string(text: &str) -> &str {
     let mut escaped = false;
-    for (at, c) in text.char_indices().skip(1) {
+    for (index, c) in text.char_indices().skip(1) {
         match c {
             _ if escaped => escaped = false,
             '\\' => escaped = true,
-            '"' => return &text[at + 1..],
+            '"' => return &text[index + 1..],
             _ => {}
         }
     }
     ""
 }
 
-/// The identifiers with which the paths after a `crate::` begin: one, or those of a group.
-fn path_heads(after: &str) -> Vec<String> {
+/// The first segment of each path that continues a `crate::` or `super::` prefix: one segment if a
+/// single path follows the prefix, several if a group in braces does.
+fn first_path_segments(after_prefix: &str) -> Vec<String> {
     let ident = |text: &str| -> String {
         text.trim_start()
             .chars()
             .take_while(|c| c.is_alphanumeric() || *c == '_')
             .collect()
     };
-    let Some(group) = after.trim_start().strip_prefix('{') else {
-        return vec![ident(after)];
+    let Some(group) = after_prefix.trim_start().strip_prefix('{') else {
+        return vec![ident(after_prefix)];
     };
-    let mut heads = vec![ident(group)];
+    let mut segments = vec![ident(group)];
     let mut depth = 0;
-    for (at, c) in group.char_indices() {
+    for (index, c) in group.char_indices() {
         match c {
             '{' => depth += 1,
             '}' if depth == 0 => break,
             '}' => depth -= 1,
-            ',' if depth == 0 => heads.push(ident(&group[at + 1..])),
+            ',' if depth == 0 => segments.push(ident(&group[index + 1..])),
             _ => {}
         }
     }
-    heads.retain(|head| !head.is_empty());
-    heads
+    segments.retain(|segment| !segment.is_empty());
+    segments
 }
 
-/// The top-level modules that a source text names, by `crate::` or by as many `super::` as lead
-/// to the crate's root from a module `depth` levels below it.
+/// The top-level modules that a source text names in paths from the crate's root: after `crate::`,
+/// or after `depth` times `super::` in a module `depth` levels below the root.
 fn imported_modules(text: &str, depth: usize) -> Vec<String> {
-    let code = code_of(text);
-    let from_root = "super::".repeat(depth);
+    let code = strip_comments_and_strings(text);
+    let super_prefix = "super::".repeat(depth);
     let mut modules = Vec::new();
-    for root in ["crate::", &from_root] {
-        for (at, _) in code.match_indices(root) {
-            let before = code[..at].chars().next_back();
-            if !before.is_some_and(|c| c.is_alphanumeric() || c == '_' || c == ':' || c == '$') {
-                modules.extend(path_heads(&code[at + root.len()..]));
+    for prefix in ["crate::", &super_prefix] {
+        for (index, _) in code.match_indices(prefix) {
+            let previous_char = code[..index].chars().next_back();
+            if !previous_char
+                .is_some_and(|c| c.is_alphanumeric() || c == '_' || c == ':' || c == '$')
+            {
+                modules.extend(first_path_segments(&code[index + prefix.len()..]));
             }
         }
     }
     modules
 }
 
-/// The violations of a source text whose module has this path from the crate's root.
+/// The layering violations in the source text of a module, whose path from the crate's root is
+/// `module`.
 fn violations(module: &[&str], text: &str) -> Vec<Violation> {
-    let own = match layer(module[0]) {
-        Ok(own) => own,
+    let own_layer = match layer_index(module[0]) {
+        Ok(own_layer) => own_layer,
         Err(violation) => return vec![violation],
     };
-    let check = |to: String| match layer(&to) {
-        Ok(other) if other <= own => None,
+    let violation_of_import = |to: String| match layer_index(&to) {
+        Ok(imported_layer) if imported_layer <= own_layer => None,
         Ok(_) => Some(Violation::Upward {
             from: module.join("::"),
             to,
@@ -131,11 +141,11 @@
     };
     imported_modules(text, module.len())
         .into_iter()
-        .filter_map(check)
+        .filter_map(violation_of_import)
         .collect()
 }
 
-/// All source files below a directory but those of tests.
+/// All source files below a directory, except test modules (`tests.rs` and `tests/`).
 fn source_files(directory: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
     for entry in fs::read_dir(directory).expect("the sources can be listed") {
@@ -152,7 +162,8 @@
     files
 }
 
-/// The path of a file's module from the crate's root; empty for the root itself.
+/// The path of a source file's module from the crate's root; empty if the file is `lib.rs` or
+/// `main.rs` in the root directory. `relative` is the file's path below the source directory.
 fn module_path(relative: &Path) -> Vec<String> {
     let mut parts: Vec<String> = relative
         .with_extension("")
@@ -171,31 +182,37 @@
 #[test]
 fn every_source_file_imports_only_its_own_layer_and_those_below() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
-    let mut found = Vec::new();
-    let mut imports = 0;
-    let mut seen = BTreeSet::new();
+    let mut found_violations = Vec::new();
+    let mut import_count = 0;
+    let mut top_modules = BTreeSet::new();
     for file in source_files(&root) {
         let relative = file.strip_prefix(&root).expect("below the sources");
         let module = module_path(relative);
-        let Some(top) = module.first() else {
+        let Some(top_module) = module.first() else {
             continue;
         };
-        seen.insert(top.clone());
+        top_modules.insert(top_module.clone());
         let text = fs::read_to_string(&file).expect("the source can be read");
         let module: Vec<&str> = module.iter().map(String::as_str).collect();
-        imports += imported_modules(&text, module.len()).len();
-        found.extend(violations(&module, &text));
+        import_count += imported_modules(&text, module.len()).len();
+        found_violations.extend(violations(&module, &text));
     }
-    assert_eq!(found, Vec::new());
-    assert!(imports >= LEAST_IMPORTS, "only {imports} imports found");
-    let named: BTreeSet<String> = LAYERS
+    assert_eq!(found_violations, Vec::new());
+    assert!(
+        import_count >= MIN_IMPORTS,
+        "only {import_count} imports found"
+    );
+    let layered_modules: BTreeSet<String> = LAYERS
         .iter()
         .flat_map(|modules| modules.iter().map(|module| (*module).to_owned()))
         .collect();
-    assert_eq!(seen, named, "the modules and the layers' names differ");
+    assert_eq!(
+        top_modules, layered_modules,
+        "the modules and the layers' names differ"
+    );
 }
 
-fn upward(from: &str, to: &str) -> Violation {
+fn upward_import(from: &str, to: &str) -> Violation {
     Violation::Upward {
         from: from.to_owned(),
         to: to.to_owned(),
@@ -219,7 +236,7 @@
 fn an_upward_import_is_a_violation_in_whichever_form_it_is_written() {
     let from = ["storage", "records"];
     let violations_of = |text| violations(&from, text);
-    let expected = |to| vec![upward("storage::records", to)];
+    let expected = |to| vec![upward_import("storage::records", to)];
     assert_eq!(
         violations_of("use crate::coordination::node::Node;"),
         expected("coordination")
@@ -242,7 +259,7 @@
     );
     assert_eq!(
         violations(&["transport"], "use super::protocol::JobId;"),
-        [upward("transport", "protocol")]
+        [upward_import("transport", "protocol")]
     );
 }
 
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -1,5 +1,6 @@
-//! What the version in production writes and sends, recorded with that version:
-//! this one has to read it, and to write the same for it to read.
+//! Compatibility with the version in production: this version has to read the frames and records
+//! that were recorded with that version, and to write the same bytes, so that the version in
+//! production can read them.
 
 #![allow(clippy::expect_used, reason = "a panic is how a test fails")]
 
@@ -58,10 +59,11 @@
 const SEQUENCE_RECORD: &str = r#"{"v":2,"term":862,"n":41}"#;
 const ROSTER_RECORD: &str = r#"{"a":"10.1.0.232:9000","t":"lectern","z":"gdansk-loft","s":true}"#;
 
-fn bytes(rows: &[&str]) -> Vec<u8> {
+/// Decodes hexadecimal digits that are split into several rows.
+fn decode_hex(rows: &[&str]) -> Vec<u8> {
     let text = rows.concat();
-    let pair = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal");
-    (0..text.len()).step_by(2).map(pair).collect()
+    let byte = |start: usize| u8::from_str_radix(&text[start..start + 2], 16).expect("hexadecimal");
+    (0..text.len()).step_by(2).map(byte).collect()
 }
 
 fn heartbeat() -> PeerHeartbeat {
@@ -96,7 +98,7 @@
         (extension, LEASE_EXTENSION),
         (forward, FORWARD),
     ] {
-        let recorded = bytes(recorded);
+        let recorded = decode_hex(recorded);
         assert_eq!(request.encode(), recorded);
         let read = PeerRequest::decode(&recorded).expect("a request");
         assert_eq!(format!("{read:?}"), format!("{request:?}"));
@@ -114,14 +116,14 @@
         (answer, ANSWER),
         (PeerAnswer::Unreadable, UNREADABLE),
     ] {
-        let recorded = bytes(recorded);
+        let recorded = decode_hex(recorded);
         assert_eq!(answer.encode(), recorded);
         let read = PeerAnswer::decode(&recorded).expect("an answer");
         assert_eq!(format!("{read:?}"), format!("{answer:?}"));
     }
 }
 
-/// Reads a record and checks that it is written as it was.
+/// Parses a recorded record, and checks that writing it again gives the same text.
 fn round_trip<T: Serialize + DeserializeOwned>(recorded: &str) -> T {
     let record: T = serde_json::from_str(recorded).expect("a record");
     assert_eq!(serde_json::to_string(&record).expect("JSON"), recorded);
@@ -144,25 +146,30 @@
     assert!(round_trip::<RosterRecord>(ROSTER_RECORD).spot);
 }
 
-/// A job whose description is longer than a lowered limit still ends: what its last
-/// tasks may use stays in its final record, which the older version reads as well.
+/// If the limit for values has been lowered below the length of a job's description, the job can
+/// still finish. Its shortened final record keeps the resources of its tasks, which may still run,
+/// and the version in production can read the record.
 #[test]
 fn a_final_record_fits_a_lowered_limit() {
     let mut job: JobRecord = round_trip(JOB_RECORD);
     job.spec.machine_types = Some((0..200).map(|n| format!("kind-{n:0100}")).collect());
     job.spec.image = "ä".repeat(100);
-    let whole = FinalRecord::new(JobStage::Done, job.spec);
-    assert!(serde_json::to_vec(&whole).expect("JSON").len() > 16_384);
-    let last = whole.clone().shortened_to(512);
-    assert!(serde_json::to_vec(&last).expect("JSON").len() <= 512);
-    let read: FinalRecord = serde_json::from_value(serde_json::to_value(&last).expect("JSON"))
-        .expect("what the older version reads");
-    assert_eq!((read.stage, read.tasks), (whole.stage, whole.tasks));
-    assert_eq!(read.spec.team, whole.spec.team);
-    assert_eq!(read.spec.cores, whole.spec.cores);
+    let full_record = FinalRecord::new(JobStage::Done, job.spec);
+    assert!(serde_json::to_vec(&full_record).expect("JSON").len() > 16_384);
+    let shortened_record = full_record.clone().shortened_to(512);
+    assert!(serde_json::to_vec(&shortened_record).expect("JSON").len() <= 512);
+    let read: FinalRecord =
+        serde_json::from_value(serde_json::to_value(&shortened_record).expect("JSON"))
+            .expect("the older version reads the record");
     assert_eq!(
-        whole.clone().shortened_to(1 << 20),
-        whole,
+        (read.stage, read.tasks),
+        (full_record.stage, full_record.tasks)
+    );
+    assert_eq!(read.spec.team, full_record.spec.team);
+    assert_eq!(read.spec.cores, full_record.spec.cores);
+    assert_eq!(
+        full_record.clone().shortened_to(1 << 20),
+        full_record,
         "unchanged within the limit"
     );
 }
