--- a/tests/trial/main.rs
+++ b/tests/trial/main.rs
@@ -1,5 +1,8 @@
-//! Real controllers on loopback, against a simulated cloud and key-value store: they accept,
-//! run and finish jobs, and survive restarts and kills.
+//! Controllers that run against a simulated cloud and key-value store on loopback.
+//!
+//! The tests in this file start controllers as processes and check that they accept, run and finish
+//! jobs, also when controllers are killed or restarted. The tests of `upgrade` use such processes,
+//! too; all other tests call controllers inside the test process.
 
 #![allow(clippy::expect_used, reason = "a panic is how a test fails")]
 
@@ -15,29 +18,30 @@
 use hyper::Method;
 
 use support::cluster::{Cluster, submission};
-use support::worker::upload_gang;
+use support::worker::register_gang;
 
-/// Controllers exchange the leadership, are killed and restarted within a fraction of a
-/// second, at last all of them at once: no job is lost.
+/// Leaders are killed and restarted within a fraction of a second, and so are other controllers
+/// during the elections that follow. Finally all controllers are restarted without a pause between
+/// the restarts. No job may be lost.
 #[tokio::test]
 async fn controllers_restarted_within_a_second_lose_nothing() {
     let mut cluster = Cluster::start("m").await;
     let ids = ["run-000000", "run-000001", "run-000002"];
-    for (at, id) in ids.iter().enumerate() {
-        cluster.submit(at, &submission(id, "batch", 8)).await;
+    for (index, id) in ids.iter().enumerate() {
+        cluster.submit(index, &submission(id, "batch", 8)).await;
     }
     for _ in 0..3 {
         let leader = cluster.leader().await;
         cluster.restart(leader);
-        // During the election that follows, another one too.
+        // Restarts another controller during the election that follows.
         cluster.restart((leader + 1) % 3);
     }
-    for at in 0..3 {
-        cluster.restart(at);
+    for index in 0..3 {
+        cluster.restart(index);
     }
     for id in ids {
-        for at in 0..3 {
-            cluster.wait_for_stage(at, id, "done").await;
+        for index in 0..3 {
+            cluster.wait_for_stage(index, id, "done").await;
         }
     }
 }
@@ -45,8 +49,8 @@
 #[tokio::test]
 async fn three_controllers_finish_jobs_and_survive_a_kill() {
     let mut cluster = Cluster::start("n").await;
-    for at in 0..cluster.size() {
-        cluster.wait_until_ready(at).await;
+    for index in 0..cluster.size() {
+        cluster.wait_until_ready(index).await;
     }
     finish_an_array(&cluster).await;
     finish_a_gang(&cluster).await;
@@ -61,9 +65,10 @@
     cluster.wait_for_stage(1, "run-000001", "done").await;
 }
 
-/// Its tasks don't fit on one machine: it runs whole, or never ends.
+/// Runs a gang whose tasks don't fit on one machine: unless all of its tasks run at the same time,
+/// the gang never finishes.
 async fn finish_a_gang(cluster: &Cluster) {
-    upload_gang("run-000007", 6);
+    register_gang("run-000007", 6);
     let gang = submission("run-000007", "group", 6);
     cluster.submit(1, &gang).await;
     cluster.wait_for_stage(1, "run-000007", "done").await;
@@ -74,24 +79,24 @@
     cluster.submit(2, &job).await;
     let leader = cluster.leader().await;
     let page = cluster.status_page(leader).await;
-    for part in ["fencing token ", "machines", "writes:", "p99"] {
-        assert!(page.contains(part), "no {part:?} in {page}");
+    for expected in ["fencing token ", "machines", "writes:", "p99"] {
+        assert!(page.contains(expected), "no {expected:?} in {page}");
     }
     cluster.kill(leader);
-    for at in 0..cluster.size() {
-        cluster.wait_for_stage(at, "run-000002", "done").await;
-        // What was confirmed before the kill still holds.
-        cluster.wait_for_stage(at, "run-000001", "done").await;
+    for index in 0..cluster.size() {
+        cluster.wait_for_stage(index, "run-000002", "done").await;
+        // The job that was done before the leader was killed is still done.
+        cluster.wait_for_stage(index, "run-000001", "done").await;
     }
 }
 
-/// A repeated cancellation is confirmed with the same stage, by whichever controller.
+/// Cancels a job at one controller and again at another one: both must confirm the same stage.
 async fn cancel_a_job(cluster: &Cluster) {
     let job = submission("run-000003", "batch", 2);
     cluster.submit(0, &job).await;
     let confirmed = cluster.cancel(0, "run-000003").await;
-    let again = cluster.cancel(1, "run-000003").await;
-    assert_eq!(confirmed, again);
+    let repeated = cluster.cancel(1, "run-000003").await;
+    assert_eq!(confirmed, repeated);
 }
 
 async fn refuse_unknown_and_malformed_requests(cluster: &Cluster) {
--- a/tests/trial/nodes.rs
+++ b/tests/trial/nodes.rs
@@ -1,5 +1,5 @@
-//! Controllers inside the test process, without background tasks, and users that call them
-//! directly.
+//! Controllers inside the test process, which run no background tasks, and user requests that call
+//! them directly, without HTTP.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,18 +20,19 @@
 
 /// The deadline of a request to the key-value store.
 pub(crate) const DEADLINE: Duration = Duration::from_secs(2);
-/// A controller that knows the machine types, without background tasks and peers.
-pub(crate) fn node(node_id: &str, kv: SocketAddr) -> Arc<Node> {
-    node_among(node_id, kv, Vec::new())
+
+/// Creates a controller that has no peers and already knows the cloud's machine types.
+pub(crate) fn node_without_peers(node_id: &str, kv: SocketAddr) -> Arc<Node> {
+    node_with_peers(node_id, kv, Vec::new())
 }
 
-/// The same with peers.
-pub(crate) fn node_among(node_id: &str, kv: SocketAddr, peers: Vec<Peer>) -> Arc<Node> {
+/// Creates a controller that has these peers and already knows the cloud's machine types.
+pub(crate) fn node_with_peers(node_id: &str, kv: SocketAddr, peers: Vec<Peer>) -> Arc<Node> {
     let settings = ControllerSettings {
         kv,
         peers,
-        cores_max: 8,
-        accelerators_max: 3,
+        max_cores: 8,
+        max_accelerators: 3,
         ..ControllerSettings::new(node_id)
     };
     let settings = Settings {
@@ -54,13 +55,18 @@
     node
 }
 
-/// A key-value store and two controllers.
+/// Creates a key-value store and two controllers that use it.
 pub(crate) async fn two_nodes() -> (KvStore, Arc<Node>, Arc<Node>) {
     let store = KvStore::default();
     let kv = crate::support::serve(routes(store.clone())).await;
-    (store, node("n0", kv), node("n1", kv))
+    (
+        store,
+        node_without_peers("n0", kv),
+        node_without_peers("n1", kv),
+    )
 }
 
+/// The body of a submission of an array of two tasks, with `cores` cores for each task.
 pub(crate) fn submission(id: &str, cores: f64) -> Value {
     json!({ "NameId": id, "Repertoire": "sums", "Section": "red", "Form": "batch",
         "Tempo": "standard", "Voices": 2, "Cores": cores, "Accelerators": 0.0, "MemGb": 1.0,
@@ -90,14 +96,16 @@
     answer(node, UserRequest::Poll(id.to_owned()), RequestOrigin::User).await
 }
 
-pub(crate) fn stage(reply: &UserResponse) -> String {
-    let body: Value = serde_json::from_slice(&reply.body).expect("JSON");
+/// The job's stage in the answer to a user; empty if the answer contains none.
+pub(crate) fn job_stage(response: &UserResponse) -> String {
+    let body: Value = serde_json::from_slice(&response.body).expect("JSON");
     body["Stage"].as_str().unwrap_or_default().to_owned()
 }
 
-/// Writes that a job is done, as its leader does; false if it is finished already.
-pub(crate) async fn finish(node: &Arc<Node>, id: &str) -> bool {
-    let Some(item) = node
+/// Writes the final record of a job that is done, as the leader does. Returns false if the job is
+/// finished already.
+pub(crate) async fn finish_job(node: &Arc<Node>, id: &str) -> bool {
+    let Some(stored_job) = node
         .clients
         .kv
         .get(&keys::job(id), DEADLINE)
@@ -108,8 +116,8 @@
     };
     let body = submission(id, 1.0).to_string();
     let Submission { spec, .. } = parse_submission(body.as_bytes()).expect("a submission");
-    let last = FinalRecord::new(JobStage::Done, spec);
-    let txn = job_transition::finish_job_transaction(id, item.mod_revision, &last)
+    let final_record = FinalRecord::new(JobStage::Done, spec);
+    let txn = job_transition::finish_job_transaction(id, stored_job.mod_revision, &final_record)
         .expect("a transaction");
     matches!(
         node.clients.kv.txn(&txn, DEADLINE).await,
--- a/tests/trial/support/cloud.rs
+++ b/tests/trial/support/cloud.rs
@@ -1,4 +1,5 @@
-//! A cloud that rents machines; each boots with a worker after a moment.
+//! A simulated cloud that rents machines. A worker starts on a machine shortly after the machine is
+//! rented, and stops when the machine is deleted.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,13 +17,13 @@
 
 use super::worker;
 
-/// Machines that can be rented at once.
-const CAPACITY: usize = 4;
+/// How many machines can be rented at the same time.
+const MAX_RENTED_MACHINES: usize = 4;
 
 #[derive(Clone)]
 struct Cloud {
     controllers: Arc<Vec<(String, SocketAddr)>>,
-    state: Arc<Mutex<Rented>>,
+    state: Arc<Mutex<CloudState>>,
 }
 
 struct RentedMachine {
@@ -31,48 +32,53 @@
 }
 
 #[derive(Default)]
-struct Rented {
-    next: u64,
+struct CloudState {
+    /// The number in the name of the machine that was rented last.
+    last_machine_number: u64,
+    /// The rented machines by name.
     machines: BTreeMap<String, RentedMachine>,
-    /// The machines rented under each request's name, which makes it idempotent.
-    answers: BTreeMap<String, Vec<String>>,
+    /// The names of the machines that were granted to each rental request, by the request's name. A
+    /// repeated request gets the same answer, so that it rents no further machines.
+    granted: BTreeMap<String, Vec<String>>,
 }
 
-/// The routes of a cloud whose machines send heartbeats to these controllers.
+/// The HTTP routes of a cloud. The workers of its machines send heartbeats to these controllers,
+/// each given by its node id and address.
 pub(crate) fn router(controllers: Vec<(String, SocketAddr)>) -> Router {
     let cloud = Cloud {
         controllers: Arc::new(controllers),
         state: Arc::default(),
     };
     Router::new()
-        .route("/machine_types", get(types))
+        .route("/machine_types", get(machine_types))
         .route("/rentals", post(rent).get(list))
         .route("/rentals/delete", post(delete))
         .with_state(cloud)
 }
 
-async fn types() -> Json<Value> {
+async fn machine_types() -> Json<Value> {
     Json(json!({ "Instruments": [{
         "Name": "m4", "Cores": 4, "Accelerators": 0, "MemGb": 16, "CacheGb": 50,
         "FetchGbPerS": 10.0, "Price": 1.0, "LowPrice": 0.3, "StartupS": 1, "Halls": ["north"],
     }] }))
 }
 
+/// Rents as many of the requested machines as the capacity allows.
 async fn rent(State(cloud): State<Cloud>, Json(rental): Json<Rental>) -> Response {
     let mut state = cloud.state.lock().expect("cloud");
-    if let Some(names) = state.answers.get(&rental.request) {
+    if let Some(names) = state.granted.get(&rental.request) {
         return Json(json!({ "Stands": names })).into_response();
     }
-    let free = CAPACITY.saturating_sub(state.machines.len());
+    let available = MAX_RENTED_MACHINES.saturating_sub(state.machines.len());
     let mut names = Vec::new();
-    for _ in 0..free.min(rental.count as usize) {
-        state.next += 1;
-        let name = format!("vm-{:06}", state.next);
+    for _ in 0..available.min(rental.count as usize) {
+        state.last_machine_number += 1;
+        let name = format!("vm-{:06}", state.last_machine_number);
         let controllers = cloud.controllers.clone();
-        let (id, spot) = (name.clone(), rental.spot);
+        let (machine_id, spot) = (name.clone(), rental.spot);
         let worker = tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(300)).await;
-            worker::run(id, spot, controllers).await;
+            worker::run(machine_id, spot, controllers).await;
         });
         state.machines.insert(
             name.clone(),
@@ -87,7 +93,7 @@
         let body = Json(json!({ "error": "no capacity" }));
         return (StatusCode::SERVICE_UNAVAILABLE, body).into_response();
     }
-    state.answers.insert(rental.request, names.clone());
+    state.granted.insert(rental.request, names.clone());
     Json(json!({ "Stands": names })).into_response()
 }
 
--- a/tests/trial/support/cluster.rs
+++ b/tests/trial/support/cluster.rs
@@ -1,5 +1,5 @@
-//! Three controllers as processes, against the simulated cloud and key-value store, and a
-//! client of their user API.
+//! A cluster of three controller processes, which use the simulated cloud and key-value store, and
+//! a client of their user API.
 
 use std::collections::BTreeSet;
 use std::fs::File;
@@ -17,17 +17,17 @@
 use crate::settings::{ControllerSettings, Peer};
 use crate::support;
 
-/// How long a test waits for anything: long enough for a busy machine.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// How long a test waits for a state of the cluster before it fails: long enough on a busy machine.
+const MAX_WAIT: Duration = Duration::from_secs(60);
 /// The pause between two tries of a request.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Lines of a controller's log that a failed test shows.
+/// How many of the last lines of a controller's log a failed test shows.
 const LOG_LINES_SHOWN: usize = 30;
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 const WORKER_LEASE_S: f64 = 10.0;
 const CLOCK_SKEW_MS: f64 = 10.0;
 
-/// A controller's process; it is killed when this is dropped.
+/// A controller's process. Dropping this value kills the process.
 pub(crate) struct Controller {
     settings: ControllerSettings,
     process: Child,
@@ -41,7 +41,8 @@
 }
 
 impl Controller {
-    /// Starts a process; its node id names its settings file.
+    /// Writes the settings file, named after the node id, and starts the controller's process with
+    /// it.
     fn start(settings: ControllerSettings) -> Self {
         let file = format!("{}.json", settings.node_id);
         let path: PathBuf = [env!("CARGO_TARGET_TMPDIR"), &file].iter().collect();
@@ -67,79 +68,87 @@
 }
 
 impl Cluster {
-    /// Three controllers whose node ids begin with this name.
-    pub(crate) async fn start(name: &str) -> Self {
-        Self::start_on(KvStore::default(), name, WORKER_LEASE_S).await
+    /// Starts three controllers, whose node ids are this prefix and a number from 0 to 2.
+    pub(crate) async fn start(node_id_prefix: &str) -> Self {
+        Self::start_on(KvStore::default(), node_id_prefix, WORKER_LEASE_S).await
     }
 
-    /// The same on a key-value store of the test's own, with workers' leases that last
-    /// this long.
-    pub(crate) async fn start_on(store: KvStore, name: &str, worker_lease_s: f64) -> Self {
-        let node_ids = [0, 1, 2].map(|n| format!("{name}{n}"));
-        let fronts = [0, 1, 2].map(|_| unused_address());
+    /// Starts three controllers that use the key-value store of the caller, and grant workers'
+    /// leases of `worker_lease_s` seconds.
+    pub(crate) async fn start_on(
+        store: KvStore,
+        node_id_prefix: &str,
+        worker_lease_s: f64,
+    ) -> Self {
+        let node_ids = [0, 1, 2].map(|n| format!("{node_id_prefix}{n}"));
+        let public_addresses = [0, 1, 2].map(|_| unused_address());
         let peers: Vec<Peer> = node_ids
             .iter()
             .map(|node_id| Peer {
                 node_id: node_id.clone(),
-                internal: unused_address(),
+                internal_address: unused_address(),
             })
             .collect();
         for node_id in &node_ids {
             let _ = std::fs::remove_file(log_path(node_id));
         }
         let kv = support::serve(support::kv::routes(store)).await;
-        let named = node_ids.iter().cloned().zip(fronts);
-        let cloud = support::serve(support::cloud::router(named.collect())).await;
-        let settings = |at: usize| ControllerSettings {
-            front: fronts[at],
-            internal: peers[at].internal,
+        let addresses_by_node_id = node_ids.iter().cloned().zip(public_addresses);
+        let cloud = support::serve(support::cloud::router(addresses_by_node_id.collect())).await;
+        let settings = |index: usize| ControllerSettings {
+            public_address: public_addresses[index],
+            internal_address: peers[index].internal_address,
             peers: peers
                 .iter()
-                .filter(|peer| peer.node_id != node_ids[at])
+                .filter(|peer| peer.node_id != node_ids[index])
                 .cloned()
                 .collect(),
             cloud,
             kv,
             worker_lease_s,
             clock_skew_ms: CLOCK_SKEW_MS,
-            ..ControllerSettings::new(&node_ids[at])
+            ..ControllerSettings::new(&node_ids[index])
         };
         Self {
-            controllers: (0..3).map(|at| Controller::start(settings(at))).collect(),
+            controllers: (0..3)
+                .map(|index| Controller::start(settings(index)))
+                .collect(),
             client: HttpClient::new(),
         }
     }
 
-    /// How many controllers there are.
+    /// The number of running controllers.
     pub(crate) fn size(&self) -> usize {
         self.controllers.len()
     }
 
-    /// Kills a controller for good; the ones after it move up.
-    pub(crate) fn kill(&mut self, at: usize) {
-        drop(self.controllers.remove(at));
+    /// Kills a controller and doesn't start it again. The indexes of the controllers after it
+    /// decrease by one.
+    pub(crate) fn kill(&mut self, index: usize) {
+        drop(self.controllers.remove(index));
     }
 
-    /// Kills a controller and starts it again at once.
-    pub(crate) fn restart(&mut self, at: usize) {
-        let killed = self.controllers.remove(at);
+    /// Kills a controller and starts it again immediately, with the same settings.
+    pub(crate) fn restart(&mut self, index: usize) {
+        let killed = self.controllers.remove(index);
         let settings = killed.settings.clone();
         drop(killed);
-        self.controllers.insert(at, Controller::start(settings));
+        self.controllers.insert(index, Controller::start(settings));
     }
 
-    /// The shard's leader: the one that answers heartbeats.
+    /// Waits until the shard has a leader; returns the leader's index. The leader is the controller
+    /// that answers a worker's heartbeat with 200.
     pub(crate) async fn leader(&self) -> usize {
         let heartbeat = json!({ "Stand": "vm-none", "Addr": "", "Instrument": "m4",
             "Hall": "north", "Borrowed": false, "Rehearsal": 1, "Bar": 1, "Baton": 0,
             "CueS": null, "Voices": [] });
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + MAX_WAIT;
         while Instant::now() < end {
-            for at in 0..self.size() {
+            for index in 0..self.size() {
                 let body = heartbeat.to_string().into_bytes();
-                let answer = self.request(at, Method::POST, "/v1/report", body).await;
+                let answer = self.request(index, Method::POST, "/v1/report", body).await;
                 if answer.is_some_and(|answer| answer.status == 200) {
-                    return at;
+                    return index;
                 }
             }
             tokio::time::sleep(RETRY_INTERVAL).await;
@@ -147,14 +156,14 @@
         panic!("no controller leads the shard");
     }
 
-    /// The operators' status page of a controller.
-    pub(crate) async fn status_page(&self, at: usize) -> String {
-        let internal = self.controllers[at].settings.internal;
+    /// The status page that a controller serves to operators.
+    pub(crate) async fn status_page(&self, index: usize) -> String {
+        let internal_address = self.controllers[index].settings.internal_address;
         let page = self
             .client
             .call(
                 Method::GET,
-                internal,
+                internal_address,
                 "/status",
                 Vec::new(),
                 REQUEST_TIMEOUT,
@@ -164,99 +173,111 @@
         String::from_utf8_lossy(&page.body).into_owned()
     }
 
-    /// Sends one request to the user API of a controller.
+    /// Sends one request to the public address of a controller; `None` if no answer arrives in
+    /// time.
     pub(crate) async fn request(
         &self,
-        at: usize,
+        index: usize,
         method: Method,
         path: &str,
         body: Vec<u8>,
     ) -> Option<Answer> {
-        let front = self.controllers[at].settings.front;
-        let call = self.client.call(method, front, path, body, REQUEST_TIMEOUT);
+        let public_address = self.controllers[index].settings.public_address;
+        let call = self
+            .client
+            .call(method, public_address, path, body, REQUEST_TIMEOUT);
         call.await.ok()
     }
 
-    /// Repeats a request to one controller until its answer is as wanted; returns the
+    /// Repeats a request to one controller until `is_wanted` accepts an answer; returns that
     /// answer's body.
-    pub(crate) async fn retry(
+    pub(crate) async fn retry_until(
         &self,
-        at: usize,
+        index: usize,
         method: Method,
         path: &str,
         body: Option<&Value>,
-        wanted: impl Fn(&Answer, &Value) -> bool,
+        is_wanted: impl Fn(&Answer, &Value) -> bool,
     ) -> Value {
         let body = body.map_or(Vec::new(), |body| body.to_string().into_bytes());
-        let end = Instant::now() + PATIENCE;
-        let mut last = None;
+        let end = Instant::now() + MAX_WAIT;
+        let mut last_answer = None;
         while Instant::now() < end {
-            let answer = self.request(at, method.clone(), path, body.clone()).await;
+            let answer = self
+                .request(index, method.clone(), path, body.clone())
+                .await;
             if let Some(answer) = answer {
                 let value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
-                if wanted(&answer, &value) {
+                if is_wanted(&answer, &value) {
                     return value;
                 }
-                last = Some((answer.status, value));
+                last_answer = Some((answer.status, value));
             }
             tokio::time::sleep(RETRY_INTERVAL).await;
         }
-        let node_id = &self.controllers[at].settings.node_id;
+        let node_id = &self.controllers[index].settings.node_id;
         panic!(
-            "{path} at {node_id}: last answer {last:?}; its log ends with:\n{}",
+            "{path} at {node_id}: last answer {last_answer:?}; its log ends with:\n{}",
             last_log_lines(node_id)
         );
     }
 
-    /// Waits until a controller is ready to serve.
-    pub(crate) async fn wait_until_ready(&self, at: usize) {
-        let ready = |answer: &Answer, _: &Value| answer.status == 200;
-        self.retry(at, Method::GET, "/ready", None, ready).await;
+    /// Waits until a controller reports that it is ready to serve.
+    pub(crate) async fn wait_until_ready(&self, index: usize) {
+        let is_ready = |answer: &Answer, _: &Value| answer.status == 200;
+        self.retry_until(index, Method::GET, "/ready", None, is_ready)
+            .await;
     }
 
-    /// Submits a job to one controller until it is accepted, or was before.
-    pub(crate) async fn submit(&self, at: usize, job: &Value) -> Value {
-        let accepted = |answer: &Answer, _: &Value| answer.status == 201 || answer.status == 200;
-        self.retry(at, Method::POST, "/v1/jobs", Some(job), accepted)
+    /// Submits a job to one controller until the answer says that the job is accepted, now (201) or
+    /// earlier (200).
+    pub(crate) async fn submit(&self, index: usize, job: &Value) -> Value {
+        let is_accepted = |answer: &Answer, _: &Value| answer.status == 201 || answer.status == 200;
+        self.retry_until(index, Method::POST, "/v1/jobs", Some(job), is_accepted)
             .await
     }
 
-    /// Cancels a job at one controller until it is cancelled or done; returns its stage.
-    pub(crate) async fn cancel(&self, at: usize, id: &str) -> Value {
+    /// Requests a job's cancellation at one controller until the job is cancelled or done; returns
+    /// the job's final stage.
+    pub(crate) async fn cancel(&self, index: usize, id: &str) -> Value {
         let path = format!("/v1/jobs/{id}/cancel");
-        let finished = |answer: &Answer, value: &Value| {
+        let is_finished = |answer: &Answer, value: &Value| {
             answer.status == 200 && (value["Stage"] == "cancelled" || value["Stage"] == "done")
         };
-        let answer = self.retry(at, Method::POST, &path, None, finished).await;
+        let answer = self
+            .retry_until(index, Method::POST, &path, None, is_finished)
+            .await;
         answer["Stage"].clone()
     }
 
-    /// Polls a job at one controller until it is in this stage.
-    pub(crate) async fn wait_for_stage(&self, at: usize, id: &str, stage: &str) {
+    /// Polls a job at one controller until the job is in this stage.
+    pub(crate) async fn wait_for_stage(&self, index: usize, id: &str, stage: &str) {
         let path = format!("/v1/jobs/{id}");
-        let in_stage =
+        let is_in_stage =
             |answer: &Answer, value: &Value| answer.status == 200 && value["Stage"] == stage;
-        self.retry(at, Method::GET, &path, None, in_stage).await;
+        self.retry_until(index, Method::GET, &path, None, is_in_stage)
+            .await;
     }
 }
 
-/// Ports that the system gives to no outgoing connection: another test's connection could take
-/// a port of the usual range between this choice and the start, or restart, of the process.
-const PORTS: std::ops::Range<u16> = 10_000..30_000;
+/// The ports for controllers. The system assigns none of them to outgoing connections: if it did, a
+/// connection of another test could take a port after it is chosen and before the controller's
+/// process starts or restarts.
+const CONTROLLER_PORTS: std::ops::Range<u16> = 10_000..30_000;
 
-/// An address on which nothing listens. Each is handed out once in this run.
+/// An address on which nothing listens. No address is returned twice in one run of the tests.
 fn unused_address() -> SocketAddr {
     static HANDED_OUT: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
     let mut handed_out = HANDED_OUT.lock().expect("ports");
     loop {
-        let address = SocketAddr::from((Ipv4Addr::LOCALHOST, rand::random_range(PORTS)));
+        let address = SocketAddr::from((Ipv4Addr::LOCALHOST, rand::random_range(CONTROLLER_PORTS)));
         if handed_out.insert(address.port()) && TcpListener::bind(address).is_ok() {
             return address;
         }
     }
 }
 
-/// The end of a controller's log.
+/// The last [`LOG_LINES_SHOWN`] lines of a controller's log.
 fn last_log_lines(node_id: &str) -> String {
     let log = std::fs::read_to_string(log_path(node_id)).unwrap_or_default();
     let lines: Vec<&str> = log.lines().collect();
@@ -269,7 +290,7 @@
         .collect()
 }
 
-/// A submission of a job, as its user sends it.
+/// The body of a submission of a job with tasks of one core, as a user sends it.
 pub(crate) fn submission(id: &str, kind: &str, tasks: u32) -> Value {
     json!({ "NameId": id, "Repertoire": "sums", "Section": "red", "Form": kind,
         "Tempo": "standard", "Voices": tasks, "Cores": 1.0, "Accelerators": 0.0, "MemGb": 1.0,
--- a/tests/trial/support/kv.rs
+++ b/tests/trial/support/kv.rs
@@ -1,4 +1,5 @@
-//! A key-value store: keys with revisions, compare-and-swap transactions, leases and watches.
+//! A simulated key-value store: keys with modification revisions, compare-and-swap transactions,
+//! leases and watches. Tests can delay the commit of a transaction.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex};
@@ -13,6 +14,8 @@
 use tokio::sync::Notify;
 use valegap::protocol::kv::{KeyValue, LeaseRequest, Mutation, Precondition, Transaction};
 
+/// A key's value, the revision of its last change, and the lease that the key is attached to, if
+/// any: the key is deleted when the lease ends.
 struct StoredKey {
     value: Value,
     mod_revision: u64,
@@ -24,8 +27,9 @@
     expires_at: Instant,
 }
 
-/// An event of a watch, at the revision of its change.
-struct LoggedEvent {
+/// A change of a key: the event that watches of the key receive, and the store's revision after the
+/// change.
+struct RecordedEvent {
     key: String,
     revision: u64,
     event: Value,
@@ -36,36 +40,36 @@
     keys: BTreeMap<String, StoredKey>,
     revision: u64,
     leases: HashMap<u64, Lease>,
-    next_lease: u64,
-    log: Vec<LoggedEvent>,
+    last_lease_id: u64,
+    events: Vec<RecordedEvent>,
 }
 
 impl Store {
-    fn log(&mut self, key: String, event: Value) {
+    fn record_event(&mut self, key: String, event: Value) {
         let revision = self.revision;
-        self.log.push(LoggedEvent {
+        self.events.push(RecordedEvent {
             key,
             revision,
             event,
         });
     }
 
-    fn drop_key(&mut self, key: &str) {
+    fn delete_key(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
             let event = json!({ "Drop": key, "Mark": self.revision });
-            self.log(key.to_owned(), event);
+            self.record_event(key.to_owned(), event);
         }
     }
 
-    /// Whether a mutation attaches its key to a lease that does not exist.
-    fn lacks_lease(&self, mutation: &Mutation) -> bool {
+    /// Whether a mutation attaches its key to a lease that doesn't exist.
+    fn refers_to_missing_lease(&self, mutation: &Mutation) -> bool {
         match mutation {
             Mutation::Put { lease, .. } => lease.is_some_and(|id| !self.leases.contains_key(&id)),
             Mutation::Delete { .. } => false,
         }
     }
 
-    /// The keys whose preconditions do not hold.
+    /// The keys of the transaction's preconditions that don't hold.
     fn failed_preconditions(&self, txn: &Transaction) -> Vec<String> {
         let holds = |precondition: &&Precondition| {
             let stored = self.keys.get(&precondition.key);
@@ -80,7 +84,8 @@
             .collect()
     }
 
-    fn expire(&mut self) {
+    /// Revokes the leases that have expired.
+    fn expire_leases(&mut self) {
         let now = Instant::now();
         let expired: Vec<u64> = self
             .leases
@@ -93,6 +98,7 @@
         }
     }
 
+    /// Deletes a lease and the keys attached to it.
     fn revoke_lease(&mut self, id: u64) {
         if self.leases.remove(&id).is_none() {
             return;
@@ -107,30 +113,31 @@
             self.revision += 1;
         }
         for key in attached {
-            self.drop_key(&key);
+            self.delete_key(&key);
         }
     }
 }
 
-/// Transactions that get no answer and are committed late.
+/// Transactions whose sender gets no answer, and which are executed only when the test asks for it.
 #[derive(Default)]
-struct Delayed {
-    /// The next transaction that writes this key is delayed.
-    key: Option<String>,
+struct DelayedTransactions {
+    /// The next transaction that writes this key will be delayed.
+    next_key: Option<String>,
     transactions: Vec<Transaction>,
 }
 
-/// The simulated store.
+/// The simulated store, shared by its HTTP routes and the test.
 #[derive(Clone, Default)]
 pub(crate) struct KvStore {
     store: Arc<Mutex<Store>>,
+    /// Wakes watches when the store may have changed.
     changed: Arc<Notify>,
-    delayed: Arc<Mutex<Delayed>>,
+    delayed: Arc<Mutex<DelayedTransactions>>,
 }
 
 impl KvStore {
-    /// Restores recorded keys with their revisions, except those whose lease has
-    /// expired since.
+    /// Restores recorded keys with their revisions, except keys that are attached to a lease: those
+    /// leases have expired since the recording.
     pub(crate) fn restore(&self, items: &[KeyValue]) {
         let mut store = self.store.lock().expect("store");
         for item in items.iter().filter(|item| item.lease.is_none()) {
@@ -144,23 +151,24 @@
         }
     }
 
-    /// Commits a transaction without a sender; false if a precondition fails.
-    pub(crate) fn apply(&self, txn: Transaction) -> bool {
+    /// Executes a transaction of the test itself. Returns false if a precondition fails.
+    pub(crate) fn commit(&self, txn: Transaction) -> bool {
         self.execute(txn).status() == StatusCode::OK
     }
 
-    /// The next transaction that writes this key gets no answer, and is committed only
-    /// by [`Self::commit_delayed`].
+    /// Delays the next transaction that writes this key: its sender gets no answer, and it is
+    /// executed only by [`Self::commit_delayed`].
     pub(crate) fn delay_next_write(&self, key: &str) {
-        self.delayed.lock().expect("delayed").key = Some(key.to_owned());
+        self.delayed.lock().expect("delayed").next_key = Some(key.to_owned());
     }
 
-    /// How many transactions are delayed.
-    pub(crate) fn delayed(&self) -> usize {
+    /// The number of transactions that are delayed at present.
+    pub(crate) fn delayed_count(&self) -> usize {
         self.delayed.lock().expect("delayed").transactions.len()
     }
 
-    /// Commits the delayed transactions; for each, whether its preconditions held.
+    /// Executes the delayed transactions; returns for each whether its preconditions held, so that
+    /// it was committed.
     pub(crate) fn commit_delayed(&self) -> Vec<bool> {
         let mut delayed = self.delayed.lock().expect("delayed");
         let transactions = std::mem::take(&mut delayed.transactions);
@@ -169,14 +177,15 @@
         transactions.into_iter().map(committed).collect()
     }
 
-    /// The value of a key.
+    /// The value of a key; `None` if the key doesn't exist.
     pub(crate) fn value(&self, key: &str) -> Option<Value> {
         let store = self.store.lock().expect("store");
         store.keys.get(key).map(|stored| stored.value.clone())
     }
 
-    /// Whether a transaction is delayed.
-    fn delays(&self, txn: &Transaction) -> bool {
+    /// Keeps the transaction for later and returns true, if it writes the key that
+    /// [`Self::delay_next_write`] was last called with.
+    fn delay_if_requested(&self, txn: &Transaction) -> bool {
         let mut delayed = self.delayed.lock().expect("delayed");
         let writes = |key: &str| {
             txn.mutations.iter().any(|change| match change {
@@ -184,32 +193,33 @@
                 Mutation::Delete { key: deleted } => deleted == key,
             })
         };
-        let matches = delayed.key.as_deref().is_some_and(writes);
-        if matches {
-            delayed.key = None;
+        let is_requested = delayed.next_key.as_deref().is_some_and(writes);
+        if is_requested {
+            delayed.next_key = None;
             delayed.transactions.push(txn.clone());
         }
-        matches
+        is_requested
     }
 }
 
 type Parameters = Query<HashMap<String, String>>;
 
-fn number(query: &HashMap<String, String>, name: &str) -> u64 {
+/// A numeric query parameter; 0 if the parameter is missing or not a number.
+fn query_number(query: &HashMap<String, String>, name: &str) -> u64 {
     query
         .get(name)
         .and_then(|text| text.parse().ok())
         .unwrap_or(0)
 }
 
-/// The routes of a store.
+/// The HTTP routes of a store. Also starts the task that expires the store's leases.
 pub(crate) fn routes(service: KvStore) -> Router {
-    let ticking = service.clone();
+    let expiring = service.clone();
     tokio::spawn(async move {
         loop {
             tokio::time::sleep(Duration::from_millis(20)).await;
-            ticking.store.lock().expect("store").expire();
-            ticking.changed.notify_waiters();
+            expiring.store.lock().expect("store").expire_leases();
+            expiring.changed.notify_waiters();
         }
     });
     Router::new()
@@ -242,35 +252,36 @@
 async fn list(State(service): State<KvStore>, Query(query): Parameters) -> Json<Value> {
     let prefix = query.get("Prefix").cloned().unwrap_or_default();
     let after = query.get("After").cloned().unwrap_or_default();
-    let most = number(&query, "Most").clamp(1, 1000) as usize;
+    let limit = query_number(&query, "Most").clamp(1, 1000) as usize;
     let store = service.store.lock().expect("store");
-    let mut found = store
+    let mut entries = store
         .keys
         .range(prefix.clone()..)
         .filter(|(key, _)| key.starts_with(&prefix) && **key > after)
         .map(
             |(key, stored)| json!({ "Path": key, "V": stored.value, "Mark": stored.mod_revision }),
         );
-    let items: Vec<Value> = found.by_ref().take(most).collect();
-    let more = found.next().is_some();
-    Json(json!({ "Pairs": items, "HasNext": more, "Edition": store.revision }))
+    let items: Vec<Value> = entries.by_ref().take(limit).collect();
+    let has_more = entries.next().is_some();
+    Json(json!({ "Pairs": items, "HasNext": has_more, "Edition": store.revision }))
 }
 
 async fn txn(State(service): State<KvStore>, Json(txn): Json<Transaction>) -> Response {
-    if service.delays(&txn) {
+    if service.delay_if_requested(&txn) {
         std::future::pending::<()>().await;
     }
     service.execute(txn)
 }
 
 impl KvStore {
+    /// Commits a transaction, or answers with the keys of the preconditions that don't hold.
     fn execute(&self, txn: Transaction) -> Response {
         let mut store = self.store.lock().expect("store");
-        store.expire();
+        store.expire_leases();
         if txn
             .mutations
             .iter()
-            .any(|mutation| store.lacks_lease(mutation))
+            .any(|mutation| store.refers_to_missing_lease(mutation))
         {
             let body = Json(json!({ "error": "no such lease" }));
             return (StatusCode::BAD_REQUEST, body).into_response();
@@ -288,7 +299,7 @@
             match change {
                 Mutation::Put { key, value, lease } => {
                     let event = json!({ "Write": key, "V": value, "Mark": revision });
-                    store.log(key.clone(), event);
+                    store.record_event(key.clone(), event);
                     let stored = StoredKey {
                         value,
                         mod_revision: revision,
@@ -296,7 +307,7 @@
                     };
                     store.keys.insert(key, stored);
                 }
-                Mutation::Delete { key } => store.drop_key(&key),
+                Mutation::Delete { key } => store.delete_key(&key),
             }
         }
         drop(store);
@@ -307,8 +318,8 @@
 
 async fn grant(State(service): State<KvStore>, Json(request): Json<LeaseRequest>) -> Json<Value> {
     let mut store = service.store.lock().expect("store");
-    store.next_lease += 1;
-    let id = store.next_lease;
+    store.last_lease_id += 1;
+    let id = store.last_lease_id;
     let time_to_live = Duration::from_millis(request.ttl_ms);
     let lease = Lease {
         time_to_live,
@@ -320,7 +331,7 @@
 
 async fn renew(State(service): State<KvStore>, Path(id): Path<u64>) -> StatusCode {
     let mut store = service.store.lock().expect("store");
-    store.expire();
+    store.expire_leases();
     match store.leases.get_mut(&id) {
         Some(lease) => {
             lease.expires_at = Instant::now() + lease.time_to_live;
@@ -336,19 +347,20 @@
     StatusCode::OK
 }
 
+/// Answers with the events after a revision, as soon as there are any or the hold time has passed.
 async fn watch(State(service): State<KvStore>, Query(query): Parameters) -> Json<Value> {
     let prefix = query.get("Prefix").cloned().unwrap_or_default();
-    let after = number(&query, "After");
-    let end = Instant::now() + Duration::from_millis(number(&query, "HoldMs"));
+    let after = query_number(&query, "After");
+    let end = Instant::now() + Duration::from_millis(query_number(&query, "HoldMs"));
     loop {
         let changed = service.changed.notified();
         {
             let store = service.store.lock().expect("store");
             let events: Vec<&Value> = store
-                .log
+                .events
                 .iter()
-                .filter(|logged| logged.revision > after && logged.key.starts_with(&prefix))
-                .map(|logged| &logged.event)
+                .filter(|recorded| recorded.revision > after && recorded.key.starts_with(&prefix))
+                .map(|recorded| &recorded.event)
                 .collect();
             if !events.is_empty() || Instant::now() >= end {
                 return Json(json!({ "Edition": store.revision, "News": events }));
--- a/tests/trial/support/mod.rs
+++ b/tests/trial/support/mod.rs
@@ -1,4 +1,5 @@
-//! What surrounds the controllers, simulated on loopback, and the controllers themselves.
+//! Simulations of the services around the controllers (cloud, key-value store and workers), served
+//! on loopback, and a cluster of controller processes that uses them.
 
 pub(crate) mod cloud;
 pub(crate) mod cluster;
@@ -10,7 +11,7 @@
 use axum::Router;
 use tokio::net::TcpListener;
 
-/// Serves a simulated service on a free port.
+/// Serves the routes of a simulated service on a free port of loopback; returns the address.
 pub(crate) async fn serve(router: Router) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let addr = listener.local_addr().expect("an address");
--- a/tests/trial/support/worker.rs
+++ b/tests/trial/support/worker.rs
@@ -1,4 +1,6 @@
-//! A worker: it sends heartbeats to one controller at a time, and runs tasks by the clock.
+//! A simulated worker. It sends heartbeats to one controller at a time, and executes the commands
+//! in the answers and those that a leader sends directly. Its tasks do no work; each is done after
+//! a fixed time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -20,81 +22,98 @@
 };
 use valegap::transport::client::HttpClient;
 
-const HEARTBEAT: Duration = Duration::from_millis(500);
-/// How long every task runs; services are cancelled before.
-const RUN: Duration = Duration::from_millis(1500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// How long every task runs. The tasks of a service end after this time, too, unless the service is
+/// cancelled before.
+const TASK_DURATION: Duration = Duration::from_millis(1500);
 
-/// A gang's attempt: which of its tasks wait, and when the last of them did.
+/// One attempt to run a gang.
 #[derive(Default)]
 struct GangAttempt {
-    waiting: BTreeSet<u32>,
-    started: Option<Instant>,
+    /// The indexes of the tasks that were launched and wait for the rest of the gang.
+    launched: BTreeSet<u32>,
+    /// When the last task was launched, so that all tasks of the gang began to run.
+    started_at: Option<Instant>,
 }
 
-/// The numbers of tasks of the gangs that users have uploaded, and the attempts to run them,
-/// by which the tasks find one another.
-static GANGS: Mutex<BTreeMap<String, u32>> = Mutex::new(BTreeMap::new());
-static ATTEMPTS: Mutex<BTreeMap<(String, u64), GangAttempt>> = Mutex::new(BTreeMap::new());
+/// The number of tasks of each gang registered by a test, by job id.
+static GANG_SIZES: Mutex<BTreeMap<String, u32>> = Mutex::new(BTreeMap::new());
+/// The attempts to run gangs, by job id and attempt number. Here the workers of a gang's tasks
+/// learn whether all of its tasks are launched.
+static GANG_ATTEMPTS: Mutex<BTreeMap<(String, u64), GangAttempt>> = Mutex::new(BTreeMap::new());
 
-/// Uploads the description of a gang.
-pub(crate) fn upload_gang(job: &str, tasks: u32) {
-    GANGS.lock().expect("gangs").insert(job.to_owned(), tasks);
+/// Tells the simulated workers how many tasks a gang has. A test calls this before it submits the
+/// gang.
+pub(crate) fn register_gang(job: &str, tasks: u32) {
+    GANG_SIZES
+        .lock()
+        .expect("gangs")
+        .insert(job.to_owned(), tasks);
 }
 
-/// A task of a gang is ready.
-fn join(task: &TaskId, attempt: u64) {
-    let size = GANGS.lock().expect("gangs").get(&*task.job).copied();
+/// Records that a task of a gang is launched. The gang starts when its last task is launched. Does
+/// nothing if the task's job is not a registered gang.
+fn record_gang_task(task: &TaskId, attempt: u64) {
+    let size = GANG_SIZES.lock().expect("gangs").get(&*task.job).copied();
     if let Some(size) = size {
-        let mut attempts = ATTEMPTS.lock().expect("attempts");
+        let mut attempts = GANG_ATTEMPTS.lock().expect("attempts");
         let key = (task.job.to_string(), attempt);
         let gang = attempts.entry(key).or_default();
-        gang.waiting.insert(task.index);
-        if gang.waiting.len() as u32 == size {
-            gang.started.get_or_insert(Instant::now());
+        gang.launched.insert(task.index);
+        if gang.launched.len() as u32 == size {
+            gang.started_at.get_or_insert(Instant::now());
         }
     }
 }
 
-/// Whether a task belongs to a gang, and when that has started.
+/// Whether a task belongs to a gang, and when the gang started.
 enum GangStart {
     NotInGang,
+    /// The gang waits for tasks that are not launched yet.
     Waiting,
-    At(Instant),
+    StartedAt(Instant),
 }
 
 fn gang_start(task: &TaskId, attempt: u64) -> GangStart {
-    let attempts = ATTEMPTS.lock().expect("attempts");
+    let attempts = GANG_ATTEMPTS.lock().expect("attempts");
     match attempts.get(&(task.job.to_string(), attempt)) {
         None => GangStart::NotInGang,
-        Some(gang) => gang.started.map_or(GangStart::Waiting, GangStart::At),
+        Some(gang) => gang
+            .started_at
+            .map_or(GangStart::Waiting, GangStart::StartedAt),
     }
 }
 
+/// The state of a worker and its machine.
 struct Machine {
     id: String,
     spot: bool,
     addr: String,
+    /// The number of the last heartbeat.
     sequence: u64,
+    /// The highest fencing token of a leader that the worker has seen.
     fencing_token: FencingToken,
-    /// By task and attempt number.
-    tasks: BTreeMap<(TaskId, u64), RunningTask>,
+    /// The tasks by their ids and attempt numbers, until a leader clears them.
+    tasks: BTreeMap<(TaskId, u64), TaskAttempt>,
 }
 
-struct RunningTask {
+/// An attempt of a task that was launched on the machine. Its outcome is set when it ends.
+struct TaskAttempt {
     launched_at: Instant,
     outcome: Option<AttemptOutcome>,
 }
 
 impl Machine {
+    /// Ends the tasks that have run for [`TASK_DURATION`], and returns the next heartbeat.
     fn heartbeat(&mut self) -> WorkerHeartbeat {
         self.sequence += 1;
         for ((task, attempt), running) in &mut self.tasks {
             let started_at = match gang_start(task, *attempt) {
                 GangStart::NotInGang => running.launched_at,
                 GangStart::Waiting => continue,
-                GangStart::At(at) => at,
+                GangStart::StartedAt(started_at) => started_at,
             };
-            if running.outcome.is_none() && started_at.elapsed() >= RUN {
+            if running.outcome.is_none() && started_at.elapsed() >= TASK_DURATION {
                 running.outcome = Some(AttemptOutcome::Done);
             }
         }
@@ -131,9 +150,9 @@
         for command in commands {
             match command {
                 Command::Launch { task, attempt } => {
-                    join(&task, attempt);
+                    record_gang_task(&task, attempt);
                     let entry = self.tasks.entry((task, attempt));
-                    entry.or_insert(RunningTask {
+                    entry.or_insert(TaskAttempt {
                         launched_at: Instant::now(),
                         outcome: None,
                     });
@@ -151,9 +170,14 @@
     }
 }
 
-type Shared = Arc<Mutex<Machine>>;
+type SharedMachine = Arc<Mutex<Machine>>;
 
-async fn commands(State(machine): State<Shared>, Json(batch): Json<CommandBatch>) -> Response {
+/// Executes the commands that a leader sends directly. Refuses them with 409 if their fencing token
+/// is older than one that the worker has seen, or if they are for another epoch of the agent.
+async fn handle_commands(
+    State(machine): State<SharedMachine>,
+    Json(batch): Json<CommandBatch>,
+) -> Response {
     let mut machine = machine.lock().expect("machine");
     let accepted = batch.fencing_token >= machine.fencing_token && batch.agent_epoch == 1;
     if accepted {
@@ -172,7 +196,7 @@
 pub(crate) async fn run(id: String, spot: bool, controllers: Arc<Vec<(String, SocketAddr)>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let addr = listener.local_addr().expect("an address").to_string();
-    let machine: Shared = Arc::new(Mutex::new(Machine {
+    let machine: SharedMachine = Arc::new(Mutex::new(Machine {
         id,
         spot,
         addr,
@@ -181,7 +205,7 @@
         tasks: BTreeMap::new(),
     }));
     let router = Router::new()
-        .route("/commands", post(commands))
+        .route("/commands", post(handle_commands))
         .with_state(machine.clone());
     let heartbeats = send_heartbeats(machine, controllers);
     tokio::select! {
@@ -190,22 +214,25 @@
     }
 }
 
-async fn send_heartbeats(machine: Shared, controllers: Arc<Vec<(String, SocketAddr)>>) {
+/// Sends a heartbeat in each interval, to the same controller as long as that controller accepts
+/// them. If it doesn't, the next heartbeat goes to the leader that its answer names, or else to the
+/// next controller of the list.
+async fn send_heartbeats(machine: SharedMachine, controllers: Arc<Vec<(String, SocketAddr)>>) {
     let client = HttpClient::new();
-    let mut at = 0;
+    let mut current = 0;
     loop {
         let heartbeat = machine.lock().expect("machine").heartbeat();
         let body = serde_json::to_vec(&heartbeat).expect("a heartbeat");
         let answer = client
             .call(
                 Method::POST,
-                controllers[at].1,
+                controllers[current].1,
                 "/v1/report",
                 body,
                 Duration::from_secs(2),
             )
             .await;
-        let mut next = (at + 1) % controllers.len();
+        let mut next = (current + 1) % controllers.len();
         if let Ok(answer) = answer {
             if answer.status == StatusCode::OK {
                 let answer: HeartbeatResponse =
@@ -215,18 +242,18 @@
                     machine.fencing_token = answer.fencing_token;
                     machine.execute(answer.commands);
                 }
-                next = at;
+                next = current;
             } else if answer.status == StatusCode::MISDIRECTED_REQUEST {
                 let redirect: Redirect = serde_json::from_slice(&answer.body).expect("a redirect");
-                let named = redirect.leader.and_then(|leader| {
+                let named_leader = redirect.leader.and_then(|leader| {
                     controllers
                         .iter()
                         .position(|(node_id, _)| *node_id == leader)
                 });
-                next = named.unwrap_or(next);
+                next = named_leader.unwrap_or(next);
             }
         }
-        at = next;
-        tokio::time::sleep(HEARTBEAT).await;
+        current = next;
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
