--- a/tests/upgrade/cluster.rs
+++ b/tests/upgrade/cluster.rs
@@ -1,5 +1,7 @@
-//! A cluster on recorded records: the key-value store, workers that execute all commands, and
-//! leaders of this version.
+//! A simulated cluster that continues from recorded state: the key-value store's content, workers
+//! that execute every command, and leaders of this version, one after another.
+//!
+//! Time is simulated: it advances only while a leader serves its term.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -20,8 +22,8 @@
 use super::older::{Reading, Version};
 use super::settings::ControllerSettings;
 
-/// How long each leader serves, in seconds: long enough for a snapshot.
-const TERM_S: u64 = 8;
+/// How long each leader serves, in seconds. The leader writes a snapshot within this time.
+const LEADER_TERM_S: u64 = 8;
 
 fn settings() -> Settings {
     let settings = ControllerSettings::new("n9").to_json();
@@ -46,11 +48,15 @@
     }
 }
 
-/// The key-value store's keys, the workers, and the rentals that leaders requested.
+/// The state that outlives a leader.
 pub(crate) struct Cluster {
+    /// The content of the key-value store.
     pub keys: BTreeMap<String, Value>,
+    /// The last heartbeat of each worker, by machine.
     workers: BTreeMap<String, WorkerHeartbeat>,
-    pub rentals: Vec<String>,
+    /// The names of the rental requests that leaders have sent to the cloud.
+    pub requested_rentals: Vec<String>,
+    /// The fencing token of the latest leader.
     fencing_token: FencingToken,
     now: Instant,
 }
@@ -58,21 +64,22 @@
 impl Cluster {
     pub(crate) fn new(recorded: &Recorded) -> Self {
         let mut keys = recorded.values();
-        // The record of the crashed leader is deleted with its lease.
+        // The leader record of the killed leader is deleted when its lease expires.
         keys.remove(&keys::leader());
         let worker = |heartbeat: &WorkerHeartbeat| (heartbeat.machine.clone(), heartbeat.clone());
         Self {
             keys,
             workers: recorded.heartbeats.iter().map(worker).collect(),
-            rentals: Vec::new(),
+            requested_rentals: Vec::new(),
             fencing_token: FencingToken::new(40),
             now: Instant::now(),
         }
     }
 
-    fn items(&self, prefix: &str) -> Vec<KeyValue> {
-        let under = self.keys.range(prefix.to_owned()..);
-        under
+    /// The keys with this prefix.
+    fn key_values(&self, prefix: &str) -> Vec<KeyValue> {
+        let from_prefix = self.keys.range(prefix.to_owned()..);
+        from_prefix
             .take_while(|(key, _)| key.starts_with(prefix))
             .map(|(key, value)| KeyValue {
                 key: key.clone(),
@@ -83,25 +90,32 @@
             .collect()
     }
 
-    /// A new leader recovers the shard.
+    /// Recovers the shard from the stored keys, as a new leader does.
     pub(crate) fn recover(&mut self) -> Shard {
         self.fencing_token = FencingToken::new(self.fencing_token.revision() + 10);
         let stored = StoredRecords {
-            jobs: self.items(keys::JOBS),
-            roster: self.items(&keys::roster_prefix()),
-            snapshot: self.items(&keys::snapshot_prefix()),
-            pending_rentals: self.items(&keys::rental_prefix()),
+            jobs: self.key_values(keys::JOBS),
+            roster: self.key_values(&keys::roster_prefix()),
+            snapshot: self.key_values(&keys::snapshot_prefix()),
+            pending_rentals: self.key_values(&keys::rental_prefix()),
             sequence: None,
             revision: 1,
         };
         let policy = Policy::new(&settings());
-        let wall = 1_796_188_712_000;
-        let mut shard = Shard::recover(policy, self.fencing_token, stored.parse(), self.now, wall);
+        let wall_clock_ms = 1_796_188_712_000;
+        let mut shard = Shard::recover(
+            policy,
+            self.fencing_token,
+            stored.parse(),
+            self.now,
+            wall_clock_ms,
+        );
         shard.set_types(&[machine_type()]);
         shard
     }
 
-    /// Executes all that a leader decides, until it decides no more.
+    /// Lets the leader reconcile the shard, and executes its actions and those that follow from
+    /// their outcomes, until no action is left.
     pub(crate) fn reconcile(&mut self, shard: &mut Shard) {
         shard.reconcile(self.now);
         loop {
@@ -115,6 +129,8 @@
         }
     }
 
+    /// Executes one action of the leader and reports the outcome to the shard. The cloud has no
+    /// capacity for new machines.
     fn execute_action(&mut self, shard: &mut Shard, action: Action) {
         match action {
             Action::Write(write) => {
@@ -132,15 +148,15 @@
                 shard.command_answered(&machine, number, &commands, outcome, self.now);
             }
             Action::Rent(rental) => {
-                self.rentals.push(rental.request.clone());
+                self.requested_rentals.push(rental.request.clone());
                 shard.rental_answered(&rental.request, RentalOutcome::NoCapacity, self.now);
             }
             Action::Finish { job, .. } => {
                 let record = self.keys.remove(&keys::job(&job)).expect("an open job");
                 let tasks = record["spec"]["tasks"].clone();
-                let last =
+                let final_record =
                     json!({ "v": 2, "stage": "done", "tasks": tasks, "spec": record["spec"] });
-                self.keys.insert(keys::final_job(&job), last);
+                self.keys.insert(keys::final_job(&job), final_record);
                 shard.job_finished(&job, Some(valegap::protocol::users::JobStage::Done));
             }
             Action::Delete(machines) => {
@@ -167,14 +183,19 @@
         }
     }
 
-    /// A worker executes commands; no task may run twice.
+    /// Lets a worker execute commands. Panics if a command launches a task that runs already.
     fn execute_commands(&mut self, machine: &str, commands: &[Command]) -> WorkerHeartbeat {
         for command in commands {
             if let Command::Launch { task, .. } = command {
-                let runs = |line: &TaskStatus| line.task == *task && line.state != TaskState::Ended;
+                let is_unfinished =
+                    |status: &TaskStatus| status.task == *task && status.state != TaskState::Ended;
                 let mut heartbeats = self.workers.values();
-                let twice = heartbeats.find(|heartbeat| heartbeat.tasks.iter().any(runs));
-                assert!(twice.is_none(), "{task} runs already: {twice:?}");
+                let already_running =
+                    heartbeats.find(|heartbeat| heartbeat.tasks.iter().any(is_unfinished));
+                assert!(
+                    already_running.is_none(),
+                    "{task} runs already: {already_running:?}"
+                );
             }
         }
         let worker = self.workers.get_mut(machine).expect("a worker");
@@ -186,8 +207,9 @@
         worker.clone()
     }
 
-    /// All workers send heartbeats, and execute the commands in the answers.
-    pub(crate) fn heartbeat(&mut self, shard: &mut Shard) {
+    /// Sends a heartbeat of each worker to the leader; the workers execute the commands in the
+    /// answers.
+    pub(crate) fn send_heartbeats(&mut self, shard: &mut Shard) {
         let machines: Vec<String> = self.workers.keys().cloned().collect();
         for machine in machines {
             let Some(worker) = self.workers.get_mut(&machine) else {
@@ -203,48 +225,53 @@
         }
     }
 
-    /// A leader serves for one term.
-    pub(crate) fn serve(&mut self, shard: &mut Shard) {
-        for _ in 0..TERM_S {
+    /// Lets a leader serve for [`LEADER_TERM_S`] seconds.
+    pub(crate) fn serve_term(&mut self, shard: &mut Shard) {
+        for _ in 0..LEADER_TERM_S {
             self.now += Duration::from_secs(1);
             shard.tick(self.now);
             self.reconcile(shard);
-            self.heartbeat(shard);
+            self.send_heartbeats(shard);
         }
     }
 
-    /// Every second task that runs completes.
-    pub(crate) fn complete_some(&mut self) {
+    /// Completes every second running task of each worker, not counting those of the service
+    /// `run-000002`.
+    pub(crate) fn complete_every_second_task(&mut self) {
         for worker in self.workers.values_mut() {
             let running = worker.tasks.iter_mut();
-            let running = running.filter(|line| line.state == TaskState::Running);
-            for line in running
-                .filter(|line| &*line.task.job != "run-000002")
+            let running = running.filter(|status| status.state == TaskState::Running);
+            for status in running
+                .filter(|status| &*status.task.job != "run-000002")
                 .step_by(2)
             {
-                line.state = TaskState::Ended;
-                line.outcome = Some(AttemptOutcome::Done);
+                status.state = TaskState::Ended;
+                status.outcome = Some(AttemptOutcome::Done);
             }
         }
     }
 
-    pub(crate) fn running(&self, job: &str) -> usize {
-        let lines = self.workers.values().flat_map(|heartbeat| &heartbeat.tasks);
-        let runs = |line: &&TaskStatus| &*line.task.job == job && line.state == TaskState::Running;
-        lines.filter(runs).count()
+    /// The number of a job's tasks that run.
+    pub(crate) fn running_count(&self, job: &str) -> usize {
+        let statuses = self.workers.values().flat_map(|heartbeat| &heartbeat.tasks);
+        let is_running =
+            |status: &&TaskStatus| &*status.task.job == job && status.state == TaskState::Running;
+        statuses.filter(is_running).count()
     }
 
-    /// What a leader of an older version would read now; it must be able to read all of it.
-    pub(crate) fn read_by(&self, version: Version) -> Reading {
+    /// What a leader of an older version would read from the stored keys now. Checks that it can
+    /// read all of them, except the records of gangs if it doesn't know gangs.
+    pub(crate) fn read_as(&self, version: Version) -> Reading {
         let reading = version.read(&self.keys);
-        let lost = &reading.unreadable;
+        let unreadable = &reading.unreadable;
         match version {
-            Version::WithGangs => assert!(lost.is_empty(), "{lost:?}"),
-            // It ignores gangs, and reads everything else.
+            Version::WithGangs => assert!(unreadable.is_empty(), "{unreadable:?}"),
+            // This version ignores the records of gangs, and reads all others.
             Version::BeforeGangs => assert!(
-                lost.iter()
+                unreadable
+                    .iter()
                     .all(|key| self.keys[key]["spec"]["kind"] == "gang"),
-                "{lost:?}"
+                "{unreadable:?}"
             ),
         }
         reading
@@ -260,16 +287,16 @@
             outcome: None,
         }),
         Command::Stop { task, attempt, .. } => {
-            for line in &mut worker.tasks {
-                if line.task == *task && line.attempt == *attempt {
-                    line.state = TaskState::Ended;
-                    line.outcome.get_or_insert(AttemptOutcome::Stopped);
+            for status in &mut worker.tasks {
+                if status.task == *task && status.attempt == *attempt {
+                    status.state = TaskState::Ended;
+                    status.outcome.get_or_insert(AttemptOutcome::Stopped);
                 }
             }
         }
         Command::Clear { task, attempt } => {
-            let cleared = |l: &TaskStatus| l.task == *task && l.attempt == *attempt;
-            worker.tasks.retain(|line| !cleared(line));
+            let cleared = |status: &TaskStatus| status.task == *task && status.attempt == *attempt;
+            worker.tasks.retain(|status| !cleared(status));
         }
     }
 }
--- a/tests/upgrade/frames.rs
+++ b/tests/upgrade/frames.rs
@@ -1,4 +1,5 @@
-//! Frames and records that came after 5161cb0, recorded by running bee35ef.
+//! Frames and records that bee35ef, the version in production, has and 5161cb0 has not. They were
+//! recorded by running bee35ef; this version has to read them, and to write the same bytes.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -23,9 +24,10 @@
 const INVENTORY: &str = r#"{"v":2,"term":862,"reports":[{"Stand":"vm-000231","Addr":"10.1.0.232:9000","Instrument":"lectern","Hall":"gdansk-loft","Borrowed":true,"Rehearsal":1,"Bar":88,"Baton":862,"CueS":null,"Voices":[{"Voice":"run-167419/3","Take":33554469,"Stage":"waiting"},{"Voice":"run-167419/4","Take":33554469,"Stage":"ended","Coda":"peers"}]}]}"#;
 const ROSTER_PAGE: &str = r#"{"machines":{"vm-000231":{"a":"10.1.0.232:9000","r":true,"s":true,"t":"lectern","z":"gdansk-loft"}},"v":2}"#;
 
-fn bytes(text: &str) -> Vec<u8> {
-    let pair = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal");
-    (0..text.len()).step_by(2).map(pair).collect()
+/// Decodes hexadecimal digits.
+fn decode_hex(text: &str) -> Vec<u8> {
+    let byte = |start: usize| u8::from_str_radix(&text[start..start + 2], 16).expect("hexadecimal");
+    (0..text.len()).step_by(2).map(byte).collect()
 }
 
 #[test]
@@ -34,8 +36,8 @@
     assert_eq!(REVIVE_LEASE, "/peer/stand-aside/1");
 
     let request = CancellationsRequest { after: 4711 };
-    assert_eq!(request.encode(), bytes(CANCELLATIONS_REQUEST));
-    let read = CancellationsRequest::decode(&bytes(CANCELLATIONS_REQUEST)).expect("a frame");
+    assert_eq!(request.encode(), decode_hex(CANCELLATIONS_REQUEST));
+    let read = CancellationsRequest::decode(&decode_hex(CANCELLATIONS_REQUEST)).expect("a frame");
     assert_eq!(read.after, 4711);
 
     check_confirmed_cancellations();
@@ -44,9 +46,9 @@
         fencing_token: FencingToken::new(862),
         millis: 1000,
     };
-    assert_eq!(revival.encode(), bytes(REVIVE_LEASE_REQUEST));
+    assert_eq!(revival.encode(), decode_hex(REVIVE_LEASE_REQUEST));
     assert_eq!(
-        ReviveLease::decode(&bytes(REVIVE_LEASE_REQUEST)).ok(),
+        ReviveLease::decode(&decode_hex(REVIVE_LEASE_REQUEST)).ok(),
         Some(revival)
     );
 
@@ -54,8 +56,11 @@
         granted: true,
         up_ms: 93_250,
     };
-    assert_eq!(vote.encode(), bytes(REVIVAL_VOTE));
-    assert_eq!(RevivalVote::decode(&bytes(REVIVAL_VOTE)).ok(), Some(vote));
+    assert_eq!(vote.encode(), decode_hex(REVIVAL_VOTE));
+    assert_eq!(
+        RevivalVote::decode(&decode_hex(REVIVAL_VOTE)).ok(),
+        Some(vote)
+    );
 }
 
 fn check_confirmed_cancellations() {
@@ -75,15 +80,15 @@
         (confirmed, CONFIRMED_CANCELLATIONS),
         (incomplete, INCOMPLETE_CANCELLATIONS),
     ] {
-        assert_eq!(frame.encode(), bytes(recorded));
+        assert_eq!(frame.encode(), decode_hex(recorded));
         assert_eq!(
-            ConfirmedCancellations::decode(&bytes(recorded)).ok(),
+            ConfirmedCancellations::decode(&decode_hex(recorded)).ok(),
             Some(frame)
         );
     }
 }
 
-/// Reads a record and checks that it is written as it was.
+/// Parses a recorded record, and checks that writing it again gives the same text.
 fn round_trip<T: Serialize + DeserializeOwned>(recorded: &str) -> T {
     let record: T = serde_json::from_str(recorded).expect("a record");
     assert_eq!(serde_json::to_string(&record).expect("JSON"), recorded);
@@ -125,19 +130,26 @@
 fn records_of_gangs_are_those_of_the_version_in_production() {
     use valegap::storage::records::{FinalRecord, JobRecord};
     let recorded = super::Recorded::with_gangs().values();
-    let open: JobRecord = JobRecord::deserialize_from(&recorded["j/open/run-000006"]);
-    assert_eq!((open.spec.kind, open.spec.tasks), (JobKind::Gang, 4));
-    let last: FinalRecord = FinalRecord::deserialize_from(&recorded["j/over/run-000007"]);
-    assert_eq!((last.spec.kind, last.tasks), (JobKind::Gang, 6));
+    let job_record: JobRecord = JobRecord::round_trip_value(&recorded["j/open/run-000006"]);
+    assert_eq!(
+        (job_record.spec.kind, job_record.spec.tasks),
+        (JobKind::Gang, 4)
+    );
+    let final_record: FinalRecord = FinalRecord::round_trip_value(&recorded["j/over/run-000007"]);
+    assert_eq!(
+        (final_record.spec.kind, final_record.tasks),
+        (JobKind::Gang, 6)
+    );
 }
 
-/// Reads a stored value and checks that the same would be stored again.
-trait Stored: Sized {
-    fn deserialize_from(value: &serde_json::Value) -> Self;
+/// A record that is stored as JSON.
+trait StoredRecord: Sized {
+    /// Parses a stored value, and checks that storing the record again gives the same value.
+    fn round_trip_value(value: &serde_json::Value) -> Self;
 }
 
-impl<T: Serialize + DeserializeOwned> Stored for T {
-    fn deserialize_from(value: &serde_json::Value) -> Self {
+impl<T: Serialize + DeserializeOwned> StoredRecord for T {
+    fn round_trip_value(value: &serde_json::Value) -> Self {
         let record: T = serde_json::from_value(value.clone()).expect("a record");
         assert_eq!(&serde_json::to_value(&record).expect("JSON"), value);
         record
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -1,9 +1,10 @@
-//! Versions side by side: each reads the records of the other and continues with them.
+//! Compatibility with older versions: this version and an older one read each other's records and
+//! continue the jobs in them.
 //!
-//! `recorded/` holds what controllers of two older commits had written to the key-value
-//! store, and the last heartbeats of their workers, when all of them were killed while
-//! jobs ran: 5161cb0, which knows no gangs, and bee35ef, the version in production. The
-//! recordings were made by running these commits.
+//! `recorded/` holds recordings of two older commits: 5161cb0, which knows no gangs, and bee35ef,
+//! the version in production. They were made by running these commits and killing all controllers
+//! while jobs ran. A recording holds the content of the key-value store and the last heartbeats of
+//! the workers.
 
 #![allow(clippy::expect_used, reason = "a panic is how a test fails")]
 
@@ -21,7 +22,7 @@
 use valegap::protocol::kv::KeyValue;
 use valegap::protocol::workers::WorkerHeartbeat;
 
-/// A recorded state.
+/// A recording of an older version's cluster.
 #[derive(Debug, Clone, Deserialize)]
 struct Recorded {
     keys: Vec<KeyValue>,
@@ -38,6 +39,7 @@
         serde_json::from_str(include_str!("recorded/bee35ef.json")).expect("a recording")
     }
 
+    /// The recorded values by key.
     fn values(&self) -> BTreeMap<String, Value> {
         let pair = |item: &KeyValue| (item.key.clone(), item.value.clone());
         self.keys.iter().map(pair).collect()
