--- a/src/coordination/shard/dispatch/answers.rs
+++ b/src/coordination/shard/dispatch/answers.rs
@@ -1,4 +1,7 @@
-//! Outcomes of batches of commands.
+//! Handling of the outcomes of command batches.
+//!
+//! The action executor reports the outcome of every batch here: an answer, which carries a
+//! heartbeat that the reconciler applies, or a failure, after which the batch is retried.
 
 use std::time::{Duration, Instant};
 
@@ -8,12 +11,12 @@
 use crate::protocol::workers::Command;
 use crate::protocol::{AttemptId, MachineId};
 
-/// Pause before commands are sent again after a batch failed. Until then the answers to
-/// the worker's own heartbeats repeat them.
+/// Pause between the failure of a batch and the next batch to the same worker. During the
+/// pause the answers to the worker's periodic heartbeats repeat the commands.
 const COMMAND_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 impl Shard {
-    /// A batch of commands was answered or failed. Called by the action executor once for
+    /// Handles the outcome of a batch of commands. The action executor calls this once for
     /// each [`crate::coordination::shard::Action::Command`].
     pub fn command_answered(
         &mut self,
@@ -33,11 +36,12 @@
             CommandOutcome::Executed(heartbeat) | CommandOutcome::Refused(heartbeat) => {
                 machine.commands.note_answer();
                 let answer = HeartbeatNumber::from(&heartbeat);
-                if batch.is_some_and(|batch| answer <= batch.newest_when_sent) {
-                    // An answer is never a copy, and the numbers of one worker process
-                    // only rise: the worker process has started over. Its tasks are lost,
-                    // and commands sent to the process before it may still arrive. Only
-                    // deleting the machine tells these apart.
+                if batch.is_some_and(|batch| answer <= batch.newest_heartbeat_when_sent) {
+                    // An answer is never a duplicate, and the heartbeat numbers of one
+                    // worker process only increase, so the worker process has restarted.
+                    // Its tasks are lost, and commands for the previous process may still
+                    // arrive at the new one, which can't recognize them. The machine is
+                    // therefore deleted.
                     self.begin_deletion(id, now, DeletionReason::WorkerRestarted);
                     return;
                 }
@@ -53,17 +57,17 @@
         self.needs_pass = true;
     }
 
-    /// Removes launches that the worker executed and does not list: the attempts ended and
-    /// were forgotten before its answer.
+    /// Removes the attempts of `sent` whose launches the worker executed but whose tasks its
+    /// answer does not list: they ended and the worker forgot them before it answered.
     fn remove_unlisted_launches(&mut self, id: &MachineId, sent: &[Command], now: Instant) {
         let Some(machine) = self.machines.get(id) else {
             return;
         };
-        let is_unlisted = |id: &AttemptId| {
+        let is_unlisted = |attempt_id: &AttemptId| {
             machine
                 .attempts
-                .get(id)
-                .is_some_and(|a| a.phase == Phase::Launching && !a.unanswered)
+                .get(attempt_id)
+                .is_some_and(|a| a.phase == Phase::Launching && !a.has_unanswered_launch)
         };
         let unlisted: Vec<AttemptId> = sent
             .iter()
@@ -71,13 +75,13 @@
             .map(Command::attempt_id)
             .filter(is_unlisted)
             .collect();
-        for key in unlisted {
-            self.remove_attempt(id, &key, now);
+        for attempt_id in unlisted {
+            self.remove_attempt(id, &attempt_id, now);
         }
     }
 }
 
-/// Notes on a machine's attempts what became of the commands for them.
+/// Records the outcome of a batch on each attempt that a command of the batch is for.
 fn note_outcomes(machine: &mut Machine, sent: &[Command], outcome: &CommandOutcome) {
     for command in sent {
         if let Some(attempt) = machine.attempts.get_mut(&command.attempt_id()) {
@@ -86,11 +90,11 @@
     }
 }
 
-/// Notes on an attempt what became of a command for it.
+/// Records the outcome of one command on the attempt that the command is for.
 fn note_outcome(attempt: &mut Attempt, command: &Command, outcome: &CommandOutcome) {
-    attempt.in_flight = false;
+    attempt.has_command_in_flight = false;
     match (command, outcome) {
-        (Command::Launch { .. }, CommandOutcome::NoAnswer) => attempt.unanswered = true,
+        (Command::Launch { .. }, CommandOutcome::NoAnswer) => attempt.has_unanswered_launch = true,
         (Command::Stop { grace_s, .. }, CommandOutcome::Executed(_)) => {
             attempt.note_stop_executed(Duration::from_secs_f64(grace_s.max(0.0)));
         }
--- a/src/coordination/shard/dispatch/batch.rs
+++ b/src/coordination/shard/dispatch/batch.rs
@@ -1,4 +1,7 @@
-//! Batches of commands.
+//! Building and sending batches of commands.
+//!
+//! A batch holds the commands of one machine that are due at the same time; the worker
+//! executes them in the order of the batch.
 
 use std::time::Duration;
 
@@ -7,7 +10,7 @@
 use crate::protocol::{AttemptId, MachineId, TaskId};
 
 impl Shard {
-    /// Sends a machine all commands that its attempts need.
+    /// Sends a machine one batch with all commands that its attempts need now.
     pub(super) fn send_commands(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -15,15 +18,15 @@
         let Some(agent_epoch) = machine.agent_epoch() else {
             return;
         };
-        // Clears come first and launches last, so that launches find the resources that
-        // the others release.
+        // Clears come first and launches last, so that clears and stops release resources
+        // before the launches need them.
         let mut commands = clear_commands(machine);
-        take_stops(machine, &mut commands);
-        take_launches(machine, &mut commands);
+        push_pending_stops(machine, &mut commands);
+        push_pending_launches(machine, &mut commands);
         self.send_batch(id, agent_epoch, commands);
     }
 
-    /// Sends a batch; the machine gets no other until this one is answered or fails.
+    /// Sends a batch to a machine, which gets no other until this one is answered or fails.
     pub(super) fn send_batch(&mut self, id: &MachineId, agent_epoch: u64, commands: Vec<Command>) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -31,7 +34,7 @@
         self.last_batch_number += 1;
         let number = self.last_batch_number;
         let newest = machine.epochs.newest();
-        machine.commands.begin(number, newest);
+        machine.commands.note_sent(number, newest);
         self.out.push(Action::Command {
             machine: id.clone(),
             addr: machine.addr.clone(),
@@ -42,7 +45,8 @@
     }
 }
 
-/// Commands that let the worker forget attempts whose outcome is recorded.
+/// The clear commands for a machine: they permit its worker to forget ended attempts whose
+/// outcome it no longer needs to keep.
 pub(super) fn clear_commands(machine: &Machine) -> Vec<Command> {
     machine
         .attempts
@@ -52,22 +56,24 @@
         .collect()
 }
 
-/// Adds the stops that the worker has not executed yet, and marks them as in flight.
-fn take_stops(machine: &mut Machine, commands: &mut Vec<Command>) {
+/// Appends a command for each stop that the worker has not executed yet, and marks these
+/// attempts as having a command in flight.
+fn push_pending_stops(machine: &mut Machine, commands: &mut Vec<Command>) {
     for (id, attempt) in &mut machine.attempts {
         if let Some(grace) = attempt.stop_to_send() {
             commands.push(stop_command(&id.task, id.number, grace));
-            attempt.in_flight = true;
+            attempt.has_command_in_flight = true;
         }
     }
 }
 
-/// Adds the launches that were not sent yet, and marks them as in flight.
-fn take_launches(machine: &mut Machine, commands: &mut Vec<Command>) {
+/// Appends a command for each launch that was not sent yet, and marks these attempts as
+/// having a command in flight.
+fn push_pending_launches(machine: &mut Machine, commands: &mut Vec<Command>) {
     for (id, attempt) in &mut machine.attempts {
         if attempt.needs_launch() {
             commands.push(launch_command(id));
-            attempt.in_flight = true;
+            attempt.has_command_in_flight = true;
         }
     }
 }
@@ -86,7 +92,7 @@
     }
 }
 
-/// The command that stops an attempt with a grace period to save its progress.
+/// The command that stops an attempt and gives it `grace` to save its progress.
 pub(in crate::coordination::shard) fn stop_command(
     task: &TaskId,
     attempt_number: u64,
--- a/src/coordination/shard/dispatch/lease_expiry.rs
+++ b/src/coordination/shard/dispatch/lease_expiry.rs
@@ -1,4 +1,7 @@
 //! Expiry of the workers' leases.
+//!
+//! The shard's tick calls this module. Once a worker's lease has certainly expired, the worker
+//! has killed its tasks, and the leader may start them on other machines.
 
 use std::time::Instant;
 
@@ -6,8 +9,9 @@
 use crate::protocol::MachineId;
 
 impl Shard {
-    /// Ends the agent epochs whose leases have surely expired: such a worker has killed and
-    /// forgotten its tasks, which may start elsewhere.
+    /// Ends the agent epoch of each worker whose lease has certainly expired and removes the
+    /// attempts on its machine: the worker has killed and forgotten its tasks, so they may
+    /// start elsewhere.
     pub(in crate::coordination::shard) fn expire_leases(&mut self, now: Instant) {
         let Some(known_at) = self.renewals_known_at(now) else {
             return;
@@ -21,9 +25,10 @@
         }
     }
 
-    /// The moment up to which no controller can have renewed a lease unknown to this leader;
-    /// None while a renewal by another controller may keep any lease valid. A lease that had
-    /// expired by that moment stays expired: no later answer revives it.
+    /// The moment up to which this leader knows of every renewal of a worker lease, by itself
+    /// or by another controller; None while a renewal by another controller may keep some
+    /// lease valid. A lease that had expired by that moment stays expired, since no later
+    /// answer can renew it.
     fn renewals_known_at(&self, now: Instant) -> Option<Instant> {
         if self.others_may_renew_leases() {
             return None;
@@ -36,7 +41,8 @@
         (!may_be_renewed).then_some(renewals.known_at)
     }
 
-    /// Machines with an expired lease that hold attempts or may hold unknown ones.
+    /// Machines whose worker lease expired before `known_at` and that hold attempts, or may
+    /// hold attempts that this leader does not know of.
     fn machines_with_expired_lease(&self, known_at: Instant) -> Vec<MachineId> {
         self.machines.ids(|machine| {
             known_at > machine.lease.expires_at()
--- a/src/coordination/shard/dispatch/mod.rs
+++ b/src/coordination/shard/dispatch/mod.rs
@@ -1,11 +1,11 @@
 //! Dispatch of commands to workers.
 //!
-//! This module owns what is sent to which worker and when: launches and stops that the
-//! scheduler and others decided on the attempts, permission to forget ended attempts,
-//! probes, and the expiry of leases of workers that no answer renews any more. The
-//! [`Shard`] calls it in every pass; the action executor carries out the batches and
-//! returns their outcome through [`Shard::command_answered`]. It never decides which task
-//! runs where.
+//! This module decides which commands are sent to which worker and when: launches and stops
+//! that other components requested on the attempts, clears, which permit a worker to forget
+//! ended attempts, and probes. It also detects that a worker's lease has expired. The
+//! [`Shard`] calls this module in every pass and tick; the action executor sends the batches
+//! and returns their outcomes through [`Shard::command_answered`]. Which task runs on which
+//! machine is decided elsewhere.
 
 mod answers;
 mod batch;
@@ -23,7 +23,7 @@
 use crate::protocol::{AttemptId, MachineId};
 
 impl Shard {
-    /// Removes launches that were never sent and are no longer wanted.
+    /// Removes attempts whose launch was never sent and for which a stop was requested.
     pub(super) fn withdraw_launches(&mut self, now: Instant) {
         self.machines.refresh();
         let withdrawn: Vec<(MachineId, AttemptId)> = self
@@ -32,19 +32,20 @@
             .filter(|machine| machine.load.has_withdrawable_launch)
             .flat_map(withdrawable_launches)
             .collect();
-        for (machine, key) in withdrawn {
-            self.remove_attempt(&machine, &key, now);
+        for (machine, attempt_id) in withdrawn {
+            self.remove_attempt(&machine, &attempt_id, now);
         }
     }
 
-    /// Sends each machine the commands that it has not been sent yet.
+    /// Sends each machine that can receive a batch now the commands that were not sent to it
+    /// yet.
     pub(super) fn flush_commands(&mut self, now: Instant) {
         self.machines.refresh();
         let ids = self.machines.ids(|machine| {
             machine.load.has_pending_commands
                 && machine.token_acknowledged
                 && !machine.is_deleting()
-                && machine.commands.is_free(now)
+                && machine.commands.can_send(now)
         });
         for id in ids {
             self.send_commands(&id);
@@ -57,5 +58,5 @@
         .attempts
         .iter()
         .filter(|(_, attempt)| attempt.is_withdrawable())
-        .map(|(key, _)| (machine.id.clone(), key.clone()))
+        .map(|(attempt_id, _)| (machine.id.clone(), attempt_id.clone()))
 }
--- a/src/coordination/shard/dispatch/probes.rs
+++ b/src/coordination/shard/dispatch/probes.rs
@@ -1,23 +1,29 @@
-//! Probes: empty batches, which make a worker answer with a heartbeat.
+//! Probes of workers.
+//!
+//! A probe is a batch without commands: the worker answers it with a heartbeat, as it does
+//! any batch. The shard's tick probes the workers that are due; the reconciler probes a worker
+//! whose heartbeat leaves its state in doubt.
 
 use std::time::{Duration, Instant};
 
 use crate::coordination::shard::{Machine, Shard};
 use crate::protocol::MachineId;
 
-/// A heartbeat is late after this multiple of the heartbeat interval, which covers the
-/// spread of the workers' timers, plus [`LATE_HEARTBEAT_MARGIN`].
+/// A heartbeat is late once the time since the last contact exceeds the heartbeat interval
+/// times this factor, plus [`LATE_HEARTBEAT_MARGIN`]. The factor covers the spread of the
+/// workers' timers.
 const LATE_HEARTBEAT_FACTOR: f64 = 1.25;
-/// Time for a heartbeat's delivery; see [`LATE_HEARTBEAT_FACTOR`].
+/// Time allowed for the delivery of a heartbeat; see [`LATE_HEARTBEAT_FACTOR`].
 const LATE_HEARTBEAT_MARGIN: Duration = Duration::from_millis(750);
 
-/// The agent epoch in which a worker process begins: it is named to workers from which no
-/// heartbeat has arrived.
+/// The agent epoch in which a worker process begins. Probes carry it when no heartbeat of the
+/// worker has arrived, so that its epoch is unknown.
 pub(in crate::coordination::shard) const FIRST_AGENT_EPOCH: u64 = 1;
 
 impl Shard {
-    /// Sends an empty batch: it raises the worker's fencing token to this leader's, and
-    /// its answer is a heartbeat.
+    /// Sends an empty batch, which raises the worker's fencing token to this leader's and is
+    /// answered with a heartbeat. Does nothing while a batch is outstanding or if the worker's
+    /// address is unknown.
     pub(in crate::coordination::shard) fn probe(&mut self, id: &MachineId, agent_epoch: u64) {
         let Some(machine) = self.machines.get(id) else {
             return;
@@ -28,8 +34,8 @@
         self.send_batch(id, agent_epoch, Vec::new());
     }
 
-    /// Probes machines whose workers have not acknowledged this leader's fencing token,
-    /// whose heartbeats are late, or that commands failed to reach.
+    /// Probes machines whose workers have not acknowledged this leader's fencing token, whose
+    /// heartbeats are late, or that the last commands failed to reach.
     pub(in crate::coordination::shard) fn probe_due_machines(&mut self, now: Instant) {
         let due: Vec<(MachineId, u64)> = self
             .machines
@@ -51,6 +57,6 @@
         let is_late = machine.since_last_contact(now) > late_after;
         (!machine.token_acknowledged || is_late || machine.commands.is_unreachable())
             && machine.expects_heartbeats()
-            && machine.commands.is_free(now)
+            && machine.commands.can_send(now)
     }
 }
--- a/src/coordination/shard/dispatch/repeated.rs
+++ b/src/coordination/shard/dispatch/repeated.rs
@@ -1,12 +1,15 @@
-//! The commands that the answer to a heartbeat repeats.
+//! Commands that the answer to a heartbeat repeats.
+//!
+//! The reconciler puts these commands into the answer to a worker's periodic heartbeat,
+//! because a batch that held them may be lost.
 
 use super::batch::{clear_commands, launch_command, stop_command};
 use crate::coordination::shard::{Attempt, Machine, Phase};
 use crate::protocol::AttemptId;
 use crate::protocol::workers::Command;
 
-/// The commands in the answer to a heartbeat: stops and clears may be repeated, and a
-/// batch that holds them may be lost.
+/// The commands to put into the answer to a heartbeat. Stops and clears may be
+/// repeated safely; a launch is repeated only while an earlier copy may still arrive.
 pub(in crate::coordination::shard) fn commands_to_repeat(machine: &Machine) -> Vec<Command> {
     let mut commands = clear_commands(machine);
     for (id, attempt) in &machine.attempts {
@@ -18,10 +21,10 @@
     commands
 }
 
-/// Repeats a launch that got no answer and may still arrive: once the worker knows the
-/// attempt, a late copy of the launch has no effect.
+/// Appends a launch that was sent, got no answer and may still arrive, and its stop if one was
+/// requested. Once the worker knows the attempt, a late copy of the launch has no effect.
 fn repeat_launch(id: &AttemptId, attempt: &Attempt, commands: &mut Vec<Command>) {
-    if attempt.in_flight || !attempt.unanswered {
+    if attempt.has_command_in_flight || !attempt.has_unanswered_launch {
         return;
     }
     commands.push(launch_command(id));
@@ -30,7 +33,8 @@
     }
 }
 
-/// Repeats a stop, except for an attempt that is saving its progress within its grace period.
+/// Appends the stop of an attempt, if one was requested, unless the attempt is already saving
+/// its progress within its grace period.
 fn repeat_stop(id: &AttemptId, attempt: &Attempt, commands: &mut Vec<Command>) {
     if let Some(grace) = attempt.stop()
         && !attempt.ended()
--- a/src/coordination/shard/machines/admission.rs
+++ b/src/coordination/shard/machines/admission.rs
@@ -1,14 +1,14 @@
-//! Whether a machine is on the stored roster.
+//! Whether a machine's entry is written to the stored roster.
 
-/// How far a machine's entry in the stored roster is. A machine gets tasks only once it
-/// is written: the next leader must know every machine that may hold some.
+/// State of a machine's entry in the stored roster. A machine gets tasks only after its entry
+/// is written, because the next leader must know every machine that may hold tasks.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum Admission {
-    /// It is not on the roster.
+    /// The roster has no entry for the machine.
     #[default]
     Unrecorded,
-    /// The write of its entry has been queued.
+    /// The write of the entry is queued.
     Requested,
-    /// Its entry is written.
+    /// The entry is written.
     Admitted,
 }
--- a/src/coordination/shard/machines/attempt.rs
+++ b/src/coordination/shard/machines/attempt.rs
@@ -1,4 +1,7 @@
 //! Attempts to run a task on a machine.
+//!
+//! The scheduler creates attempts, the reconciler updates them from heartbeats, and the
+//! dispatch component sends the commands that [`Attempt`] reports as needed.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -6,25 +9,26 @@
 use crate::protocol::users::JobSpec;
 use crate::protocol::workers::{AttemptOutcome, TaskState, TaskStatus};
 
-/// How far an attempt has come.
+/// Stage of an attempt's life, as the worker last reported it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Its launch was decided; no heartbeat has listed it yet.
+    /// The scheduler decided the launch; no heartbeat has listed the attempt yet.
     Launching,
-    /// The worker fetches its image.
+    /// The worker fetches the task's image.
     Fetching,
-    /// A gang's task that waits for the other tasks.
+    /// The task waits for the other tasks of its gang.
     Waiting,
-    /// It is running.
+    /// The task is running.
     Running,
-    /// It saves its progress before it stops.
+    /// The task saves its progress before it stops.
     Saving,
-    /// It has ended, with this outcome.
+    /// The attempt has ended with this outcome.
     Ended(AttemptOutcome),
 }
 
 impl Phase {
-    /// Whether a machine on which an attempt is in this phase has the task's image.
+    /// Whether the machine is known to have the task's image when an attempt on it is in this
+    /// phase.
     pub fn has_image(self) -> bool {
         matches!(
             self,
@@ -45,78 +49,83 @@
     }
 }
 
-/// A stop that was decided for an attempt.
+/// A request to stop an attempt.
 #[derive(Debug, Clone, Copy)]
 struct StopRequest {
-    /// The time that the task gets to save its progress.
+    /// Time that the task gets to save its progress.
     grace: Duration,
-    /// Whether the worker has executed a stop with no more than this grace period.
+    /// Whether the worker has executed a stop command with at most this grace period.
     is_executed: bool,
 }
 
 /// One attempt to run a task on a machine.
 #[derive(Debug)]
 pub struct Attempt {
-    /// The job's description, which says what the attempt uses; None for an attempt of an
-    /// earlier leader while its finished job's record is being read.
+    /// The job's description, which says what resources the attempt uses. None for an attempt
+    /// that an earlier leader launched for a job that has finished, until the record of the
+    /// job is read.
     pub spec: Option<Arc<JobSpec>>,
-    /// How far it has come.
+    /// The phase that the worker last reported, or [`Phase::Launching`].
     pub phase: Phase,
-    /// When it was decided, or first listed by a heartbeat.
-    pub began: Instant,
-    /// Since when it is in its phase.
+    /// When the scheduler decided the launch, or, for an attempt of an earlier leader, when a
+    /// heartbeat first listed it.
+    pub created_at: Instant,
+    /// When the attempt entered its present phase.
     pub since: Instant,
-    /// When a heartbeat first listed it as running.
+    /// When a heartbeat first listed the attempt as running.
     pub running_since: Option<Instant>,
-    /// Whether an earlier leader launched it: it has run for longer than this one has seen.
-    pub adopted: bool,
-    /// Whether a launch was sent that got no answer. It may arrive at any time until the
-    /// agent epoch ends, so the worker must not be told to forget the attempt.
-    pub unanswered: bool,
-    /// Whether an outstanding batch holds a command for it.
-    pub in_flight: bool,
-    /// The stop that was decided for it.
+    /// Whether an earlier leader launched the attempt: it may have run for longer than this
+    /// leader has observed.
+    pub is_adopted: bool,
+    /// Whether a launch command for the attempt was sent and got no answer. The command may
+    /// arrive at any time until the agent epoch ends, so the worker must not be told to forget
+    /// the attempt: it would start the task again.
+    pub has_unanswered_launch: bool,
+    /// Whether the outstanding batch of the machine holds a command for the attempt.
+    pub has_command_in_flight: bool,
+    /// The requested stop with the shortest grace period.
     stop: Option<StopRequest>,
-    /// Whether its outcome is recorded, so that the worker may forget it.
+    /// Whether the worker may forget the attempt once it has ended: its outcome is recorded,
+    /// or no other leader needs it.
     pub clearable: bool,
-    /// Whether it has run far longer than other attempts of its job and was counted
+    /// Whether the attempt has run far longer than other attempts of its job and was counted
     /// against its machine.
     pub overdue: bool,
 }
 
 impl Attempt {
-    /// An attempt that begins in a phase.
+    /// Creates an attempt that is in `phase` from `now` on.
     pub fn new(spec: Option<Arc<JobSpec>>, phase: Phase, now: Instant) -> Self {
         Self {
             spec,
             phase,
-            began: now,
+            created_at: now,
             since: now,
             running_since: None,
-            adopted: false,
-            unanswered: false,
-            in_flight: false,
+            is_adopted: false,
+            has_unanswered_launch: false,
+            has_command_in_flight: false,
             stop: None,
             clearable: false,
             overdue: false,
         }
     }
 
-    /// An attempt that an earlier leader launched.
-    pub fn adopted(now: Instant) -> Self {
+    /// Creates an attempt that an earlier leader launched and a heartbeat lists at `now`.
+    pub fn new_adopted(now: Instant) -> Self {
         Self {
-            adopted: true,
+            is_adopted: true,
             ..Self::new(None, Phase::Launching, now)
         }
     }
 
-    /// Whether it has ended.
+    /// Whether the worker reported that the attempt has ended.
     pub fn ended(&self) -> bool {
         matches!(self.phase, Phase::Ended(_))
     }
 
-    /// A heartbeat lists it in another phase than before.
-    pub fn enter(&mut self, phase: Phase, now: Instant) {
+    /// Changes the phase to the one that a heartbeat lists.
+    pub fn enter_phase(&mut self, phase: Phase, now: Instant) {
         self.phase = phase;
         self.since = now;
         if phase == Phase::Running {
@@ -124,12 +133,13 @@
         }
     }
 
-    /// The grace period with which it is to stop, if it is.
+    /// The grace period of the requested stop; None if no stop was requested.
     pub fn stop(&self) -> Option<Duration> {
         self.stop.map(|stop| stop.grace)
     }
 
-    /// Asks it to stop; a shorter grace period replaces a longer one.
+    /// Requests a stop. A request with a shorter grace period replaces an earlier one with a
+    /// longer period; an attempt that has ended ignores the request.
     pub fn want_stop(&mut self, grace: Duration) {
         if self.ended() || self.stop.is_some_and(|stop| stop.grace <= grace) {
             return;
@@ -140,14 +150,15 @@
         });
     }
 
-    /// The worker executed a stop with this grace period.
+    /// Records that the worker executed a stop command with this grace period.
     pub fn note_stop_executed(&mut self, grace: Duration) {
         if let Some(stop) = &mut self.stop {
             stop.is_executed = stop.grace >= grace;
         }
     }
 
-    /// Work that stopping it now would lose.
+    /// Run time that is lost if the attempt is stopped now: all of it for a task without
+    /// checkpoints, and at most the time that saving takes for a task with them.
     pub fn work_at_risk(&self, now: Instant) -> Duration {
         let Some(since) = self.running_since else {
             return Duration::ZERO;
@@ -159,22 +170,28 @@
         }
     }
 
-    /// Whether its launch was never sent and is no longer wanted.
+    /// Whether the attempt can be removed because its launch was never sent and a stop was
+    /// requested.
     pub fn is_withdrawable(&self) -> bool {
-        self.phase == Phase::Launching && self.stop.is_some() && !self.in_flight && !self.unanswered
+        self.phase == Phase::Launching
+            && self.stop.is_some()
+            && !self.has_command_in_flight
+            && !self.has_unanswered_launch
     }
 
-    /// Whether its launch has to be sent.
+    /// Whether a launch command has to be sent for the attempt.
     pub fn needs_launch(&self) -> bool {
-        self.phase == Phase::Launching && !self.unanswered && self.stop.is_none()
+        self.phase == Phase::Launching && !self.has_unanswered_launch && self.stop.is_none()
     }
 
-    /// Whether a command for it has to be sent, and none is outstanding.
+    /// Whether a launch or stop command for the attempt has to be sent and no command for it
+    /// is in flight.
     pub fn needs_command(&self) -> bool {
-        !self.in_flight && (self.needs_launch() || self.stop_to_send().is_some())
+        !self.has_command_in_flight && (self.needs_launch() || self.stop_to_send().is_some())
     }
 
-    /// The grace period of a stop that the worker has not executed yet.
+    /// The grace period of the stop command that has to be sent; None if no stop was requested,
+    /// if the worker has executed it, or if no heartbeat has listed the attempt yet.
     pub fn stop_to_send(&self) -> Option<Duration> {
         if self.ended() || self.phase == Phase::Launching {
             return None;
@@ -183,8 +200,8 @@
         Some(stop.grace)
     }
 
-    /// Whether the worker may forget it now.
+    /// Whether the worker may be told now to forget the attempt.
     pub fn is_clear_allowed(&self) -> bool {
-        self.ended() && self.clearable && !self.unanswered && !self.in_flight
+        self.ended() && self.clearable && !self.has_unanswered_launch && !self.has_command_in_flight
     }
 }
--- a/src/coordination/shard/machines/command_channel.rs
+++ b/src/coordination/shard/machines/command_channel.rs
@@ -1,4 +1,4 @@
-//! The path of commands from the leader to one worker.
+//! State of the command delivery from the leader to one worker.
 
 use std::time::Instant;
 
@@ -7,26 +7,27 @@
 /// A batch of commands whose answer is awaited.
 #[derive(Debug, Clone, Copy)]
 pub struct OutstandingBatch {
-    /// Tells the batch from others of the machine.
+    /// The batch's number, unique within the leadership.
     number: u64,
-    /// The newest heartbeat received when the batch was sent: what answers the batch is
-    /// newer, unless the worker process has started over.
-    pub newest_when_sent: HeartbeatNumber,
+    /// The newest heartbeat that had arrived when the batch was sent. The answer to the batch
+    /// has a higher number, unless the worker process has restarted.
+    pub newest_heartbeat_when_sent: HeartbeatNumber,
 }
 
-/// What is known about sending commands to one worker.
+/// Which batch awaits the worker's answer, when the next may be sent, and whether the last ones
+/// reached the worker.
 ///
 /// Invariant: at most one batch is outstanding, so that a worker executes batches in the
 /// order in which they were decided.
 #[derive(Debug, Default)]
 pub struct CommandChannel {
     outstanding: Option<OutstandingBatch>,
-    /// Nothing is sent before this moment.
+    /// No batch is sent before this moment.
     retry_at: Option<Instant>,
-    /// Batches without an answer since the worker was last heard from.
-    unanswered: u32,
-    /// Whether commands fail to reach the worker, as far as is known.
-    unreachable: bool,
+    /// How many batches failed since the worker's last accepted heartbeat.
+    unanswered_batches: u32,
+    /// Whether commands fail to reach the worker, as far as this leader knows.
+    is_unreachable: bool,
 }
 
 impl CommandChannel {
@@ -41,66 +42,69 @@
         self.outstanding.is_some_and(|batch| batch.number == number)
     }
 
-    /// Whether the pause before the next attempt to send is over.
+    /// Whether the pause before the next batch is over.
     pub fn retry_is_due(&self, now: Instant) -> bool {
         self.retry_at.is_none_or(|at| at <= now)
     }
 
     /// Whether a batch may be sent now.
-    pub fn is_free(&self, now: Instant) -> bool {
+    pub fn can_send(&self, now: Instant) -> bool {
         !self.is_outstanding() && self.retry_is_due(now)
     }
 
-    /// Whether commands fail to reach the worker; such a machine gets no new work until
-    /// its worker answers a batch.
+    /// Whether commands fail to reach the worker. Its machine gets no new tasks until the worker
+    /// answers a batch.
     pub fn is_unreachable(&self) -> bool {
-        self.unreachable
+        self.is_unreachable
     }
 
-    /// How many batches in a row got no answer since the worker was last heard from.
+    /// How many batches got no answer, or could not be sent, since the worker's last accepted
+    /// heartbeat.
     pub fn unanswered(&self) -> u32 {
-        self.unanswered
+        self.unanswered_batches
     }
 
-    /// A batch is sent.
-    pub fn begin(&mut self, number: u64, newest_when_sent: HeartbeatNumber) {
+    /// Records that a batch is sent; it is outstanding until [`CommandChannel::complete`].
+    pub fn note_sent(&mut self, number: u64, newest_heartbeat_when_sent: HeartbeatNumber) {
         self.outstanding = Some(OutstandingBatch {
             number,
-            newest_when_sent,
+            newest_heartbeat_when_sent,
         });
         self.retry_at = None;
     }
 
-    /// A batch was answered or failed. Returns it if it is the outstanding one, and None
-    /// if the outcome comes late.
+    /// Records that a batch was answered or failed. Returns the batch if it is the outstanding
+    /// one; None if its outcome comes late, after a newer batch was sent.
     pub fn complete(&mut self, number: u64) -> Option<OutstandingBatch> {
         self.outstanding.take_if(|batch| batch.number == number)
     }
 
-    /// Puts the next attempt to send off.
-    pub fn retry_at(&mut self, at: Instant) {
+    /// Sends no batch before `at`.
+    pub fn delay_until(&mut self, at: Instant) {
         self.retry_at = Some(at);
     }
 
-    /// A batch got no answer, or could not be sent.
+    /// Records that a batch got no answer or could not be sent; the next one is sent at
+    /// `retry_at` at the earliest.
     pub fn note_failure(&mut self, retry_at: Instant) {
         self.retry_at = Some(retry_at);
-        self.unanswered += 1;
-        self.unreachable = true;
+        self.unanswered_batches += 1;
+        self.is_unreachable = true;
     }
 
-    /// The worker answered a batch.
+    /// Records that the worker answered a batch.
     pub fn note_answer(&mut self) {
-        self.unreachable = false;
+        self.is_unreachable = false;
     }
 
-    /// A new heartbeat of the worker was accepted.
+    /// Records that a new heartbeat of the worker was accepted.
     pub fn note_heartbeat(&mut self) {
-        self.unanswered = 0;
+        self.unanswered_batches = 0;
     }
 
-    /// The worker's lease expired although its heartbeats arrive: it may not be reachable.
+    /// Records that the worker's lease expired although its heartbeats arrive: messages from this
+    /// leader may not reach the worker.
     pub fn note_lease_lost(&mut self) {
-        self.unreachable = true;
+        self.is_unreachable = true;
     }
 }
--- a/src/coordination/shard/machines/deleted.rs
+++ b/src/coordination/shard/machines/deleted.rs
@@ -1,29 +1,30 @@
-//! Tombstones of deleted machines.
+//! Tombstones of deleted machines: the autoscaler adds them and removes old ones, and heartbeats
+//! and machine lists are checked against them.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use crate::protocol::MachineId;
 
-/// The machines that were deleted lately. A late heartbeat or an old machine list may still
-/// name them: they must not come back.
+/// Names of recently deleted machines. A late heartbeat or an outdated machine list that still
+/// names one of them must not add the machine again.
 #[derive(Debug, Default)]
 pub(crate) struct DeletedMachines {
     deleted_at: HashMap<MachineId, Instant>,
 }
 
 impl DeletedMachines {
-    /// Whether a machine was deleted.
+    /// Whether a machine was deleted and its tombstone still exists.
     pub(crate) fn contains(&self, id: &str) -> bool {
         self.deleted_at.contains_key(id)
     }
 
-    /// A machine is deleted.
+    /// Adds the tombstone of a machine that is deleted at `now`.
     pub(crate) fn insert(&mut self, id: MachineId, now: Instant) {
         self.deleted_at.insert(id, now);
     }
 
-    /// Forgets machines that were deleted at least `retention` ago.
+    /// Removes the tombstones of machines that were deleted `retention` ago or earlier.
     pub(crate) fn forget_older(&mut self, retention: Duration, now: Instant) {
         self.deleted_at
             .retain(|_, at| now.saturating_duration_since(*at) < retention);
--- a/src/coordination/shard/machines/deletion.rs
+++ b/src/coordination/shard/machines/deletion.rs
@@ -1,16 +1,17 @@
-//! The deletion of a machine.
+//! Progress of the deletion of a machine.
 
 use std::time::Instant;
 
-/// How far the deletion of a machine is. Once decided it is never taken back: the machine's
-/// roster entry says so to the next leader.
+/// Progress of the deletion of a machine. A decided deletion is never cancelled, not even by
+/// the next leader, which learns of it from the machine's roster entry.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum Deletion {
-    /// It is not to be deleted.
+    /// No deletion is decided.
     #[default]
     None,
-    /// It was decided: its record is being written, or the cloud's answer is awaited.
+    /// The deletion is decided: its record is being written, or the cloud's answer is
+    /// outstanding.
     Pending,
-    /// The cloud gave no usable answer: it is requested again at this moment.
+    /// The cloud gave no usable answer: the deletion is requested again at this moment.
     RetryAt(Instant),
 }
--- a/src/coordination/shard/machines/image_cache.rs
+++ b/src/coordination/shard/machines/image_cache.rs
@@ -1,27 +1,28 @@
-//! The images that a machine is assumed to cache.
+//! Estimate of which container images a machine has cached.
 
-/// Images that a worker is assumed to cache; the worker decides what it really keeps.
-const CAPACITY: usize = 12;
+/// How many images a worker is assumed to cache. The worker itself decides what it keeps.
+const ASSUMED_CACHED_IMAGES: usize = 12;
 
-/// The images that a machine has used lately. Invariant: at most [`CAPACITY`] images, the
-/// most recently used last.
+/// The images that a machine used most recently. Invariant: at most [`ASSUMED_CACHED_IMAGES`]
+/// images, the most recently used last.
 #[derive(Debug, Default)]
 pub(super) struct ImageCache {
     images: Vec<String>,
 }
 
 impl ImageCache {
-    /// Notes that an image is used; the least recently used one gives way to it.
+    /// Records that an image is used. If the cache exceeds its assumed size, the least recently
+    /// used image is removed.
     pub(super) fn note_use(&mut self, image: &str) {
-        self.images.retain(|held| held != image);
+        self.images.retain(|cached| cached != image);
         self.images.push(image.to_owned());
-        if self.images.len() > CAPACITY {
+        if self.images.len() > ASSUMED_CACHED_IMAGES {
             self.images.remove(0);
         }
     }
 
     /// Whether an image is assumed to be cached.
     pub(super) fn contains(&self, image: &str) -> bool {
-        self.images.iter().any(|held| held == image)
+        self.images.iter().any(|cached| cached == image)
     }
 }
--- a/src/coordination/shard/machines/mod.rs
+++ b/src/coordination/shard/machines/mod.rs
@@ -1,9 +1,9 @@
 //! Machines and the attempts that may exist on them.
 //!
-//! This module owns the state of each machine: what is known of its worker, the attempts on
-//! it, and whether it may get new tasks. All components of the shard read and change it
-//! through [`Machines`]. It never decides: when a machine is drained, cordoned or deleted is
-//! up to the autoscaler and the health checks.
+//! This module owns the state of each machine: what the leader knows about its worker, the
+//! attempts on it, and whether it may get new tasks. All components of the shard read and change
+//! this state through [`Machines`]. Nothing here decides that a machine is drained, cordoned or
+//! deleted: the autoscaler and the health checks do.
 
 mod admission;
 mod agent_epochs;
@@ -36,57 +36,58 @@
 use crate::protocol::cloud::MachineType;
 use crate::protocol::{AttemptId, JobId, MachineId, TaskId};
 
-/// A machine of the shard, and its worker as far as this leader knows it.
+/// A machine of the shard, and what this leader knows about its worker.
 #[derive(Debug)]
 pub struct Machine {
-    /// Its name.
+    /// The machine's name.
     pub id: MachineId,
-    /// Its worker's address, `host:port`; empty while it isn't known.
+    /// The worker's address, `host:port`; empty while it is unknown.
     pub addr: String,
     /// The name of its machine type.
     pub machine_type: Arc<str>,
-    /// Its zone.
+    /// The machine's zone.
     pub zone: Arc<str>,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
-    /// The agent epochs and newest heartbeats of its worker.
+    /// The agent epochs and newest heartbeats of the worker.
     pub epochs: AgentEpochs,
-    /// Whether a heartbeat has carried this leader's fencing token: the worker refuses all
-    /// older commands.
+    /// Whether a heartbeat has carried this leader's fencing token: from then on the worker
+    /// refuses commands of earlier leaders.
     pub token_acknowledged: bool,
-    /// How far its entry in the stored roster is.
+    /// State of the machine's entry in the stored roster.
     admission: Admission,
-    /// When the last new heartbeat of its worker arrived, as an answer or by itself.
+    /// When the last new heartbeat of the worker arrived, periodic or in answer to commands.
     pub last_contact: Option<Instant>,
-    /// The bound on its worker's lease.
+    /// The upper bound on the expiry of the worker's lease.
     pub lease: WorkerLease,
-    /// When the cloud will preempt it, by the last notice.
+    /// When the cloud will preempt the machine, according to the last notice.
     pub preemption_notice: Option<Instant>,
-    /// All attempts that may exist on it.
+    /// All attempts that may exist on the machine.
     pub attempts: BTreeMap<AttemptId, Attempt>,
-    /// What the attempts amount to, as last counted by [`Machines::refresh`].
+    /// The load of these attempts, as last counted by [`Machines::refresh`].
     pub load: MachineLoad,
     images: ImageCache,
-    /// When it was rented, as far as is known.
+    /// When the machine was rented, or when this leader first learned of it.
     pub rented: Instant,
-    /// Since when it has been up without an attempt that may run on it.
+    /// Since when the machine has been up without an attempt that may run on it; None while it
+    /// boots or an attempt may run.
     idle_since: Option<Instant>,
-    /// What attempts on it have shown of it.
+    /// Evidence, from the attempts on the machine, on whether the machine is faulty.
     pub health: MachineHealth,
-    /// Whether it is being drained, to be deleted once it is empty.
+    /// Whether the machine is being drained, to be deleted once it is empty.
     pub draining: bool,
-    /// How far its deletion is.
+    /// Progress of the machine's deletion.
     deletion: Deletion,
-    /// Whether the cloud's machine list has held it.
+    /// Whether the cloud's machine list has contained the machine.
     pub listed: bool,
-    /// Whether the cloud's machine list lacks it though it should hold it.
+    /// Whether the cloud's machine list lacks the machine although it should contain it.
     pub vanished: bool,
-    /// The path of commands to its worker.
+    /// State of the command delivery to the worker.
     pub commands: CommandChannel,
 }
 
 impl Machine {
-    /// A machine of which only the name is known.
+    /// Creates a machine of which only the name is known, at `now`.
     pub fn new(id: MachineId, now: Instant, lease_expires_at: Instant) -> Self {
         Self {
             id,
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Updates how a heartbeat, the machine list or the roster describes it.
+    /// Sets the properties that a heartbeat, the machine list or the roster reports.
     pub fn describe(&mut self, addr: &str, machine_type: &str, zone: &str, spot: bool) {
         if self.addr != addr {
             addr.clone_into(&mut self.addr);
@@ -128,17 +129,18 @@
         self.spot = spot;
     }
 
-    /// The agent epoch in which its worker last sent a heartbeat.
+    /// The agent epoch of the worker's newest heartbeat; None before the first heartbeat.
     pub fn agent_epoch(&self) -> Option<u64> {
         self.epochs.current()
     }
 
-    /// Whether its entry in the stored roster is written: it may get tasks.
+    /// Whether the machine's entry in the stored roster is written, so that it may get tasks.
     pub fn is_admitted(&self) -> bool {
         self.admission == Admission::Admitted
     }
 
-    /// Whether the write of its roster entry has to be queued now; from then on it is.
+    /// Returns true if the write of the machine's roster entry has to be queued now, and marks it
+    /// as queued: the caller queues it.
     pub fn request_admission(&mut self) -> bool {
         let is_due = self.admission == Admission::Unrecorded && !self.is_deleting();
         if is_due {
@@ -147,23 +149,23 @@
         is_due
     }
 
-    /// Its entry in the stored roster is written.
+    /// Records that the machine's entry in the stored roster is written.
     pub fn set_admitted(&mut self) {
         self.admission = Admission::Admitted;
     }
 
-    /// Whether it is rented and has not booted, as far as is known: its worker has never been
-    /// heard from.
+    /// Whether the machine is rented and has not booted, as far as this leader knows: no heartbeat
+    /// of its worker has arrived, and its roster entry is not written.
     pub fn is_booting(&self) -> bool {
         self.last_contact.is_none() && !self.is_admitted()
     }
 
-    /// Whether its deletion was decided.
+    /// Whether the machine's deletion is decided.
     pub fn is_deleting(&self) -> bool {
         self.deletion != Deletion::None
     }
 
-    /// Decides its deletion; false if it was decided before.
+    /// Marks the machine's deletion as decided. Returns false if it already was.
     pub fn begin_deletion(&mut self) -> bool {
         let is_new = !self.is_deleting();
         if is_new {
@@ -172,50 +174,52 @@
         is_new
     }
 
-    /// Puts the next request to delete it off until a moment.
+    /// Delays the next deletion request to the cloud until `at`.
     pub fn retry_deletion_at(&mut self, at: Instant) {
         self.deletion = Deletion::RetryAt(at);
     }
 
-    /// Whether its deletion has to be requested again now.
+    /// Whether the deletion has to be requested from the cloud again now.
     pub fn deletion_retry_is_due(&self, now: Instant) -> bool {
         matches!(self.deletion, Deletion::RetryAt(at) if at <= now)
     }
 
-    /// Its deletion is requested again.
+    /// Records that the deletion is requested from the cloud again.
     pub fn note_deletion_retried(&mut self) {
         self.deletion = Deletion::Pending;
     }
 
-    /// Since when it has been up without an attempt that may run on it.
+    /// Since when the machine has been up without an attempt that may run on it; None while it
+    /// boots or an attempt may run.
     pub fn idle_since(&self) -> Option<Instant> {
         self.idle_since
     }
 
-    /// It is idle from now on: its worker has been heard from for the first time.
+    /// Marks the machine as idle from `now` on, when its worker's first heartbeat arrives.
     pub fn begin_idle(&mut self, now: Instant) {
         self.idle_since = Some(now);
     }
 
-    /// An attempt may run on it from now on.
+    /// Marks the machine as not idle, since an attempt may run on it from now on.
     pub fn note_busy(&mut self) {
         self.idle_since = None;
     }
 
-    /// An attempt on it has ended: it is idle from now on, or since before, unless another
-    /// attempt may run on it.
+    /// Marks the machine as idle from `now` on when an attempt on it has ended, unless it is idle
+    /// already or another attempt may run on it.
     pub fn note_idle_if_unused(&mut self, now: Instant) {
-        if !self.busy() {
+        if !self.has_live_attempt() {
             self.idle_since.get_or_insert(now);
         }
     }
 
-    /// Whether its worker is expected to send heartbeats to this leader.
+    /// Whether the worker is expected to send heartbeats to this leader.
     pub fn expects_heartbeats(&self) -> bool {
         !self.is_deleting() && !self.is_booting()
     }
 
-    /// Time since a heartbeat of its worker arrived, as an answer or by itself.
+    /// Time since the last new heartbeat of the worker arrived, periodic or in answer to commands;
+    /// [`Duration::MAX`] if none has arrived.
     pub fn since_last_contact(&self, now: Instant) -> Duration {
         match self.last_contact {
             Some(last_contact) => now.saturating_duration_since(last_contact),
@@ -223,13 +227,14 @@
         }
     }
 
-    /// Time since its worker sent a heartbeat by itself. It may still answer commands, but
-    /// only the answers to its own heartbeats renew its lease.
+    /// Time since the last periodic heartbeat of the worker. A worker without recent periodic
+    /// heartbeats may still answer commands, but only the answers to periodic heartbeats renew its
+    /// lease.
     pub fn since_own_heartbeat(&self, now: Instant) -> Duration {
         self.lease.since_renewal(now)
     }
 
-    /// Whether new tasks may be started on it.
+    /// Whether new tasks may be started on the machine.
     pub fn open(&self, now: Instant, policy: &Policy) -> bool {
         self.token_acknowledged
             && self.is_admitted()
@@ -246,44 +251,45 @@
             && self.load.unknown == 0
     }
 
-    /// All attempts of one job.
+    /// All attempts of one job on the machine.
     pub fn attempts_of(&self, job: &JobId) -> impl Iterator<Item = (&AttemptId, &Attempt)> {
-        self.attempts.range(range_of(job))
+        self.attempts.range(attempt_range(job))
     }
 
-    /// All attempts of one job, mutable.
+    /// All attempts of one job on the machine, mutable.
     pub fn attempts_of_mut(&mut self, job: &JobId) -> impl Iterator<Item = &mut Attempt> {
         self.attempts
-            .range_mut(range_of(job))
+            .range_mut(attempt_range(job))
             .map(|(_, attempt)| attempt)
     }
 
-    /// What is free on it, of the given type, beside all that may be in use.
-    pub fn free(&self, kind: &MachineType) -> Resources {
+    /// Resources on the machine, which is of the type `machine_type`, that no attempt may use;
+    /// zero if the resource use of an attempt is unknown.
+    pub fn free(&self, machine_type: &MachineType) -> Resources {
         if self.load.unknown > 0 {
             return Resources::default();
         }
-        Resources::of_machine_type(kind).minus(&self.load.used)
+        Resources::of_machine_type(machine_type).minus(&self.load.used)
     }
 
-    /// Whether an attempt on it has not ended.
-    pub fn busy(&self) -> bool {
+    /// Whether the machine has an attempt that has not ended.
+    pub fn has_live_attempt(&self) -> bool {
         self.attempts.values().any(|a| !a.ended())
     }
 
-    /// Notes that an image is used on it.
-    pub fn use_image(&mut self, image: &str) {
+    /// Records that an image is used on the machine.
+    pub fn note_image_use(&mut self, image: &str) {
         self.images.note_use(image);
     }
 
-    /// Whether it is assumed to cache an image.
+    /// Whether the machine is assumed to have an image in its cache.
     pub fn has_image(&self, image: &str) -> bool {
         self.images.contains(image)
     }
 }
 
-/// The range of a job's attempts in the order of all attempts.
-fn range_of(job: &JobId) -> std::ops::RangeInclusive<AttemptId> {
+/// The range of all possible attempt ids of a job.
+fn attempt_range(job: &JobId) -> std::ops::RangeInclusive<AttemptId> {
     let at = |index, number| {
         let job = job.clone();
         let task = TaskId { job, index };
--- a/src/coordination/shard/machines/resources.rs
+++ b/src/coordination/shard/machines/resources.rs
@@ -3,10 +3,10 @@
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::JobSpec;
 
-/// Rounding error that sums of resources may have, in cores, accelerators or GB.
+/// Largest rounding error of a sum of resources, in cores, accelerators or GB.
 const RESOURCE_ROUNDING: f64 = 1e-9;
 
-/// Most tasks that are said to fit, where a job uses next to nothing.
+/// Upper bound on the number of tasks reported to fit, for jobs that use almost no resources.
 const MAX_FITTING_TASKS: f64 = 1e6;
 
 /// Resources that a machine offers, or that tasks use; differences may be negative.
@@ -21,7 +21,7 @@
 }
 
 impl Resources {
-    /// What an empty machine of a type offers.
+    /// The resources of an empty machine of this type.
     pub fn of_machine_type(kind: &MachineType) -> Self {
         Self {
             cores: kind.cores,
@@ -30,14 +30,14 @@
         }
     }
 
-    /// Subtracts what one task of a job uses.
+    /// Subtracts the resources that one task of a job uses.
     pub fn subtract_task(&mut self, spec: &JobSpec) {
         self.cores -= spec.cores;
         self.accelerators -= spec.accelerators;
         self.mem_gb -= spec.mem_gb;
     }
 
-    /// Adds what several tasks of a job use.
+    /// Adds the resources that `tasks` tasks of a job use.
     pub fn add_tasks(&mut self, spec: &JobSpec, tasks: u32) {
         let tasks = f64::from(tasks);
         self.cores += spec.cores * tasks;
@@ -45,14 +45,14 @@
         self.mem_gb += spec.mem_gb * tasks;
     }
 
-    /// Adds what one task of a job uses.
+    /// Adds the resources that one task of a job uses.
     pub fn add_task(&mut self, spec: &JobSpec) {
         self.cores += spec.cores;
         self.accelerators += spec.accelerators;
         self.mem_gb += spec.mem_gb;
     }
 
-    /// These resources without others.
+    /// These resources reduced by `other`; amounts may become negative.
     pub fn minus(&self, other: &Self) -> Self {
         Self {
             cores: self.cores - other.cores,
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Whether one task of a job fits.
+    /// Whether one task of a job fits into these resources. A resource that the job does not use
+    /// never prevents that, even if its amount is negative.
     pub fn fits_task(&self, spec: &JobSpec) -> bool {
         let fits =
             |available: f64, needed: f64| needed <= 0.0 || available + RESOURCE_ROUNDING >= needed;
@@ -70,7 +71,7 @@
             && fits(self.mem_gb, spec.mem_gb)
     }
 
-    /// How many tasks of a job fit.
+    /// How many tasks of a job fit into these resources, at most a million.
     pub fn fitting_tasks(&self, spec: &JobSpec) -> u32 {
         let ratio = |available: f64, needed: f64| {
             if needed <= 0.0 {
--- a/src/coordination/shard/machines/set.rs
+++ b/src/coordination/shard/machines/set.rs
@@ -1,8 +1,8 @@
-//! The shard's machines, each with the load that may run on it.
+//! The shard's machines, each with a cached count of the tasks that may run on it.
 //!
-//! Decisions read machines far more often than machines change. So every mutable access
-//! marks the machine as changed, and [`Machines::refresh`] recounts the loads of the marked
-//! machines before the next decision.
+//! Scheduling decisions read machines far more often than machines change. Every mutable access
+//! therefore marks the machine as changed, and [`Machines::refresh`] recounts the loads of the
+//! marked machines before the next decision.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,26 +11,27 @@
 use crate::protocol::MachineId;
 use crate::protocol::users::{JobKind, JobSpec, Priority};
 
-/// What may run on one machine, counted from its attempts.
+/// The tasks that may run on one machine, counted from its attempts that have not ended.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct MachineLoad {
-    /// How many tasks of which jobs may be on it.
+    /// By job, how many of its tasks may be on the machine.
     pub tasks: Vec<(Arc<JobSpec>, u32)>,
-    /// What they use together.
+    /// The resources that these tasks use together.
     pub used: Resources,
-    /// Attempts of unknown jobs: each may use the whole machine.
+    /// Number of attempts whose job description is not known: each may use the whole machine.
     pub unknown: u32,
-    /// Whether an attempt is to stop.
+    /// Whether a stop was requested for an attempt that has not ended.
     pub stopping: bool,
     /// Whether a command for an attempt has to be sent.
     pub has_pending_commands: bool,
-    /// Whether a launch was never sent and is no longer wanted.
+    /// Whether an attempt can be removed because its launch was never sent and a stop was
+    /// requested.
     pub has_withdrawable_launch: bool,
 }
 
 impl MachineLoad {
-    /// Counts a machine's attempts.
-    pub fn of(machine: &Machine) -> Self {
+    /// Counts the attempts of a machine.
+    pub fn count_attempts(machine: &Machine) -> Self {
         let mut load = Self::default();
         for attempt in machine.attempts.values() {
             load.has_pending_commands |= attempt.needs_command();
@@ -44,7 +45,7 @@
                 continue;
             };
             load.used.add_task(spec);
-            // Attempts are in the order of their jobs: the job's entry is mostly the last.
+            // Attempts are ordered by job, so the job's entry is usually the last one.
             match load
                 .tasks
                 .iter_mut()
@@ -58,25 +59,25 @@
         load
     }
 
-    /// Whether nothing may run on the machine.
+    /// Whether no task may run on the machine.
     pub fn idle(&self) -> bool {
         self.tasks.is_empty() && self.unknown == 0
     }
 
-    /// The services of which tasks may be on the machine.
+    /// The services that may have tasks on the machine, each with the number of these tasks.
     pub fn services(&self) -> impl Iterator<Item = &(Arc<JobSpec>, u32)> {
         self.tasks
             .iter()
             .filter(|(spec, _)| spec.kind == JobKind::Service)
     }
 
-    /// Whether a task on the machine has a lower priority.
+    /// Whether a task that may be on the machine has a lower priority than `priority`.
     pub fn has_lower_priority(&self, priority: Priority) -> bool {
         self.tasks.iter().any(|(spec, _)| spec.priority < priority)
     }
 }
 
-/// All machines by name.
+/// All machines of the shard, by name.
 #[derive(Debug, Default)]
 pub struct Machines {
     all: BTreeMap<MachineId, Machine>,
@@ -89,7 +90,8 @@
         self.all.get(id)
     }
 
-    /// A machine to change; [`Machines::refresh`] will recount its load.
+    /// A machine by its name, for changes. Marks it, so that [`Machines::refresh`] recounts its
+    /// load.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut Machine> {
         let machine = self.all.get_mut(id)?;
         if !self.changed.contains(id) {
@@ -98,18 +100,18 @@
         Some(machine)
     }
 
-    /// Whether a machine is among them.
+    /// Whether the shard has a machine of this name.
     pub fn contains(&self, id: &str) -> bool {
         self.all.contains_key(id)
     }
 
-    /// Adds a machine.
+    /// Adds a machine, or replaces the one of the same name.
     pub fn insert(&mut self, machine: Machine) {
         self.changed.insert(machine.id.clone());
         self.all.insert(machine.id.clone(), machine);
     }
 
-    /// Removes a machine.
+    /// Removes a machine and returns it.
     pub fn remove(&mut self, id: &str) -> Option<Machine> {
         self.changed.remove(id);
         self.all.remove(id)
@@ -120,38 +122,38 @@
         self.all.values()
     }
 
-    /// How many there are.
+    /// The number of machines.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// Whether there are none.
+    /// Whether the shard has no machine.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    /// The names of the machines that meet a condition, in order.
-    pub fn ids(&self, which: impl Fn(&Machine) -> bool) -> Vec<MachineId> {
+    /// The names, in order, of the machines for which `predicate` is true.
+    pub fn ids(&self, predicate: impl Fn(&Machine) -> bool) -> Vec<MachineId> {
         self.values()
-            .filter(|machine| which(machine))
+            .filter(|machine| predicate(machine))
             .map(|machine| machine.id.clone())
             .collect()
     }
 
-    /// Whether the load of every machine that is not marked as changed is right.
+    /// Whether the cached load of every machine that is not marked as changed equals a new count.
     #[cfg(test)]
     pub fn loads_hold(&self) -> bool {
         self.all
             .values()
             .filter(|machine| !self.changed.contains(&machine.id))
-            .all(|machine| machine.load == MachineLoad::of(machine))
+            .all(|machine| machine.load == MachineLoad::count_attempts(machine))
     }
 
-    /// Recounts the loads of the machines that may have changed.
+    /// Recounts the load of each machine that is marked as changed, and removes the marks.
     pub fn refresh(&mut self) {
         for id in std::mem::take(&mut self.changed) {
             if let Some(machine) = self.all.get_mut(&id) {
-                machine.load = MachineLoad::of(machine);
+                machine.load = MachineLoad::count_attempts(machine);
             }
         }
     }
--- a/src/coordination/shard/machines/tests.rs
+++ b/src/coordination/shard/machines/tests.rs
@@ -39,13 +39,13 @@
 fn a_late_outcome_leaves_the_outstanding_batch() {
     let now = Instant::now();
     let mut channel = CommandChannel::default();
-    channel.begin(1, number(1, 1));
-    channel.begin(2, number(1, 2));
+    channel.note_sent(1, number(1, 1));
+    channel.note_sent(2, number(1, 2));
     assert!(channel.complete(1).is_none());
-    assert!(!channel.is_free(now));
+    assert!(!channel.can_send(now));
     let batch = channel.complete(2).expect("it is outstanding");
-    assert_eq!(batch.newest_when_sent, number(1, 2));
-    assert!(channel.is_free(now));
+    assert_eq!(batch.newest_heartbeat_when_sent, number(1, 2));
+    assert!(channel.can_send(now));
 }
 
 #[test]
@@ -56,8 +56,8 @@
     channel.note_failure(retry_at);
     assert!(channel.is_unreachable());
     assert_eq!(channel.unanswered(), 1);
-    assert!(!channel.is_free(now));
-    assert!(channel.is_free(retry_at));
+    assert!(!channel.can_send(now));
+    assert!(channel.can_send(retry_at));
     channel.note_heartbeat();
     assert_eq!(channel.unanswered(), 0);
     assert!(channel.is_unreachable(), "only an answer shows a path");
--- a/src/coordination/shard/machines/worker_lease.rs
+++ b/src/coordination/shard/machines/worker_lease.rs
@@ -1,22 +1,23 @@
-//! A worker's lease, as far as its leader can bound it.
+//! The leader's upper bound on the expiry of a worker's lease.
 
 use std::time::{Duration, Instant};
 
-/// Bound on the lease that a worker holds.
+/// Upper bound on the time until which a worker holds its lease.
 ///
-/// Invariant: the worker's own lease has surely expired after `expires_at`, which
-/// therefore never goes back while an answer that extends it may be on its way.
+/// Invariant: after `expires_at` the worker's own lease has certainly expired. `expires_at`
+/// therefore never decreases: an answer that extends the lease may still be on its way to the
+/// worker.
 #[derive(Debug)]
 pub struct WorkerLease {
     expires_at: Instant,
-    /// When a heartbeat that the worker sent by itself last renewed the lease.
+    /// When the answer to a periodic heartbeat last renewed the lease.
     renewed_at: Option<Instant>,
-    /// Since when the machine is known to this leader.
+    /// When this leader first learned of the machine.
     known_since: Instant,
 }
 
 impl WorkerLease {
-    /// The lease of a worker that is known from `now` on.
+    /// Creates the bound for a worker that this leader learns of at `now`.
     pub fn new(now: Instant, expires_at: Instant) -> Self {
         Self {
             expires_at,
@@ -25,23 +26,24 @@
         }
     }
 
-    /// After this moment the worker's lease has surely expired.
+    /// The moment after which the worker's lease has certainly expired.
     pub fn expires_at(&self) -> Instant {
         self.expires_at
     }
 
-    /// The worker may hold its lease until this moment.
+    /// Raises the bound to `expires_at` if it is lower.
     pub fn extend_to(&mut self, expires_at: Instant) {
         self.expires_at = self.expires_at.max(expires_at);
     }
 
-    /// The answer to a heartbeat renews the lease, until `expires_at` at the latest.
+    /// Records that the answer to a heartbeat renews the lease, until `expires_at` at the latest.
     pub fn renew(&mut self, now: Instant, expires_at: Instant) {
         self.renewed_at = Some(now);
         self.extend_to(expires_at);
     }
 
-    /// Time since the lease was last renewed, or since the machine became known.
+    /// Time since the answer to a periodic heartbeat last renewed the lease, or, if none has,
+    /// since this leader learned of the machine.
     pub fn since_renewal(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.renewed_at.unwrap_or(self.known_since))
     }
--- a/src/coordination/shard/reconciler/mod.rs
+++ b/src/coordination/shard/reconciler/mod.rs
@@ -1,11 +1,11 @@
-//! Reconciliation of the shard's state with what the workers report.
+//! Reconciliation of the shard's state with the workers' heartbeats.
 //!
-//! The key-value store holds no placements: which task is on which machine is known from
-//! the workers' heartbeats alone. This module owns the way from a heartbeat to the shard's
-//! attempts, their outcomes, and the set of machines on which an earlier leader may have
-//! started tasks that this one has not seen. The handler of worker heartbeats calls
-//! [`Shard::heartbeat`]; answers to commands arrive through [`super::dispatch`]. It never
-//! decides what should run: it only records what does.
+//! Which task is on which machine is known from the workers' heartbeats alone: placements in a
+//! snapshot are only a hint. This module applies heartbeats to the shard's attempts, handles the
+//! outcomes of attempts, and owns the set of machines on which an earlier leader may have started
+//! tasks that this leader does not know of. The handler of worker heartbeats calls
+//! [`Shard::heartbeat`]; answers to commands arrive through [`super::dispatch`]. This module
+//! records what runs and never decides what should run.
 
 mod outcomes;
 mod preemption_notice;
@@ -25,22 +25,22 @@
 use crate::protocol::MachineId;
 use crate::protocol::workers::{Command, WorkerHeartbeat};
 
-/// Least pause between two probes that outdated heartbeats of one machine cause.
+/// Minimum time between two probes that outdated heartbeats of one machine cause.
 const OUTDATED_HEARTBEAT_PROBE_PAUSE: Duration = Duration::from_secs(2);
 
-/// What to answer to a heartbeat.
+/// The answer to a heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatOutcome {
-    /// 200 with these commands; the worker's lease is renewed.
+    /// Status 200 with these commands: the worker renews its lease.
     Answer(Vec<Command>),
-    /// No renewal: the machine is deleted, or another controller has a higher fencing
-    /// token and may lead the shard.
+    /// The lease is not renewed: the machine is deleted, or another controller has a higher
+    /// fencing token and may lead the shard.
     Refuse,
 }
 
 impl Shard {
-    /// Applies a heartbeat that a worker sent by itself. The caller must send the returned
-    /// answer at once, since the bound on the worker's lease counts from `now`.
+    /// Applies a periodic heartbeat of a worker and returns the answer. The caller must send
+    /// the answer at once, since the bound on the worker's lease counts from `now`.
     pub fn heartbeat(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) -> HeartbeatOutcome {
         if self.is_deleted(heartbeat) || self.is_fenced_by(heartbeat) {
             return HeartbeatOutcome::Refuse;
@@ -51,9 +51,10 @@
             return HeartbeatOutcome::Refuse;
         };
         let number = HeartbeatNumber::from(heartbeat);
-        // Whether or not the worker accepts this answer, its lease can't expire later than
-        // if it does. The answer to a copy renews nothing: no worker waits for it.
-        if machine.epochs.note_own(number) {
+        // The bound assumes that the worker accepts this answer; if it doesn't, its lease
+        // expires earlier. The answer to a duplicate renews nothing, since the worker does not
+        // wait for it.
+        if machine.epochs.note_periodic(number) {
             machine.lease.renew(now, lease_expires_at);
         }
         let commands = if machine.token_acknowledged && machine.epochs.is_newest(number) {
@@ -64,7 +65,7 @@
         HeartbeatOutcome::Answer(commands)
     }
 
-    /// Applies a heartbeat that a worker sent by itself or as the answer to commands.
+    /// Applies a heartbeat, periodic or in answer to commands.
     pub(super) fn apply_heartbeat(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) {
         if self.is_fenced_by(heartbeat) || self.is_deleted(heartbeat) {
             return;
@@ -77,7 +78,8 @@
         }
         self.apply_preemption_notice(&id, heartbeat.preemption_notice_s, now);
         if heartbeat.fencing_token < self.fencing_token {
-            // Commands of an earlier leader may still change what the worker holds.
+            // The worker still accepts commands of an earlier leader, so this task list may be
+            // outdated by them. The probe raises the worker's fencing token.
             self.probe(&id, heartbeat.agent_epoch);
             return;
         }
@@ -92,8 +94,8 @@
         self.deleted_machines.contains(heartbeat.machine.as_str())
     }
 
-    /// Whether the worker has seen a higher fencing token than this leader's. If so, the
-    /// action executor learns that another controller may lead the shard.
+    /// Whether the worker has seen a higher fencing token than this leader's. If so, emits
+    /// [`Action::Fenced`], since another controller may lead the shard.
     fn is_fenced_by(&mut self, heartbeat: &WorkerHeartbeat) -> bool {
         let is_fenced = heartbeat.fencing_token > self.fencing_token;
         if is_fenced {
@@ -104,7 +106,8 @@
         is_fenced
     }
 
-    /// Adds the heartbeat's machine if it is new, and takes over how it describes itself.
+    /// Adds the machine of a heartbeat if the shard does not have it yet, and updates its
+    /// properties from the heartbeat.
     fn register_machine(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) -> Option<MachineId> {
         let id: MachineId = heartbeat.machine.as_str().into();
         let lease_expires_at = now + self.policy.worker_lease_bound();
@@ -127,8 +130,8 @@
         Some(machine.id.clone())
     }
 
-    /// Notes how long a machine took to boot when its first heartbeat arrives. A machine
-    /// rented before this leader was elected may have come up unnoticed and is left out.
+    /// Records how long a machine took to boot if this is its first heartbeat. A machine rented
+    /// before this leader was elected is skipped, since it may have booted before the election.
     fn note_boot_time(&mut self, id: &MachineId, now: Instant) {
         let Some(machine) = self.machines.get(id) else {
             return;
@@ -142,7 +145,7 @@
         self.autoscaler.record_boot(machine, kind, now);
     }
 
-    /// Records a heartbeat as its machine's newest; false if it is outdated.
+    /// Makes a heartbeat its machine's newest one. Returns false if the heartbeat is outdated.
     fn accept_heartbeat(
         &mut self,
         id: &MachineId,
@@ -163,24 +166,24 @@
         machine.commands.note_heartbeat();
         let change = machine.epochs.advance(number);
         if change != EpochChange::Unchanged {
-            // The new epoch's lease began with the epoch, before now; the bound so far
-            // is that of an earlier epoch.
+            // The lease of the new epoch began with the epoch, which is before `now`; the
+            // present bound is for the lease of an earlier epoch.
             machine.lease.extend_to(lease_expires_at);
         }
         if change == EpochChange::Restarted {
-            // Its heartbeats arrived, and still its lease expired: perhaps what this
-            // leader sends doesn't reach it.
+            // The worker's lease expired although its heartbeats arrived: messages from this
+            // leader may not reach the worker.
             machine.commands.note_lease_lost();
             tracing::info!(machine = %id, agent_epoch = heartbeat.agent_epoch, "worker began a new agent epoch");
-            // This doesn't reconcile the machine: an earlier leader may have started
-            // tasks in the new epoch.
+            // The machine stays unreconciled if it is, since an earlier leader may have
+            // started tasks in the new epoch.
             self.remove_attempts(id, now);
         }
         true
     }
 
-    /// Probes a machine whose heartbeat is older than the newest one: it is a late message, or
-    /// the worker process has started over, and only an answer of the machine shows which.
+    /// Probes a machine whose heartbeat is older than the newest one. Either the message is late
+    /// or the worker process has restarted, and only the worker's answer shows which.
     fn probe_if_behind(&mut self, id: &MachineId, number: HeartbeatNumber, now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -188,12 +191,13 @@
         if number < machine.epochs.newest() && machine.commands.retry_is_due(now) {
             machine
                 .commands
-                .retry_at(now + OUTDATED_HEARTBEAT_PROBE_PAUSE);
+                .delay_until(now + OUTDATED_HEARTBEAT_PROBE_PAUSE);
             self.probe(id, number.agent_epoch);
         }
     }
 
-    /// The worker has seen this leader's fencing token: it refuses all older commands.
+    /// Records that the worker has seen this leader's fencing token, so that it refuses commands
+    /// of earlier leaders.
     fn note_token_acknowledged(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.get_mut(id)
             && !machine.token_acknowledged
--- a/src/coordination/shard/reconciler/outcomes.rs
+++ b/src/coordination/shard/reconciler/outcomes.rs
@@ -1,4 +1,7 @@
-//! Outcomes of attempts, and what they mean for the job and the machine.
+//! Effects of an attempt's outcome on its job and machine.
+//!
+//! The reconciliation of a heartbeat's task list calls this module once for each attempt that
+//! has ended.
 
 use std::time::{Duration, Instant};
 
@@ -7,44 +10,44 @@
 use crate::protocol::workers::AttemptOutcome;
 use crate::protocol::{AttemptId, MachineId, TaskId};
 
-/// Pause before tasks of a job are started again after a worker refused to start one.
+/// Time after a worker refused to start a task during which no task of its job is started.
 const REFUSED_START_PAUSE: Duration = Duration::from_millis(500);
 
 impl Shard {
-    /// A heartbeat lists an attempt as ended for the first time.
+    /// Handles the end of an attempt, when a heartbeat lists it as ended for the first time.
     pub(super) fn attempt_ended(
         &mut self,
-        id: &MachineId,
-        key: &AttemptId,
+        machine_id: &MachineId,
+        attempt_id: &AttemptId,
         outcome: AttemptOutcome,
         now: Instant,
     ) {
-        let task = &key.task;
-        let Some(machine) = self.machines.get_mut(id) else {
+        let task = &attempt_id.task;
+        let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
         machine.note_idle_if_unused(now);
-        let Some(attempt) = machine.attempts.get_mut(key) else {
+        let Some(attempt) = machine.attempts.get_mut(attempt_id) else {
             return;
         };
         let ended = AttemptSummary::of(attempt, now);
-        tracing::debug!(machine = %id, %task, ?outcome, was_stopped = ended.was_stopped, "attempt ended");
+        tracing::debug!(machine = %machine_id, %task, ?outcome, was_stopped = ended.was_stopped, "attempt ended");
         let Some(job) = self.jobs.get(&task.job) else {
             attempt.clearable = true;
             return;
         };
-        // A worker must remember a completion until a snapshot records it, for the next
-        // leader. Any other outcome matters to this leader only.
+        // The worker must keep a completion until a snapshot records it, because the next
+        // leader may need it. Any other outcome matters only to this leader.
         attempt.clearable = outcome != AttemptOutcome::Done || job.final_stage.is_some();
-        self.apply_outcome(id, task, outcome, &ended, now);
-        self.release(id, task);
+        self.apply_outcome(machine_id, task, outcome, &ended, now);
+        self.release_task(machine_id, task);
         self.finish_if_done(&task.job.clone());
     }
 
     /// Applies an outcome to the attempt's job.
     fn apply_outcome(
         &mut self,
-        id: &MachineId,
+        machine_id: &MachineId,
         task: &TaskId,
         outcome: AttemptOutcome,
         ended: &AttemptSummary,
@@ -58,8 +61,8 @@
             AttemptOutcome::Error if !ended.was_stopped && job.final_stage.is_none() => {
                 let failure = FailedAttempt {
                     job: &task.job,
-                    machine: id,
-                    began: ended.began,
+                    machine: machine_id,
+                    began: ended.created_at,
                     run_time: ended.ran.unwrap_or_default(),
                 };
                 self.attempt_failed(&failure, now);
@@ -75,15 +78,15 @@
         }
     }
 
-    /// A task has completed.
+    /// Records that a task has completed.
     fn task_done(&mut self, task: &TaskId, ended: &AttemptSummary, now: Instant) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         self.writes.progress_changed(now);
         if job.spec.is_gang() {
-            // The tasks of a gang complete together, also those on machines that are lost
-            // before they report it.
+            // The tasks of a gang complete together, including tasks whose machines are lost
+            // before they report the completion.
             self.gang_task_done(&task.job);
         } else {
             job.complete(task.index);
@@ -95,26 +98,26 @@
     }
 }
 
-/// What an ended attempt leaves to be evaluated.
+/// Properties of an ended attempt that its outcome is evaluated with.
 struct AttemptSummary {
-    /// Whether a stop was decided for it: an error is then no failure.
+    /// Whether a stop was requested for the attempt: an error then does not count as a failure.
     was_stopped: bool,
-    /// Whether its run time may be compared with others of its job.
+    /// Whether its run time may be compared with those of other attempts of its job.
     is_comparable: bool,
-    /// When it was decided, or first listed by a heartbeat.
-    began: Instant,
-    /// How long heartbeats listed it as running.
+    /// See [`Attempt::created_at`].
+    created_at: Instant,
+    /// Time since a heartbeat first listed the attempt as running; None if none did.
     ran: Option<Duration>,
 }
 
 impl AttemptSummary {
     fn of(attempt: &Attempt, now: Instant) -> Self {
-        let since = attempt.running_since;
+        let running_since = attempt.running_since;
         Self {
             was_stopped: attempt.stop().is_some(),
-            is_comparable: !attempt.overdue && !attempt.adopted,
-            began: attempt.began,
-            ran: since.map(|since| now.saturating_duration_since(since)),
+            is_comparable: !attempt.overdue && !attempt.is_adopted,
+            created_at: attempt.created_at,
+            ran: running_since.map(|since| now.saturating_duration_since(since)),
         }
     }
 }
--- a/src/coordination/shard/reconciler/recovery.rs
+++ b/src/coordination/shard/reconciler/recovery.rs
@@ -1,4 +1,4 @@
-//! Failover: builds a shard that can act from what is stored.
+//! Failover: builds the shard of a newly elected leader from the key-value store.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -17,23 +17,23 @@
 use crate::storage::records::{RentalRecord, RosterRecord};
 use crate::storage::snapshot;
 
-/// Low bits of an attempt number, below those of the fencing token: they bound the attempts
-/// that one leader may start.
-const ATTEMPT_NUMBER_BITS: u32 = 24;
+/// How many low bits of an attempt number count the attempts of one leader; the bits above them
+/// hold the fencing token. They limit how many attempts one leader can start.
+const ATTEMPT_COUNTER_BITS: u32 = 24;
 
-/// A machine of the stored roster.
+/// A machine in the stored roster.
 #[derive(Debug, Clone)]
 pub struct RecoveredMachine {
     /// The machine's name.
     pub id: String,
     /// The page of the roster that holds its entry.
     pub page: u32,
-    /// Its entry.
+    /// The machine's roster entry.
     pub record: RosterRecord,
 }
 
-/// What is stored of the shard, read after the fencing token was raised: no earlier leader
-/// can change it any more.
+/// The shard's records in the key-value store, read after the fencing token was raised, so that
+/// no earlier leader can change them any more.
 #[derive(Debug, Default, Clone)]
 pub struct RecoveredState {
     /// The unfinished jobs.
@@ -42,12 +42,12 @@
     pub roster: Vec<RecoveredMachine>,
     /// The snapshot's chunks by key.
     pub chunks: BTreeMap<String, Value>,
-    /// Rentals whose outcome is not recorded.
+    /// Rental requests whose outcome is not recorded.
     pub pending_rentals: Vec<RentalRecord>,
 }
 
 impl Shard {
-    /// The shard of a leader that was just elected. `recovered` must have been read after
+    /// Builds the shard of a leader that was just elected. `recovered` must have been read after
     /// the leader record was written.
     pub fn recover(
         policy: Policy,
@@ -69,7 +69,7 @@
         shard
     }
 
-    /// A shard without jobs and machines.
+    /// Creates a shard without jobs and machines.
     fn empty(policy: Policy, fencing_token: FencingToken, now: Instant, wall_ms: u64) -> Self {
         Self {
             policy,
@@ -84,7 +84,7 @@
             autoscaler: Autoscaler::default(),
             writes: WriteQueue::default(),
             delegations: Default::default(),
-            last_attempt_number: fencing_token.revision() << ATTEMPT_NUMBER_BITS,
+            last_attempt_number: fencing_token.revision() << ATTEMPT_COUNTER_BITS,
             last_batch_number: 0,
             main_zone: None,
             needs_pass: true,
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Takes over from the snapshot which tasks are completed. Its placements are a hint
-    /// only: where tasks are is known from heartbeats.
+    /// Marks the tasks as completed that are completed in the snapshot. The snapshot's placements
+    /// are only a hint: the locations of tasks are known from heartbeats.
     fn recover_progress(&mut self, chunks: &BTreeMap<String, Value>) {
         for (id, progress) in snapshot::decode(chunks.values()) {
             for machine in progress.placements.values() {
@@ -127,10 +127,11 @@
         }
     }
 
-    /// Adds the machines of the roster, all unreconciled, and probes them.
+    /// Adds the machines of the roster as unreconciled and probes them, or deletes those whose
+    /// entry records a deletion.
     fn recover_roster(&mut self, roster: Vec<RecoveredMachine>, now: Instant) {
-        // A delegate of the last leader may have renewed leases until just now, and a
-        // controller in a partition may go on renewing them by its advance delegation.
+        // A delegate of the last leader may have renewed leases until now, and a partitioned
+        // controller may continue to renew them under its advance delegation.
         let renewed_for = DELEGATION_TIME.max(self.policy.advance_delegation);
         let lease_expires_at = now + self.policy.worker_lease_bound() + renewed_for;
         for RecoveredMachine { id, page, record } in roster {
@@ -155,7 +156,8 @@
         }
     }
 
-    /// Finishes the jobs whose tasks had all completed under the last leader.
+    /// Finishes the jobs whose tasks had all completed under the last leader, according to the
+    /// snapshot.
     fn finish_completed_jobs(&mut self) {
         let completed: Vec<JobId> = self
             .jobs
--- a/src/coordination/shard/reconciler/removal.rs
+++ b/src/coordination/shard/reconciler/removal.rs
@@ -1,4 +1,4 @@
-//! Removal of attempts that can't exist any more, and the end of a machine's reconciliation.
+//! Removal of attempts that can no longer exist, and marking of machines as reconciled.
 
 use std::time::Instant;
 
@@ -6,48 +6,58 @@
 use crate::protocol::{AttemptId, MachineId, TaskId};
 
 impl Shard {
-    /// Removes an attempt that can't exist any more, and releases its task.
+    /// Removes an attempt that can no longer exist, and releases its task unless the attempt has
+    /// ended, which released it already.
     pub(in crate::coordination::shard) fn remove_attempt(
         &mut self,
-        id: &MachineId,
-        key: &AttemptId,
+        machine_id: &MachineId,
+        attempt_id: &AttemptId,
         now: Instant,
     ) {
-        let Some(machine) = self.machines.get_mut(id) else {
+        let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
-        let Some(attempt) = machine.attempts.remove(key) else {
+        let Some(attempt) = machine.attempts.remove(attempt_id) else {
             return;
         };
         machine.note_idle_if_unused(now);
         if !attempt.ended() {
-            self.release(id, &key.task);
+            self.release_task(machine_id, &attempt_id.task);
         }
         self.needs_pass = true;
     }
 
-    /// Releases a task, whose attempt on a machine has ended or was removed: it may start
-    /// elsewhere.
-    pub(in crate::coordination::shard) fn release(&mut self, id: &MachineId, task: &TaskId) {
+    /// Removes the placement of a task on a machine, where its attempt has ended or was removed,
+    /// so that the task may start elsewhere.
+    pub(in crate::coordination::shard) fn release_task(
+        &mut self,
+        machine_id: &MachineId,
+        task: &TaskId,
+    ) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.remove_placement(task.index, id);
+            job.remove_placement(task.index, machine_id);
             let job_id = job.id.clone();
             self.drop_job_if_empty(&job_id);
         }
         self.needs_pass = true;
     }
 
-    /// A machine holds no task any more, known or unknown: its worker's lease has expired, or
-    /// it was deleted.
-    pub(in crate::coordination::shard) fn empty_machine(&mut self, id: &MachineId, now: Instant) {
-        self.remove_attempts(id, now);
-        self.reconcile_machine(id);
+    /// Removes all attempts of a machine and marks it as reconciled. The machine holds no tasks
+    /// any more, not even unknown ones: its worker's lease has expired, or it was deleted.
+    pub(in crate::coordination::shard) fn empty_machine(
+        &mut self,
+        machine_id: &MachineId,
+        now: Instant,
+    ) {
+        self.remove_attempts(machine_id, now);
+        self.reconcile_machine(machine_id);
         self.needs_pass = true;
     }
 
-    /// All tasks that an earlier leader started on a machine are known now.
-    pub(in crate::coordination::shard) fn reconcile_machine(&mut self, id: &MachineId) {
-        if self.unreconciled.remove(id) {
+    /// Marks a machine as reconciled, since all tasks that an earlier leader started on it are
+    /// known now.
+    pub(in crate::coordination::shard) fn reconcile_machine(&mut self, machine_id: &MachineId) {
+        if self.unreconciled.remove(machine_id) {
             tracing::info!(
                 fencing_token = %self.fencing_token,
                 "every recovered machine is reconciled"
@@ -55,15 +65,19 @@
         }
     }
 
-    /// Removes all attempts of a machine: none of them can exist any more. Unknown tasks may
-    /// still be there if the machine is unreconciled.
-    pub(in crate::coordination::shard) fn remove_attempts(&mut self, id: &MachineId, now: Instant) {
-        let keys: Vec<AttemptId> = match self.machines.get(id) {
+    /// Removes all attempts of a machine, since none of them can exist any more. If the machine is
+    /// unreconciled, it may still hold tasks that this leader does not know of.
+    pub(in crate::coordination::shard) fn remove_attempts(
+        &mut self,
+        machine_id: &MachineId,
+        now: Instant,
+    ) {
+        let attempt_ids: Vec<AttemptId> = match self.machines.get(machine_id) {
             Some(machine) => machine.attempts.keys().cloned().collect(),
             None => return,
         };
-        for key in keys {
-            self.remove_attempt(id, &key, now);
+        for attempt_id in attempt_ids {
+            self.remove_attempt(machine_id, &attempt_id, now);
         }
     }
 }
--- a/src/coordination/shard/reconciler/task_list.rs
+++ b/src/coordination/shard/reconciler/task_list.rs
@@ -7,81 +7,98 @@
 use crate::protocol::{AttemptId, MachineId};
 
 impl Shard {
-    /// Brings a machine's attempts in line with the list of a worker that has acknowledged
-    /// this leader's fencing token, and to which therefore no older command applies.
+    /// Updates a machine's attempts from the task list of its worker. The worker must have
+    /// acknowledged this leader's fencing token, so that it executes no command of an earlier
+    /// leader after this list.
     pub(super) fn reconcile_attempts(
         &mut self,
-        id: &MachineId,
+        machine_id: &MachineId,
         tasks: &[TaskStatus],
         now: Instant,
     ) {
-        let mut listed = Vec::with_capacity(tasks.len());
+        let mut listed_ids = Vec::with_capacity(tasks.len());
         for status in tasks {
-            listed.push(status.attempt_id());
-            self.apply_status(id, status, now);
+            listed_ids.push(status.attempt_id());
+            self.apply_status(machine_id, status, now);
         }
-        listed.sort();
-        for key in self.vanished_attempts(id, &listed) {
-            self.remove_attempt(id, &key, now);
+        listed_ids.sort();
+        for attempt_id in self.unlisted_attempts(machine_id, &listed_ids) {
+            self.remove_attempt(machine_id, &attempt_id, now);
         }
     }
 
-    /// Attempts that an earlier heartbeat listed and this one does not: they have ceased to
-    /// exist. A launch that was never listed may still arrive at the worker.
-    fn vanished_attempts(&self, id: &MachineId, listed: &[AttemptId]) -> Vec<AttemptId> {
-        let Some(machine) = self.machines.get(id) else {
+    /// Attempts that an earlier heartbeat listed and this one does not: they no longer exist. An
+    /// attempt that no heartbeat has listed is left out, since its launch may still arrive at the
+    /// worker. `listed_ids` must be sorted.
+    fn unlisted_attempts(
+        &self,
+        machine_id: &MachineId,
+        listed_ids: &[AttemptId],
+    ) -> Vec<AttemptId> {
+        let Some(machine) = self.machines.get(machine_id) else {
             return Vec::new();
         };
         machine
             .attempts
             .iter()
-            .filter(|(key, attempt)| {
-                attempt.phase != Phase::Launching && listed.binary_search(key).is_err()
+            .filter(|(attempt_id, attempt)| {
+                attempt.phase != Phase::Launching && listed_ids.binary_search(attempt_id).is_err()
             })
-            .map(|(key, _)| key.clone())
+            .map(|(attempt_id, _)| attempt_id.clone())
             .collect()
     }
 
-    /// Applies one line of the list to the attempt that it is about.
-    fn apply_status(&mut self, id: &MachineId, status: &TaskStatus, now: Instant) {
-        let key = status.attempt_id();
+    /// Applies one entry of the task list to its attempt.
+    fn apply_status(&mut self, machine_id: &MachineId, status: &TaskStatus, now: Instant) {
+        let attempt_id = status.attempt_id();
         let is_known = self
             .machines
-            .get(id)
-            .is_some_and(|machine| machine.attempts.contains_key(&key));
+            .get(machine_id)
+            .is_some_and(|machine| machine.attempts.contains_key(&attempt_id));
         if !is_known {
-            self.adopt_attempt(id, &key, status.state != TaskState::Ended, now);
+            self.adopt_attempt(
+                machine_id,
+                &attempt_id,
+                status.state != TaskState::Ended,
+                now,
+            );
         }
         let phase = Phase::from(status);
-        let Some(machine) = self.machines.get_mut(id) else {
+        let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
-        let Some(attempt) = machine.attempts.get_mut(&key) else {
+        let Some(attempt) = machine.attempts.get_mut(&attempt_id) else {
             return;
         };
         if attempt.phase == phase {
             return;
         }
         let had_ended = attempt.ended();
-        attempt.enter(phase, now);
+        attempt.enter_phase(phase, now);
         if phase == Phase::Running {
-            tracing::debug!(machine = %id, task = %status.task, "task is running");
+            tracing::debug!(machine = %machine_id, task = %status.task, "task is running");
         }
         if let Some(spec) = attempt.spec.clone().filter(|_| phase.has_image()) {
-            machine.use_image(&spec.image);
+            machine.note_image_use(&spec.image);
         }
         if let Phase::Ended(outcome) = phase
             && !had_ended
         {
-            self.attempt_ended(id, &key, outcome, now);
+            self.attempt_ended(machine_id, &attempt_id, outcome, now);
         }
     }
 
-    /// Adds an attempt that an earlier leader launched. It is stopped if its job is finished,
-    /// or if its task is completed or has another attempt.
-    fn adopt_attempt(&mut self, id: &MachineId, key: &AttemptId, is_live: bool, now: Instant) {
-        let task = &key.task;
-        let mut attempt = Attempt::adopted(now);
+    /// Adds an attempt that an earlier leader launched. A stop is requested if its job is
+    /// finished, or if its task is completed or has another attempt.
+    fn adopt_attempt(
+        &mut self,
+        machine_id: &MachineId,
+        attempt_id: &AttemptId,
+        is_live: bool,
+        now: Instant,
+    ) {
+        let task = &attempt_id.task;
+        let mut attempt = Attempt::new_adopted(now);
         match self.jobs.get_mut(&task.job) {
             Some(job) if task.index < job.spec.tasks => {
                 attempt.spec = Some(job.spec.clone());
@@ -89,12 +106,12 @@
                     attempt.want_stop(Duration::ZERO);
                 }
                 if is_live {
-                    job.add_placement(task.index, id);
+                    job.add_placement(task.index, machine_id);
                 }
             }
             _ if is_live => {
-                // The job finished before this leader was elected: its final record tells
-                // what the attempt uses.
+                // The job finished before this leader was elected. Its final record says what
+                // resources the attempt uses.
                 attempt.want_stop(Duration::ZERO);
                 self.out.push(Action::ReadFinal {
                     job: task.job.clone(),
@@ -102,11 +119,11 @@
             }
             _ => {}
         }
-        if let Some(machine) = self.machines.get_mut(id) {
+        if let Some(machine) = self.machines.get_mut(machine_id) {
             if is_live {
                 machine.note_busy();
             }
-            machine.attempts.insert(key.clone(), attempt);
+            machine.attempts.insert(attempt_id.clone(), attempt);
         }
     }
 }
--- a/src/coordination/shard/reconciler/unreconciled.rs
+++ b/src/coordination/shard/reconciler/unreconciled.rs
@@ -1,19 +1,20 @@
-//! Machines on which an earlier leader may have started tasks that this one doesn't know.
+//! The set of machines on which an earlier leader may have started tasks that this leader does
+//! not know of.
 
 use std::collections::{BTreeSet, HashMap};
 
 use crate::protocol::MachineId;
 
-/// The unreconciled machines, and what the last snapshot says about them.
+/// The unreconciled machines, and how many tasks the last snapshot placed on them.
 ///
-/// A machine of the recovered roster is in the set until a heartbeat under this leader's
-/// fencing token lists its tasks, or until its lease expires or it is deleted. Invariant:
-/// no machine is added after failover.
+/// A machine of the recovered roster is unreconciled until a heartbeat with this leader's fencing
+/// token lists its tasks, its worker's lease expires, or it is deleted. Invariant: no machine is
+/// added after failover.
 #[derive(Debug, Default)]
 pub(crate) struct UnreconciledMachines {
     machines: BTreeSet<MachineId>,
-    /// By machine, the tasks that the last leader's snapshot placed there; empty if the
-    /// snapshot was too large to hold placements.
+    /// By machine, how many tasks the last leader's snapshot placed on it; empty if the snapshot
+    /// was too large to hold placements.
     snapshot_placements: HashMap<MachineId, u32>,
 }
 
@@ -38,8 +39,8 @@
         self.machines.iter()
     }
 
-    /// Tasks that the last snapshot placed on machines that are unreconciled now; None if
-    /// it holds no placements.
+    /// How many tasks the last snapshot placed on machines that are unreconciled now; None if the
+    /// snapshot holds no placements.
     pub(crate) fn snapshot_placements(&self) -> Option<u32> {
         if self.snapshot_placements.is_empty() {
             return None;
@@ -56,12 +57,12 @@
         self.machines.insert(id);
     }
 
-    /// Notes that the last snapshot placed a task on a machine.
+    /// Records that the last snapshot placed one task on a machine.
     pub(super) fn note_snapshot_placement(&mut self, machine: MachineId) {
         *self.snapshot_placements.entry(machine).or_default() += 1;
     }
 
-    /// A machine is reconciled. Returns true if it was the last that wasn't.
+    /// Removes a machine, since it is reconciled. Returns true if it was the last unreconciled one.
     pub(super) fn remove(&mut self, id: &str) -> bool {
         self.machines.remove(id) && self.machines.is_empty()
     }
