--- a/src/coordination/shard/dispatch/answers.rs
+++ b/src/coordination/shard/dispatch/answers.rs
@@ -20,13 +20,13 @@
     /// each [`crate::coordination::shard::Action::Command`].
     pub fn command_answered(
         &mut self,
-        id: &MachineId,
+        machine_id: &MachineId,
         number: u64,
         sent: &[Command],
         outcome: CommandOutcome,
         now: Instant,
     ) {
-        let Some(machine) = self.machines.get_mut(id) else {
+        let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
         let batch = machine.commands.complete(number);
@@ -40,14 +40,13 @@
                     // An answer is never a duplicate, and the heartbeat numbers of one
                     // worker process only increase, so the worker process has restarted.
                     // Its tasks are lost, and commands for the previous process may still
-                    // arrive at the new one, which can't recognize them. The machine is
-                    // therefore deleted.
-                    self.begin_deletion(id, now, DeletionReason::WorkerRestarted);
+                    // arrive at the new one. Only deleting the machine separates the two.
+                    self.begin_deletion(machine_id, now, DeletionReason::WorkerRestarted);
                     return;
                 }
                 self.apply_heartbeat(&heartbeat, now);
                 if is_executed {
-                    self.remove_unlisted_launches(id, sent, now);
+                    self.remove_unlisted_launches(machine_id, sent, now);
                 }
             }
             CommandOutcome::NotSent | CommandOutcome::NoAnswer => {
@@ -59,8 +58,8 @@
 
     /// Removes the attempts of `sent` whose launches the worker executed but whose tasks its
     /// answer does not list: they ended and the worker forgot them before it answered.
-    fn remove_unlisted_launches(&mut self, id: &MachineId, sent: &[Command], now: Instant) {
-        let Some(machine) = self.machines.get(id) else {
+    fn remove_unlisted_launches(&mut self, machine_id: &MachineId, sent: &[Command], now: Instant) {
+        let Some(machine) = self.machines.get(machine_id) else {
             return;
         };
         let is_unlisted = |attempt_id: &AttemptId| {
@@ -76,7 +75,7 @@
             .filter(is_unlisted)
             .collect();
         for attempt_id in unlisted {
-            self.remove_attempt(id, &attempt_id, now);
+            self.remove_attempt(machine_id, &attempt_id, now);
         }
     }
 }
--- a/src/coordination/shard/dispatch/batch.rs
+++ b/src/coordination/shard/dispatch/batch.rs
@@ -11,8 +11,8 @@
 
 impl Shard {
     /// Sends a machine one batch with all commands that its attempts need now.
-    pub(super) fn send_commands(&mut self, id: &MachineId) {
-        let Some(machine) = self.machines.get_mut(id) else {
+    pub(super) fn send_commands(&mut self, machine_id: &MachineId) {
+        let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
         let Some(agent_epoch) = machine.agent_epoch() else {
@@ -23,12 +23,17 @@
         let mut commands = clear_commands(machine);
         push_pending_stops(machine, &mut commands);
         push_pending_launches(machine, &mut commands);
-        self.send_batch(id, agent_epoch, commands);
+        self.send_batch(machine_id, agent_epoch, commands);
     }
 
     /// Sends a batch to a machine, which gets no other until this one is answered or fails.
-    pub(super) fn send_batch(&mut self, id: &MachineId, agent_epoch: u64, commands: Vec<Command>) {
-        let Some(machine) = self.machines.get_mut(id) else {
+    pub(super) fn send_batch(
+        &mut self,
+        machine_id: &MachineId,
+        agent_epoch: u64,
+        commands: Vec<Command>,
+    ) {
+        let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
         self.last_batch_number += 1;
@@ -36,7 +41,7 @@
         let newest = machine.epochs.newest();
         machine.commands.note_sent(number, newest);
         self.out.push(Action::Command {
-            machine: id.clone(),
+            machine: machine_id.clone(),
             addr: machine.addr.clone(),
             agent_epoch,
             number,
@@ -52,16 +57,16 @@
         .attempts
         .iter()
         .filter(|(_, attempt)| attempt.is_clear_allowed())
-        .map(|(id, _)| clear_command(id))
+        .map(|(attempt_id, _)| clear_command(attempt_id))
         .collect()
 }
 
 /// Appends a command for each stop that the worker has not executed yet, and marks these
 /// attempts as having a command in flight.
 fn push_pending_stops(machine: &mut Machine, commands: &mut Vec<Command>) {
-    for (id, attempt) in &mut machine.attempts {
+    for (attempt_id, attempt) in &mut machine.attempts {
         if let Some(grace) = attempt.stop_to_send() {
-            commands.push(stop_command(&id.task, id.number, grace));
+            commands.push(stop_command(&attempt_id.task, attempt_id.number, grace));
             attempt.has_command_in_flight = true;
         }
     }
@@ -70,25 +75,25 @@
 /// Appends a command for each launch that was not sent yet, and marks these attempts as
 /// having a command in flight.
 fn push_pending_launches(machine: &mut Machine, commands: &mut Vec<Command>) {
-    for (id, attempt) in &mut machine.attempts {
+    for (attempt_id, attempt) in &mut machine.attempts {
         if attempt.needs_launch() {
-            commands.push(launch_command(id));
+            commands.push(launch_command(attempt_id));
             attempt.has_command_in_flight = true;
         }
     }
 }
 
-fn clear_command(id: &AttemptId) -> Command {
+fn clear_command(attempt_id: &AttemptId) -> Command {
     Command::Clear {
-        task: id.task.clone(),
-        attempt: id.number,
+        task: attempt_id.task.clone(),
+        attempt: attempt_id.number,
     }
 }
 
-pub(super) fn launch_command(id: &AttemptId) -> Command {
+pub(super) fn launch_command(attempt_id: &AttemptId) -> Command {
     Command::Launch {
-        task: id.task.clone(),
-        attempt: id.number,
+        task: attempt_id.task.clone(),
+        attempt: attempt_id.number,
     }
 }
 
--- a/src/coordination/shard/dispatch/lease_expiry.rs
+++ b/src/coordination/shard/dispatch/lease_expiry.rs
@@ -16,12 +16,12 @@
         let Some(known_at) = self.renewals_known_at(now) else {
             return;
         };
-        for id in self.machines_with_expired_lease(known_at) {
-            if let Some(machine) = self.machines.get_mut(&id) {
+        for machine_id in self.machines_with_expired_lease(known_at) {
+            if let Some(machine) = self.machines.get_mut(&machine_id) {
                 machine.epochs.end_current();
-                tracing::info!(machine = %id, "worker lease expired");
+                tracing::info!(machine = %machine_id, "worker lease expired");
             }
-            self.empty_machine(&id, known_at);
+            self.empty_machine(&machine_id, known_at);
         }
     }
 
--- a/src/coordination/shard/dispatch/mod.rs
+++ b/src/coordination/shard/dispatch/mod.rs
@@ -32,8 +32,8 @@
             .filter(|machine| machine.load.has_withdrawable_launch)
             .flat_map(withdrawable_launches)
             .collect();
-        for (machine, attempt_id) in withdrawn {
-            self.remove_attempt(&machine, &attempt_id, now);
+        for (machine_id, attempt_id) in withdrawn {
+            self.remove_attempt(&machine_id, &attempt_id, now);
         }
     }
 
@@ -41,14 +41,14 @@
     /// yet.
     pub(super) fn flush_commands(&mut self, now: Instant) {
         self.machines.refresh();
-        let ids = self.machines.ids(|machine| {
+        let machine_ids = self.machines.ids(|machine| {
             machine.load.has_pending_commands
                 && machine.token_acknowledged
                 && !machine.is_deleting()
                 && machine.commands.can_send(now)
         });
-        for id in ids {
-            self.send_commands(&id);
+        for machine_id in machine_ids {
+            self.send_commands(&machine_id);
         }
     }
 }
--- a/src/coordination/shard/dispatch/probes.rs
+++ b/src/coordination/shard/dispatch/probes.rs
@@ -24,14 +24,18 @@
     /// Sends an empty batch, which raises the worker's fencing token to this leader's and is
     /// answered with a heartbeat. Does nothing while a batch is outstanding or if the worker's
     /// address is unknown.
-    pub(in crate::coordination::shard) fn probe(&mut self, id: &MachineId, agent_epoch: u64) {
-        let Some(machine) = self.machines.get(id) else {
+    pub(in crate::coordination::shard) fn probe(
+        &mut self,
+        machine_id: &MachineId,
+        agent_epoch: u64,
+    ) {
+        let Some(machine) = self.machines.get(machine_id) else {
             return;
         };
         if machine.commands.is_outstanding() || machine.addr.is_empty() {
             return;
         }
-        self.send_batch(id, agent_epoch, Vec::new());
+        self.send_batch(machine_id, agent_epoch, Vec::new());
     }
 
     /// Probes machines whose workers have not acknowledged this leader's fencing token, whose
@@ -46,8 +50,8 @@
                 (machine.id.clone(), agent_epoch)
             })
             .collect();
-        for (id, agent_epoch) in due {
-            self.probe(&id, agent_epoch);
+        for (machine_id, agent_epoch) in due {
+            self.probe(&machine_id, agent_epoch);
         }
     }
 
--- a/src/coordination/shard/dispatch/repeated.rs
+++ b/src/coordination/shard/dispatch/repeated.rs
@@ -12,10 +12,10 @@
 /// repeated safely; a launch is repeated only while an earlier copy may still arrive.
 pub(in crate::coordination::shard) fn commands_to_repeat(machine: &Machine) -> Vec<Command> {
     let mut commands = clear_commands(machine);
-    for (id, attempt) in &machine.attempts {
+    for (attempt_id, attempt) in &machine.attempts {
         match attempt.phase {
-            Phase::Launching => repeat_launch(id, attempt, &mut commands),
-            _ => repeat_stop(id, attempt, &mut commands),
+            Phase::Launching => repeat_launch(attempt_id, attempt, &mut commands),
+            _ => repeat_stop(attempt_id, attempt, &mut commands),
         }
     }
     commands
@@ -23,23 +23,23 @@
 
 /// Appends a launch that was sent, got no answer and may still arrive, and its stop if one was
 /// requested. Once the worker knows the attempt, a late copy of the launch has no effect.
-fn repeat_launch(id: &AttemptId, attempt: &Attempt, commands: &mut Vec<Command>) {
+fn repeat_launch(attempt_id: &AttemptId, attempt: &Attempt, commands: &mut Vec<Command>) {
     if attempt.has_command_in_flight || !attempt.has_unanswered_launch {
         return;
     }
-    commands.push(launch_command(id));
+    commands.push(launch_command(attempt_id));
     if let Some(grace) = attempt.stop() {
-        commands.push(stop_command(&id.task, id.number, grace));
+        commands.push(stop_command(&attempt_id.task, attempt_id.number, grace));
     }
 }
 
 /// Appends the stop of an attempt, if one was requested, unless the attempt is already saving
 /// its progress within its grace period.
-fn repeat_stop(id: &AttemptId, attempt: &Attempt, commands: &mut Vec<Command>) {
+fn repeat_stop(attempt_id: &AttemptId, attempt: &Attempt, commands: &mut Vec<Command>) {
     if let Some(grace) = attempt.stop()
         && !attempt.ended()
         && (grace.is_zero() || attempt.phase != Phase::Saving)
     {
-        commands.push(stop_command(&id.task, id.number, grace));
+        commands.push(stop_command(&attempt_id.task, attempt_id.number, grace));
     }
 }
--- a/src/coordination/shard/machines/attempt.rs
+++ b/src/coordination/shard/machines/attempt.rs
@@ -79,7 +79,7 @@
     pub is_adopted: bool,
     /// Whether a launch command for the attempt was sent and got no answer. The command may
     /// arrive at any time until the agent epoch ends, so the worker must not be told to forget
-    /// the attempt: it would start the task again.
+    /// the attempt: a worker that has forgotten it would start the task again.
     pub has_unanswered_launch: bool,
     /// Whether the outstanding batch of the machine holds a command for the attempt.
     pub has_command_in_flight: bool,
--- a/src/coordination/shard/machines/mod.rs
+++ b/src/coordination/shard/machines/mod.rs
@@ -87,7 +87,8 @@
 }
 
 impl Machine {
-    /// Creates a machine of which only the name is known, at `now`.
+    /// Creates a machine of which only the name is known. `now` counts as the time at which it
+    /// was rented.
     pub fn new(id: MachineId, now: Instant, lease_expires_at: Instant) -> Self {
         Self {
             id,
--- a/src/coordination/shard/reconciler/mod.rs
+++ b/src/coordination/shard/reconciler/mod.rs
@@ -70,23 +70,23 @@
         if self.is_fenced_by(heartbeat) || self.is_deleted(heartbeat) {
             return;
         }
-        let Some(id) = self.register_machine(heartbeat, now) else {
+        let Some(machine_id) = self.register_machine(heartbeat, now) else {
             return;
         };
-        if !self.accept_heartbeat(&id, heartbeat, now) {
+        if !self.accept_heartbeat(&machine_id, heartbeat, now) {
             return;
         }
-        self.apply_preemption_notice(&id, heartbeat.preemption_notice_s, now);
+        self.apply_preemption_notice(&machine_id, heartbeat.preemption_notice_s, now);
         if heartbeat.fencing_token < self.fencing_token {
             // The worker still accepts commands of an earlier leader, so this task list may be
             // outdated by them. The probe raises the worker's fencing token.
-            self.probe(&id, heartbeat.agent_epoch);
+            self.probe(&machine_id, heartbeat.agent_epoch);
             return;
         }
-        self.note_token_acknowledged(&id);
-        self.reconcile_attempts(&id, &heartbeat.tasks, now);
-        self.reconcile_machine(&id);
-        self.admit(&id);
+        self.note_token_acknowledged(&machine_id);
+        self.reconcile_attempts(&machine_id, &heartbeat.tasks, now);
+        self.reconcile_machine(&machine_id);
+        self.admit(&machine_id);
         self.needs_pass = true;
     }
 
@@ -109,15 +109,15 @@
     /// Adds the machine of a heartbeat if the shard does not have it yet, and updates its
     /// properties from the heartbeat.
     fn register_machine(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) -> Option<MachineId> {
-        let id: MachineId = heartbeat.machine.as_str().into();
+        let machine_id: MachineId = heartbeat.machine.as_str().into();
         let lease_expires_at = now + self.policy.worker_lease_bound();
-        if self.machines.contains(&id) {
-            self.note_boot_time(&id, now);
+        if self.machines.contains(&machine_id) {
+            self.note_boot_time(&machine_id, now);
         } else {
             self.machines
-                .insert(Machine::new(id.clone(), now, lease_expires_at));
+                .insert(Machine::new(machine_id.clone(), now, lease_expires_at));
         }
-        let machine = self.machines.get_mut(&id)?;
+        let machine = self.machines.get_mut(&machine_id)?;
         if machine.last_contact.is_none() {
             machine.begin_idle(now);
         }
@@ -132,33 +132,33 @@
 
     /// Records how long a machine took to boot if this is its first heartbeat. A machine rented
     /// before this leader was elected is skipped, since it may have booted before the election.
-    fn note_boot_time(&mut self, id: &MachineId, now: Instant) {
-        let Some(machine) = self.machines.get(id) else {
+    fn note_boot_time(&mut self, machine_id: &MachineId, now: Instant) {
+        let Some(machine) = self.machines.get(machine_id) else {
             return;
         };
         if !machine.is_booting() || machine.rented < self.acquired {
             return;
         }
-        let Some(kind) = self.types.get(&*machine.machine_type) else {
+        let Some(machine_type) = self.types.get(&*machine.machine_type) else {
             return;
         };
-        self.autoscaler.record_boot(machine, kind, now);
+        self.autoscaler.record_boot(machine, machine_type, now);
     }
 
     /// Makes a heartbeat its machine's newest one. Returns false if the heartbeat is outdated.
     fn accept_heartbeat(
         &mut self,
-        id: &MachineId,
+        machine_id: &MachineId,
         heartbeat: &WorkerHeartbeat,
         now: Instant,
     ) -> bool {
         let lease_expires_at = now + self.policy.worker_lease_bound();
-        let Some(machine) = self.machines.get_mut(id) else {
+        let Some(machine) = self.machines.get_mut(machine_id) else {
             return false;
         };
         let number = HeartbeatNumber::from(heartbeat);
         if machine.epochs.is_outdated(number) {
-            self.probe_if_behind(id, number, now);
+            self.probe_if_behind(machine_id, number, now);
             return false;
         }
         machine.last_contact = Some(now);
@@ -174,36 +174,36 @@
             // The worker's lease expired although its heartbeats arrived: messages from this
             // leader may not reach the worker.
             machine.commands.note_lease_lost();
-            tracing::info!(machine = %id, agent_epoch = heartbeat.agent_epoch, "worker began a new agent epoch");
+            tracing::info!(machine = %machine_id, agent_epoch = heartbeat.agent_epoch, "worker began a new agent epoch");
             // The machine stays unreconciled if it is, since an earlier leader may have
             // started tasks in the new epoch.
-            self.remove_attempts(id, now);
+            self.remove_attempts(machine_id, now);
         }
         true
     }
 
     /// Probes a machine whose heartbeat is older than the newest one. Either the message is late
     /// or the worker process has restarted, and only the worker's answer shows which.
-    fn probe_if_behind(&mut self, id: &MachineId, number: HeartbeatNumber, now: Instant) {
-        let Some(machine) = self.machines.get_mut(id) else {
+    fn probe_if_behind(&mut self, machine_id: &MachineId, number: HeartbeatNumber, now: Instant) {
+        let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
         if number < machine.epochs.newest() && machine.commands.retry_is_due(now) {
             machine
                 .commands
                 .delay_until(now + OUTDATED_HEARTBEAT_PROBE_PAUSE);
-            self.probe(id, number.agent_epoch);
+            self.probe(machine_id, number.agent_epoch);
         }
     }
 
     /// Records that the worker has seen this leader's fencing token, so that it refuses commands
     /// of earlier leaders.
-    fn note_token_acknowledged(&mut self, id: &MachineId) {
-        if let Some(machine) = self.machines.get_mut(id)
+    fn note_token_acknowledged(&mut self, machine_id: &MachineId) {
+        if let Some(machine) = self.machines.get_mut(machine_id)
             && !machine.token_acknowledged
         {
             machine.token_acknowledged = true;
-            tracing::debug!(machine = %id, "worker acknowledged the fencing token");
+            tracing::debug!(machine = %machine_id, "worker acknowledged the fencing token");
         }
     }
 }
--- a/src/coordination/shard/reconciler/outcomes.rs
+++ b/src/coordination/shard/reconciler/outcomes.rs
@@ -30,8 +30,8 @@
         let Some(attempt) = machine.attempts.get_mut(attempt_id) else {
             return;
         };
-        let ended = AttemptSummary::of(attempt, now);
-        tracing::debug!(machine = %machine_id, %task, ?outcome, was_stopped = ended.was_stopped, "attempt ended");
+        let summary = AttemptSummary::of(attempt, now);
+        tracing::debug!(machine = %machine_id, %task, ?outcome, was_stopped = summary.was_stopped, "attempt ended");
         let Some(job) = self.jobs.get(&task.job) else {
             attempt.clearable = true;
             return;
@@ -39,7 +39,7 @@
         // The worker must keep a completion until a snapshot records it, because the next
         // leader may need it. Any other outcome matters only to this leader.
         attempt.clearable = outcome != AttemptOutcome::Done || job.final_stage.is_some();
-        self.apply_outcome(machine_id, task, outcome, &ended, now);
+        self.apply_outcome(machine_id, task, outcome, &summary, now);
         self.release_task(machine_id, task);
         self.finish_if_done(&task.job.clone());
     }
@@ -50,20 +50,20 @@
         machine_id: &MachineId,
         task: &TaskId,
         outcome: AttemptOutcome,
-        ended: &AttemptSummary,
+        summary: &AttemptSummary,
         now: Instant,
     ) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         match outcome {
-            AttemptOutcome::Done => self.task_done(task, ended, now),
-            AttemptOutcome::Error if !ended.was_stopped && job.final_stage.is_none() => {
+            AttemptOutcome::Done => self.task_done(task, summary, now),
+            AttemptOutcome::Error if !summary.was_stopped && job.final_stage.is_none() => {
                 let failure = FailedAttempt {
                     job: &task.job,
                     machine: machine_id,
-                    began: ended.created_at,
-                    run_time: ended.ran.unwrap_or_default(),
+                    began: summary.created_at,
+                    run_time: summary.ran.unwrap_or_default(),
                 };
                 self.attempt_failed(&failure, now);
             }
@@ -79,7 +79,7 @@
     }
 
     /// Records that a task has completed.
-    fn task_done(&mut self, task: &TaskId, ended: &AttemptSummary, now: Instant) {
+    fn task_done(&mut self, task: &TaskId, summary: &AttemptSummary, now: Instant) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -90,7 +90,7 @@
             self.gang_task_done(&task.job);
         } else {
             job.complete(task.index);
-            if let Some(ran) = ended.ran.filter(|_| ended.is_comparable) {
+            if let Some(ran) = summary.ran.filter(|_| summary.is_comparable) {
                 job.run_times.add(ran);
             }
         }
--- a/src/coordination/shard/reconciler/preemption_notice.rs
+++ b/src/coordination/shard/reconciler/preemption_notice.rs
@@ -1,7 +1,8 @@
 //! Handling of the cloud's notices that it will preempt a spot instance.
 //!
-//! Heartbeats carry the notice; the attempts on the machine are stopped in time for them to save
-//! their progress.
+//! Heartbeats carry the notice. Services and gangs are stopped at once. A batch task with
+//! checkpoints is stopped just in time to save its progress; one without is stopped at once if it
+//! is not expected to complete in time.
 
 use std::time::{Duration, Instant};
 
@@ -28,11 +29,11 @@
     /// other attempts are stopped in time.
     pub(super) fn apply_preemption_notice(
         &mut self,
-        id: &MachineId,
+        machine_id: &MachineId,
         preemption_notice_s: Option<f64>,
         now: Instant,
     ) {
-        let Some(machine) = self.machines.get_mut(id) else {
+        let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
         let Some(left) = preemption_notice_s.filter(|s| s.is_finite()) else {
@@ -40,7 +41,7 @@
         };
         let left = Duration::from_secs_f64(left.clamp(0.0, MAX_NOTICE_S));
         if machine.preemption_notice.is_none() {
-            tracing::info!(machine = %id, left_s = left.as_secs_f64(), "spot preemption notice received");
+            tracing::info!(machine = %machine_id, left_s = left.as_secs_f64(), "spot preemption notice received");
         }
         machine.preemption_notice = Some(now + left);
         for attempt in machine.attempts.values_mut() {
