--- a/src/coordination/shard/autoscaler/drain.rs
+++ b/src/coordination/shard/autoscaler/drain.rs
@@ -157,7 +157,7 @@
         let machine_type = self.machine_types.get(&*machine.machine_type)?;
         let free = self.free_beside_services(machine)?;
         let service_core_share = 1.0 - free.cores / machine_type.cores.max(1e-9);
-        let is_settled = machine.open(now, self.policy)
+        let is_settled = machine.is_schedulable(now, self.policy)
             && now.saturating_duration_since(machine.rented) >= MIN_DRAIN_AGE;
         let is_eligible = is_settled
             && !machine.spot
--- a/src/coordination/shard/machines/mod.rs
+++ b/src/coordination/shard/machines/mod.rs
@@ -236,7 +236,7 @@
     }
 
     /// Whether new tasks may be started on the machine.
-    pub fn open(&self, now: Instant, policy: &Policy) -> bool {
+    pub fn is_schedulable(&self, now: Instant, policy: &Policy) -> bool {
         self.token_acknowledged
             && self.is_admitted()
             && self.epochs.is_live()
--- a/src/coordination/shard/scheduler/candidates.rs
+++ b/src/coordination/shard/scheduler/candidates.rs
@@ -175,7 +175,7 @@
         let reserved = self.autoscaler_view().reserved_for_moves();
         self.machines
             .values()
-            .filter(|machine| machine.open(now, &self.policy))
+            .filter(|machine| machine.is_schedulable(now, &self.policy))
             .filter_map(|machine| {
                 let machine_type = self.types.get(&*machine.machine_type)?;
                 Some(Candidate {
--- a/src/coordination/shard/summary.rs
+++ b/src/coordination/shard/summary.rs
@@ -68,7 +68,7 @@
                 m if m.is_deleting() => "deleting",
                 m if m.draining => "draining",
                 m if m.last_contact.is_none() => "no contact yet",
-                m if m.open(now, &self.policy) => "schedulable",
+                m if m.is_schedulable(now, &self.policy) => "schedulable",
                 _ => "not schedulable",
             };
             text.push_str(&format!(
--- a/src/coordination/shard/tests/combined_faults.rs
+++ b/src/coordination/shard/tests/combined_faults.rs
@@ -84,15 +84,15 @@
         answers(&mut script);
     }
     let policy = script.shard.policy.clone();
-    assert!(!script.machine("vm-1").open(script.now, &policy));
+    assert!(!script.machine("vm-1").is_schedulable(script.now, &policy));
     assert!(
         !script.machine("vm-1").is_deleting(),
         "its heartbeats may arrive again"
     );
-    assert!(script.machine("vm-2").open(script.now, &policy));
+    assert!(script.machine("vm-2").is_schedulable(script.now, &policy));
     // With a heartbeat it is open again.
     script.heartbeat("vm-1", Vec::new());
-    assert!(script.machine("vm-1").open(script.now, &policy));
+    assert!(script.machine("vm-1").is_schedulable(script.now, &policy));
     let start = script.now;
     while script.now - start <= lease + second(1) {
         answers(&mut script);
--- a/src/coordination/shard/tests/delegations.rs
+++ b/src/coordination/shard/tests/delegations.rs
@@ -82,7 +82,7 @@
     assert_eq!(launches.len(), 1, "the task that vm-1 doesn't hold");
     assert_eq!(&*launches[0].machine, "vm-2");
     let policy = script.shard.policy.clone();
-    assert!(!script.machine("vm-1").open(script.now, &policy));
+    assert!(!script.machine("vm-1").is_schedulable(script.now, &policy));
 }
 
 /// Found in a replay of `inc-92c0`: a service whose user had cancelled it ran on for as long as
--- a/src/coordination/shard/tests/failing_jobs.rs
+++ b/src/coordination/shard/tests/failing_jobs.rs
@@ -149,7 +149,7 @@
     }
     let machine = script.machine("vm-1");
     assert!(!machine.health.is_cordoned(), "the jobs may be faulty");
-    assert!(!machine.open(script.now, &script.shard.policy));
+    assert!(!machine.is_schedulable(script.now, &script.shard.policy));
     for id in &MACHINES[1..] {
         script.all_ended(id, AttemptOutcome::Done);
     }
