--- a/src/coordination/shard/autoscaler/capacity.rs
+++ b/src/coordination/shard/autoscaler/capacity.rs
@@ -266,7 +266,7 @@
         Readiness::Draining
     } else if machine.is_booting() {
         Readiness::Booting
-    } else if machine.load.idle() {
+    } else if machine.load.is_idle() {
         Readiness::Idle
     } else {
         Readiness::Busy
--- a/src/coordination/shard/autoscaler/drain.rs
+++ b/src/coordination/shard/autoscaler/drain.rs
@@ -161,7 +161,7 @@
             && now.saturating_duration_since(machine.rented) >= MIN_DRAIN_AGE;
         let is_eligible = is_settled
             && !machine.spot
-            && !machine.load.idle()
+            && !machine.load.is_idle()
             && service_core_share <= MAX_SERVICE_CORE_SHARE;
         is_eligible.then(|| DrainCandidate {
             machine,
--- a/src/coordination/shard/autoscaler/scale_in.rs
+++ b/src/coordination/shard/autoscaler/scale_in.rs
@@ -209,7 +209,7 @@
         }
         // An outcome that is not recorded yet would be lost with the machine.
         let has_unrecorded_outcome = machine.attempts.values().any(|a| !a.clearable);
-        if !machine.load.idle() || has_unrecorded_outcome {
+        if !machine.load.is_idle() || has_unrecorded_outcome {
             return None;
         }
         if machine.health.is_cordoned() || machine.draining || machine.preemption_notice.is_some() {
--- a/src/coordination/shard/autoscaler/service_moves.rs
+++ b/src/coordination/shard/autoscaler/service_moves.rs
@@ -98,7 +98,7 @@
     fn count_machines_with_stopping_services(&self) -> usize {
         self.machines
             .values()
-            .filter(|machine| machine.load.stopping)
+            .filter(|machine| machine.load.has_stopping_attempt)
             .filter(|machine| live_services(machine).any(|s| s.attempt.stop().is_some()))
             .count()
     }
@@ -171,7 +171,7 @@
     /// Resources of a machine that its services do not use, on the assumption that its batch tasks
     /// end; None if its type or any task on it is unknown.
     pub(super) fn free_beside_services(&self, machine: &Machine) -> Option<Resources> {
-        if machine.load.unknown > 0 {
+        if machine.load.unknown_attempts > 0 {
             return None;
         }
         let mut free = Resources::of_machine_type(self.machine_types.get(&*machine.machine_type)?);
--- a/src/coordination/shard/dispatch/lease_expiry.rs
+++ b/src/coordination/shard/dispatch/lease_expiry.rs
@@ -46,7 +46,7 @@
     fn machines_with_expired_lease(&self, known_at: Instant) -> Vec<MachineId> {
         self.machines.ids(|machine| {
             known_at > machine.lease.expires_at()
-                && (!machine.load.idle() || self.unreconciled.contains(&machine.id))
+                && (!machine.load.is_idle() || self.unreconciled.contains(&machine.id))
         })
     }
 }
--- a/src/coordination/shard/machines/mod.rs
+++ b/src/coordination/shard/machines/mod.rs
@@ -249,7 +249,7 @@
             && !self.vanished
             && self.since_last_contact(now) < policy.suspect_after
             && self.since_own_heartbeat(now) < policy.heartbeat_overdue()
-            && self.load.unknown == 0
+            && self.load.unknown_attempts == 0
     }
 
     /// All attempts of one job on the machine.
@@ -267,7 +267,7 @@
     /// Resources on the machine, which is of the type `machine_type`, that no attempt may use;
     /// zero if the resource use of an attempt is unknown.
     pub fn free(&self, machine_type: &MachineType) -> Resources {
-        if self.load.unknown > 0 {
+        if self.load.unknown_attempts > 0 {
             return Resources::default();
         }
         Resources::of_machine_type(machine_type).minus(&self.load.used)
--- a/src/coordination/shard/machines/set.rs
+++ b/src/coordination/shard/machines/set.rs
@@ -19,9 +19,9 @@
     /// The resources that these tasks use together.
     pub used: Resources,
     /// Number of attempts whose job description is not known: each may use the whole machine.
-    pub unknown: u32,
+    pub unknown_attempts: u32,
     /// Whether a stop was requested for an attempt that has not ended.
-    pub stopping: bool,
+    pub has_stopping_attempt: bool,
     /// Whether a command for an attempt has to be sent.
     pub has_pending_commands: bool,
     /// Whether an attempt can be removed because its launch was never sent and a stop was
@@ -39,9 +39,9 @@
             if attempt.ended() {
                 continue;
             }
-            load.stopping |= attempt.stop().is_some();
+            load.has_stopping_attempt |= attempt.stop().is_some();
             let Some(spec) = &attempt.spec else {
-                load.unknown += 1;
+                load.unknown_attempts += 1;
                 continue;
             };
             load.used.add_task(spec);
@@ -60,8 +60,8 @@
     }
 
     /// Whether no task may run on the machine.
-    pub fn idle(&self) -> bool {
-        self.tasks.is_empty() && self.unknown == 0
+    pub fn is_idle(&self) -> bool {
+        self.tasks.is_empty() && self.unknown_attempts == 0
     }
 
     /// The services that may have tasks on the machine, each with the number of these tasks.
--- a/src/coordination/shard/scheduler/preemption/mod.rs
+++ b/src/coordination/shard/scheduler/preemption/mod.rs
@@ -136,7 +136,7 @@
         let mut available: Vec<Resources> = pass.candidates().iter().map(|c| c.free).collect();
         for (candidate, available) in pass.candidates().iter().zip(&mut available) {
             let machine = self.machines.get(&candidate.id);
-            let Some(machine) = machine.filter(|machine| machine.load.stopping) else {
+            let Some(machine) = machine.filter(|machine| machine.load.has_stopping_attempt) else {
                 continue;
             };
             let attempts = machine.attempts.values();
--- a/src/coordination/shard/scheduler/preemption/planner.rs
+++ b/src/coordination/shard/scheduler/preemption/planner.rs
@@ -158,7 +158,7 @@
     fn any_candidate_stopping(&self) -> bool {
         self.pass.candidates().iter().any(|candidate| {
             let machine = self.view.machines.get(&candidate.id);
-            machine.is_some_and(|machine| machine.load.stopping)
+            machine.is_some_and(|machine| machine.load.has_stopping_attempt)
         })
     }
 
--- a/src/coordination/shard/scheduler/quota.rs
+++ b/src/coordination/shard/scheduler/quota.rs
@@ -115,7 +115,7 @@
             let unknown = if unreconciled {
                 1
             } else {
-                machine.load.unknown
+                machine.load.unknown_attempts
             };
             if unknown > 0
                 && let Some(machine_type) = self.machine_types.get(&*machine.machine_type)
--- a/src/coordination/shard/tests/preemption.rs
+++ b/src/coordination/shard/tests/preemption.rs
@@ -79,5 +79,5 @@
     script.advance(Duration::from_secs(1));
     script.submit("run-3", service(1));
     assert_eq!(stops(&run_commands(&mut script, "vm-1")), 1);
-    assert!(script.machine("vm-2").load.idle());
+    assert!(script.machine("vm-2").load.is_idle());
 }
--- a/src/coordination/shard/tests/zones.rs
+++ b/src/coordination/shard/tests/zones.rs
@@ -58,7 +58,7 @@
     );
     let elsewhere = rentals.iter().find(|rental| rental.zone != "north");
     assert_eq!(elsewhere, None);
-    assert!(script.machine("vm-2").load.idle());
+    assert!(script.machine("vm-2").load.is_idle());
 }
 
 /// Before the job has started, all of its capacity is planned in one zone.
