--- a/src/coordination/shard/autoscaler/capacity.rs
+++ b/src/coordination/shard/autoscaler/capacity.rs
@@ -223,7 +223,7 @@
         machine.is_deleting()
             || machine.health.is_cordoned()
             || machine.preemption_notice.is_some()
-            || machine.vanished
+            || machine.is_missing_from_list
             || (machine.last_contact.is_none() && self.delegations.is_partitioned(&machine.zone))
     }
 
--- a/src/coordination/shard/autoscaler/machine_loss.rs
+++ b/src/coordination/shard/autoscaler/machine_loss.rs
@@ -143,7 +143,7 @@
     ) -> Option<DeletionReason> {
         let since_last_contact = self.since_last_contact_under_leader(machine, now);
         let is_reclaimed =
-            machine.vanished || machine.preemption_notice.is_some_and(|at| at <= now);
+            machine.is_missing_from_list || machine.preemption_notice.is_some_and(|at| at <= now);
         let reclaimed_timeout = self
             .policy
             .heartbeat_interval
--- a/src/coordination/shard/autoscaler/scale_out.rs
+++ b/src/coordination/shard/autoscaler/scale_out.rs
@@ -126,7 +126,7 @@
         for entry in list {
             self.apply_list_entry(entry, now);
         }
-        self.update_vanished(list);
+        self.update_missing_from_list(list);
         self.delete_failed_machines(list, now);
         self.needs_pass = true;
     }
@@ -142,11 +142,11 @@
             entry.spot,
             rented,
         );
-        let needs_update = |m: &Machine| !m.listed || m.addr.is_empty() || m.rented > rented;
+        let needs_update = |m: &Machine| !m.was_listed || m.addr.is_empty() || m.rented > rented;
         if self.machines.get(&entry.id).is_some_and(needs_update)
             && let Some(machine) = self.machines.get_mut(&entry.id)
         {
-            machine.listed = true;
+            machine.was_listed = true;
             machine.rented = machine.rented.min(rented);
             if machine.addr.is_empty() {
                 machine.addr.clone_from(&entry.addr);
@@ -156,12 +156,16 @@
 
     /// Marks the machines that are missing from the list. A list may be older than the one before
     /// it, so this alone proves nothing; but a machine that is also unreachable should be deleted.
-    fn update_vanished(&mut self, list: &[ListedMachine]) {
+    fn update_missing_from_list(&mut self, list: &[ListedMachine]) {
         let present: HashSet<&str> = list.iter().map(|entry| entry.id.as_str()).collect();
-        let is_missing = |m: &Machine| !present.contains(&*m.id) && (m.listed || !m.is_booting());
-        for id in self.machines.ids(|m| m.vanished != is_missing(m)) {
+        let is_missing =
+            |m: &Machine| !present.contains(&*m.id) && (m.was_listed || !m.is_booting());
+        for id in self
+            .machines
+            .ids(|m| m.is_missing_from_list != is_missing(m))
+        {
             if let Some(machine) = self.machines.get_mut(&id) {
-                machine.vanished = !present.contains(&*id);
+                machine.is_missing_from_list = !present.contains(&*id);
             }
         }
     }
--- a/src/coordination/shard/machines/mod.rs
+++ b/src/coordination/shard/machines/mod.rs
@@ -79,9 +79,9 @@
     /// Progress of the machine's deletion.
     deletion: Deletion,
     /// Whether the cloud's machine list has contained the machine.
-    pub listed: bool,
+    pub was_listed: bool,
     /// Whether the cloud's machine list lacks the machine although it should contain it.
-    pub vanished: bool,
+    pub is_missing_from_list: bool,
     /// State of the command delivery to the worker.
     pub commands: CommandChannel,
 }
@@ -110,8 +110,8 @@
             health: MachineHealth::default(),
             draining: false,
             deletion: Deletion::default(),
-            listed: false,
-            vanished: false,
+            was_listed: false,
+            is_missing_from_list: false,
             commands: CommandChannel::default(),
         }
     }
@@ -246,7 +246,7 @@
             && !self.health.is_quarantined(now)
             && !self.draining
             && self.preemption_notice.is_none()
-            && !self.vanished
+            && !self.is_missing_from_list
             && self.since_last_contact(now) < policy.suspect_after
             && self.since_own_heartbeat(now) < policy.heartbeat_overdue()
             && self.load.unknown_attempts == 0
--- a/src/coordination/shard/reconciler/mod.rs
+++ b/src/coordination/shard/reconciler/mod.rs
@@ -162,7 +162,7 @@
             return false;
         }
         machine.last_contact = Some(now);
-        machine.vanished = false;
+        machine.is_missing_from_list = false;
         machine.commands.note_heartbeat();
         let change = machine.epochs.advance(number);
         if change != EpochChange::Unchanged {
