--- a/src/coordination/shard/autoscaler/service_moves.rs
+++ b/src/coordination/shard/autoscaler/service_moves.rs
@@ -60,7 +60,7 @@
             .get_mut(&service.machine)
             .and_then(|machine| machine.attempts.get_mut(&service.attempt))
         {
-            attempt.want_stop(Duration::ZERO);
+            attempt.request_stop(Duration::ZERO);
             self.needs_pass = true;
         }
     }
@@ -99,7 +99,7 @@
         self.machines
             .values()
             .filter(|machine| machine.load.has_stopping_attempt)
-            .filter(|machine| live_services(machine).any(|s| s.attempt.stop().is_some()))
+            .filter(|machine| live_services(machine).any(|s| s.attempt.stop_grace().is_some()))
             .count()
     }
 
@@ -123,7 +123,7 @@
     pub(super) fn next_move_to_main_zone(&self, capacities: &[Capacity]) -> Option<ServiceMove> {
         let main_zone = self.main_zone?;
         let starts_or_stops =
-            |s: LiveService| s.attempt.stop().is_some() || s.attempt.phase != Phase::Running;
+            |s: LiveService| s.attempt.stop_grace().is_some() || s.attempt.phase != Phase::Running;
         if self
             .machines
             .values()
--- a/src/coordination/shard/dispatch/repeated.rs
+++ b/src/coordination/shard/dispatch/repeated.rs
@@ -28,7 +28,7 @@
         return;
     }
     commands.push(launch_command(attempt_id));
-    if let Some(grace) = attempt.stop() {
+    if let Some(grace) = attempt.stop_grace() {
         commands.push(stop_command(&attempt_id.task, attempt_id.number, grace));
     }
 }
@@ -36,7 +36,7 @@
 /// Appends the stop of an attempt, if one was requested, unless the attempt is already saving
 /// its progress within its grace period.
 fn repeat_stop(attempt_id: &AttemptId, attempt: &Attempt, commands: &mut Vec<Command>) {
-    if let Some(grace) = attempt.stop()
+    if let Some(grace) = attempt.stop_grace()
         && !attempt.ended()
         && (grace.is_zero() || attempt.phase != Phase::Saving)
     {
--- a/src/coordination/shard/health/slowness.rs
+++ b/src/coordination/shard/health/slowness.rs
@@ -88,7 +88,7 @@
     /// cordoned as a result.
     fn note_overdue(&mut self, overdue: &OverdueAttempt) -> Option<MachineId> {
         let machine = self.machines.get_mut(&overdue.machine)?;
-        machine.attempts.get_mut(&overdue.attempt)?.overdue = true;
+        machine.attempts.get_mut(&overdue.attempt)?.is_overdue = true;
         let reason = machine.health.note_overdue_attempt()?;
         log_cordon(&machine.id, reason);
         Some(machine.id.clone())
@@ -103,7 +103,7 @@
             let Some(spec) = attempt.spec.clone() else {
                 continue;
             };
-            attempt.want_stop(match spec.kind {
+            attempt.request_stop(match spec.kind {
                 JobKind::Batch | JobKind::Gang => spec.save_time(),
                 JobKind::Service => Duration::ZERO,
             });
@@ -133,5 +133,8 @@
     let is_late = attempt
         .running_since
         .is_some_and(|since| now.saturating_duration_since(since) > overdue_after);
-    is_late && attempt.phase == Phase::Running && attempt.stop().is_none() && !attempt.overdue
+    is_late
+        && attempt.phase == Phase::Running
+        && attempt.stop_grace().is_none()
+        && !attempt.is_overdue
 }
--- a/src/coordination/shard/jobs/lifecycle.rs
+++ b/src/coordination/shard/jobs/lifecycle.rs
@@ -89,7 +89,7 @@
                 if attempt.ended() {
                     attempt.clearable = true;
                 } else {
-                    attempt.want_stop(Duration::ZERO);
+                    attempt.request_stop(Duration::ZERO);
                 }
             }
         }
--- a/src/coordination/shard/machines/attempt.rs
+++ b/src/coordination/shard/machines/attempt.rs
@@ -71,7 +71,7 @@
     /// heartbeat first listed it.
     pub created_at: Instant,
     /// When the attempt entered its present phase.
-    pub since: Instant,
+    pub phase_since: Instant,
     /// When a heartbeat first listed the attempt as running.
     pub running_since: Option<Instant>,
     /// Whether an earlier leader launched the attempt: it may have run for longer than this
@@ -90,7 +90,7 @@
     pub clearable: bool,
     /// Whether the attempt has run far longer than other attempts of its job and was counted
     /// against its machine.
-    pub overdue: bool,
+    pub is_overdue: bool,
 }
 
 impl Attempt {
@@ -100,14 +100,14 @@
             spec,
             phase,
             created_at: now,
-            since: now,
+            phase_since: now,
             running_since: None,
             is_adopted: false,
             has_unanswered_launch: false,
             has_command_in_flight: false,
             stop: None,
             clearable: false,
-            overdue: false,
+            is_overdue: false,
         }
     }
 
@@ -127,20 +127,20 @@
     /// Changes the phase to the one that a heartbeat lists.
     pub fn enter_phase(&mut self, phase: Phase, now: Instant) {
         self.phase = phase;
-        self.since = now;
+        self.phase_since = now;
         if phase == Phase::Running {
             self.running_since.get_or_insert(now);
         }
     }
 
     /// The grace period of the requested stop; None if no stop was requested.
-    pub fn stop(&self) -> Option<Duration> {
+    pub fn stop_grace(&self) -> Option<Duration> {
         self.stop.map(|stop| stop.grace)
     }
 
     /// Requests a stop. A request with a shorter grace period replaces an earlier one with a
     /// longer period; an attempt that has ended ignores the request.
-    pub fn want_stop(&mut self, grace: Duration) {
+    pub fn request_stop(&mut self, grace: Duration) {
         if self.ended() || self.stop.is_some_and(|stop| stop.grace <= grace) {
             return;
         }
--- a/src/coordination/shard/machines/set.rs
+++ b/src/coordination/shard/machines/set.rs
@@ -39,7 +39,7 @@
             if attempt.ended() {
                 continue;
             }
-            load.has_stopping_attempt |= attempt.stop().is_some();
+            load.has_stopping_attempt |= attempt.stop_grace().is_some();
             let Some(spec) = &attempt.spec else {
                 load.unknown_attempts += 1;
                 continue;
--- a/src/coordination/shard/machines/tests.rs
+++ b/src/coordination/shard/machines/tests.rs
@@ -80,12 +80,12 @@
 fn a_shorter_grace_period_replaces_a_longer_one() {
     let now = Instant::now();
     let mut attempt = Attempt::new(None, Phase::Running, now);
-    attempt.want_stop(Duration::from_secs(30));
+    attempt.request_stop(Duration::from_secs(30));
     attempt.note_stop_executed(Duration::from_secs(30));
     assert_eq!(attempt.stop_to_send(), None, "it is executed");
-    attempt.want_stop(Duration::from_secs(60));
-    assert_eq!(attempt.stop(), Some(Duration::from_secs(30)));
-    attempt.want_stop(Duration::ZERO);
+    attempt.request_stop(Duration::from_secs(60));
+    assert_eq!(attempt.stop_grace(), Some(Duration::from_secs(30)));
+    attempt.request_stop(Duration::ZERO);
     assert_eq!(attempt.stop_to_send(), Some(Duration::ZERO));
 }
 
--- a/src/coordination/shard/reconciler/outcomes.rs
+++ b/src/coordination/shard/reconciler/outcomes.rs
@@ -114,8 +114,8 @@
     fn of(attempt: &Attempt, now: Instant) -> Self {
         let running_since = attempt.running_since;
         Self {
-            was_stopped: attempt.stop().is_some(),
-            is_comparable: !attempt.overdue && !attempt.is_adopted,
+            was_stopped: attempt.stop_grace().is_some(),
+            is_comparable: !attempt.is_overdue && !attempt.is_adopted,
             created_at: attempt.created_at,
             ran: running_since.map(|since| now.saturating_duration_since(since)),
         }
--- a/src/coordination/shard/reconciler/preemption_notice.rs
+++ b/src/coordination/shard/reconciler/preemption_notice.rs
@@ -46,7 +46,7 @@
         machine.preemption_notice = Some(now + left);
         for attempt in machine.attempts.values_mut() {
             if let Some(grace) = grace_on_notice(attempt, left, now) {
-                attempt.want_stop(grace);
+                attempt.request_stop(grace);
             }
         }
     }
@@ -59,7 +59,7 @@
     match spec.kind {
         JobKind::Service => Some(Duration::ZERO),
         // A gang is stopped at once, so that its tasks on other machines stop in time too.
-        JobKind::Gang if attempt.stop().is_some() => None,
+        JobKind::Gang if attempt.stop_grace().is_some() => None,
         JobKind::Gang => {
             let can_save = spec.checkpoint_s > 0.0 && left >= spec.save_time();
             Some(if can_save { left } else { Duration::ZERO })
--- a/src/coordination/shard/reconciler/task_list.rs
+++ b/src/coordination/shard/reconciler/task_list.rs
@@ -103,7 +103,7 @@
             Some(job) if task.index < job.spec.tasks => {
                 attempt.spec = Some(job.spec.clone());
                 if !job.needs_attempt(task.index) {
-                    attempt.want_stop(Duration::ZERO);
+                    attempt.request_stop(Duration::ZERO);
                 }
                 if is_live {
                     job.add_placement(task.index, machine_id);
@@ -112,7 +112,7 @@
             _ if is_live => {
                 // The job finished before this leader was elected. Its final record says what
                 // resources the attempt uses.
-                attempt.want_stop(Duration::ZERO);
+                attempt.request_stop(Duration::ZERO);
                 self.out.push(Action::ReadFinal {
                     job: task.job.clone(),
                 });
--- a/src/coordination/shard/scheduler/gang/placement.rs
+++ b/src/coordination/shard/scheduler/gang/placement.rs
@@ -117,7 +117,7 @@
         let stops = |machine: &Machine| {
             machine
                 .attempts_of(&job.id)
-                .any(|(_, a)| a.stop().is_some())
+                .any(|(_, a)| a.stop_grace().is_some())
         };
         let mut hosts = job.live().values().filter_map(|id| self.machines.get(id));
         missing > 0
--- a/src/coordination/shard/scheduler/gang/reconciliation.rs
+++ b/src/coordination/shard/scheduler/gang/reconciliation.rs
@@ -72,7 +72,7 @@
             let machine = self.machines.get_mut(&member.machine);
             let attempt = machine.and_then(|m| m.attempts.get_mut(&member.attempt));
             if let Some(attempt) = attempt {
-                attempt.want_stop(grace);
+                attempt.request_stop(grace);
             }
         }
     }
@@ -91,8 +91,8 @@
                 machine: machine.id.clone(),
                 attempt: id.clone(),
                 phase: attempt.phase,
-                since: attempt.since,
-                stop: attempt.stop(),
+                since: attempt.phase_since,
+                stop: attempt.stop_grace(),
             }));
         }
         members
--- a/src/coordination/shard/scheduler/preemption/mod.rs
+++ b/src/coordination/shard/scheduler/preemption/mod.rs
@@ -126,7 +126,7 @@
         let spec = attempt.spec.as_ref();
         let grace = spec.map_or(Duration::ZERO, |spec| spec.save_time());
         let saves_in_time = objective.is_none_or(|objective| grace < objective / 2);
-        attempt.want_stop(if saves_in_time { grace } else { Duration::ZERO });
+        attempt.request_stop(if saves_in_time { grace } else { Duration::ZERO });
     }
 }
 
@@ -140,7 +140,8 @@
                 continue;
             };
             let attempts = machine.attempts.values();
-            let stopping = attempts.filter(|attempt| !attempt.ended() && attempt.stop().is_some());
+            let stopping =
+                attempts.filter(|attempt| !attempt.ended() && attempt.stop_grace().is_some());
             for spec in stopping.filter_map(|attempt| attempt.spec.as_ref()) {
                 available.add_task(spec);
             }
--- a/src/coordination/shard/scheduler/preemption/victims.rs
+++ b/src/coordination/shard/scheduler/preemption/victims.rs
@@ -75,7 +75,7 @@
         let mut ranked = Vec::new();
         for (id, attempt) in &machine.attempts {
             let running =
-                !attempt.ended() && attempt.stop().is_none() && !plan.freeing.contains(id);
+                !attempt.ended() && attempt.stop_grace().is_none() && !plan.freeing.contains(id);
             let Some(spec) = attempt.spec.as_ref().filter(|_| running) else {
                 continue;
             };
@@ -111,7 +111,7 @@
             .filter(|machine| machine.load.has_lower_priority(spec.priority))
             .flat_map(|machine| lower_priority_of_team(machine, spec))
             .collect();
-        if of_team.iter().any(|of| of.attempt.stop().is_some()) {
+        if of_team.iter().any(|of| of.attempt.stop_grace().is_some()) {
             return None;
         }
         of_team
@@ -170,7 +170,7 @@
     if spec.kind == JobKind::Service {
         return SERVICE_PREEMPTION_COST;
     }
-    let in_phase = now.saturating_duration_since(attempt.since);
+    let in_phase = now.saturating_duration_since(attempt.phase_since);
     let recent_start = if in_phase < RECENT_START_COST {
         RECENT_START_COST
     } else {
--- a/src/coordination/shard/tests/gangs/attempts.rs
+++ b/src/coordination/shard/tests/gangs/attempts.rs
@@ -91,7 +91,7 @@
     script.receive(&restarted);
     assert_eq!(script.execute_launches(), [], "the other may still run");
     let stop = script.machine(&left).attempts.values().next();
-    assert_eq!(stop.and_then(|a| a.stop()), Some(Duration::ZERO));
+    assert_eq!(stop.and_then(|a| a.stop_grace()), Some(Duration::ZERO));
     script.advance(second(1));
     script.execute_stops();
     script.all_ended(&left, AttemptOutcome::GangPeerLost);
--- a/src/coordination/shard/tests/gangs/failover.rs
+++ b/src/coordination/shard/tests/gangs/failover.rs
@@ -160,5 +160,5 @@
 /// The time to save with which the first attempt on a machine is stopped, if it is.
 fn stop_of_first(script: &ScriptedShard, id: &str) -> Option<Duration> {
     let first = script.machine(id).attempts.values().next();
-    first.and_then(|attempt| attempt.stop())
+    first.and_then(|attempt| attempt.stop_grace())
 }
--- a/src/coordination/shard/tests/gangs/faults.rs
+++ b/src/coordination/shard/tests/gangs/faults.rs
@@ -175,7 +175,7 @@
     script.receive(&heartbeat);
     let stop = script.machine(&hangs).attempts.values().next();
     assert_eq!(
-        stop.and_then(|attempt| attempt.stop()),
+        stop.and_then(|attempt| attempt.stop_grace()),
         Some(Duration::ZERO)
     );
     assert_eq!(script.shard.jobs()["run-1"].live().len(), 1);
--- a/src/coordination/shard/tests/gangs/placement.rs
+++ b/src/coordination/shard/tests/gangs/placement.rs
@@ -158,7 +158,7 @@
     }
     let held = |id: &&&String| {
         let mut attempts = script.machine(id).attempts.values();
-        attempts.any(|attempt| attempt.stop().is_none())
+        attempts.any(|attempt| attempt.stop_grace().is_none())
     };
     assert_eq!(
         remaining.iter().filter(held).count(),
