--- a/src/coordination/shard/autoscaler/machine_loss.rs
+++ b/src/coordination/shard/autoscaler/machine_loss.rs
@@ -41,9 +41,9 @@
     /// New machines take much longer than usual to boot, so unreachable machines may return before
     /// replacements are ready.
     has_slow_boots: bool,
-    /// More than one machine and more than a third of all answer probes but send no heartbeats of
-    /// their own.
-    has_many_without_own_heartbeats: bool,
+    /// More than one machine and more than a third of all answer probes but send no periodic
+    /// heartbeats.
+    has_many_without_periodic_heartbeats: bool,
     /// Only few machines are unreconciled.
     has_few_unreconciled: bool,
 }
@@ -99,11 +99,11 @@
         self.since_last_contact_under_leader(machine, now) >= self.policy.suspect_after
     }
 
-    /// Whether a machine has been in contact, but its worker's own heartbeats have stopped
+    /// Whether a machine has been in contact, but its worker's periodic heartbeats have stopped
     /// arriving.
-    fn is_missing_own_heartbeats(&self, machine: &Machine, now: Instant) -> bool {
+    fn is_missing_periodic_heartbeats(&self, machine: &Machine, now: Instant) -> bool {
         machine.last_contact.is_some()
-            && machine.since_own_heartbeat(now) >= self.policy.heartbeat_overdue()
+            && machine.since_periodic_heartbeat(now) >= self.policy.heartbeat_overdue()
     }
 
     /// The zones that are likely partitioned, because almost all of their machines are unreachable.
@@ -121,12 +121,13 @@
         let total = expected.clone().count();
         let are_many = |count: usize| count > 1 && count * 3 > total;
         let unreachable = expected.clone().filter(|m| self.is_unreachable(m, now));
-        let without_own_heartbeats = expected.filter(|m| self.is_missing_own_heartbeats(m, now));
+        let without_periodic_heartbeats =
+            expected.filter(|m| self.is_missing_periodic_heartbeats(m, now));
         ReachabilityOverview {
             has_many_unreachable: are_many(unreachable.count()),
             unreachable_zones: self.unreachable_zones(now),
             has_slow_boots: self.autoscaler.boot_times.is_any_pool_slow(now),
-            has_many_without_own_heartbeats: are_many(without_own_heartbeats.count()),
+            has_many_without_periodic_heartbeats: are_many(without_periodic_heartbeats.count()),
             // The last few unreconciled machines hold up all waiting tasks. If most machines are
             // reconciled, the fault is not in this controller.
             has_few_unreconciled: self.unreconciled.len() * MACHINES_PER_UNRECONCILED
@@ -163,7 +164,7 @@
         overview: &ReachabilityOverview,
         now: Instant,
     ) -> Option<DeletionReason> {
-        let is_unanswered = machine.commands.unanswered() >= MIN_UNANSWERED_PROBES;
+        let is_unanswered = machine.commands.unanswered_batches() >= MIN_UNANSWERED_PROBES;
         if !is_unanswered || self.should_defer_replacement(machine, now) {
             return None;
         }
@@ -195,9 +196,10 @@
         if since_last_contact >= self.max_unreachable_time(machine, many_unreachable) {
             return Some(DeletionReason::LeaseExpired);
         }
-        let many_missing = overview.has_many_without_own_heartbeats || is_in_unreachable_zone;
-        let is_missing = self.is_missing_own_heartbeats(machine, now)
-            && machine.since_own_heartbeat(now) >= self.max_unreachable_time(machine, many_missing);
+        let many_missing = overview.has_many_without_periodic_heartbeats || is_in_unreachable_zone;
+        let is_missing = self.is_missing_periodic_heartbeats(machine, now)
+            && machine.since_periodic_heartbeat(now)
+                >= self.max_unreachable_time(machine, many_missing);
         is_missing.then_some(DeletionReason::HeartbeatsMissing)
     }
 
--- a/src/coordination/shard/autoscaler/scale_out.rs
+++ b/src/coordination/shard/autoscaler/scale_out.rs
@@ -117,7 +117,7 @@
             return;
         }
         let mut machine = Machine::new(id.clone(), rented, rented);
-        machine.describe("", machine_type, zone, spot);
+        machine.update_description("", machine_type, zone, spot);
         self.machines.insert(machine);
     }
 
--- a/src/coordination/shard/machines/command_channel.rs
+++ b/src/coordination/shard/machines/command_channel.rs
@@ -60,7 +60,7 @@
 
     /// How many batches got no answer, or could not be sent, since the worker's last accepted
     /// heartbeat.
-    pub fn unanswered(&self) -> u32 {
+    pub fn unanswered_batches(&self) -> u32 {
         self.unanswered_batches
     }
 
--- a/src/coordination/shard/machines/mod.rs
+++ b/src/coordination/shard/machines/mod.rs
@@ -117,7 +117,7 @@
     }
 
     /// Sets the properties that a heartbeat, the machine list or the roster reports.
-    pub fn describe(&mut self, addr: &str, machine_type: &str, zone: &str, spot: bool) {
+    pub fn update_description(&mut self, addr: &str, machine_type: &str, zone: &str, spot: bool) {
         if self.addr != addr {
             addr.clone_into(&mut self.addr);
         }
@@ -231,7 +231,7 @@
     /// Time since the last periodic heartbeat of the worker. A worker without recent periodic
     /// heartbeats may still answer commands, but only the answers to periodic heartbeats renew its
     /// lease.
-    pub fn since_own_heartbeat(&self, now: Instant) -> Duration {
+    pub fn since_periodic_heartbeat(&self, now: Instant) -> Duration {
         self.lease.since_renewal(now)
     }
 
@@ -248,7 +248,7 @@
             && self.preemption_notice.is_none()
             && !self.is_missing_from_list
             && self.since_last_contact(now) < policy.suspect_after
-            && self.since_own_heartbeat(now) < policy.heartbeat_overdue()
+            && self.since_periodic_heartbeat(now) < policy.heartbeat_overdue()
             && self.load.unknown_attempts == 0
     }
 
--- a/src/coordination/shard/machines/tests.rs
+++ b/src/coordination/shard/machines/tests.rs
@@ -55,11 +55,11 @@
     let mut channel = CommandChannel::default();
     channel.note_failure(retry_at);
     assert!(channel.is_unreachable());
-    assert_eq!(channel.unanswered(), 1);
+    assert_eq!(channel.unanswered_batches(), 1);
     assert!(!channel.can_send(now));
     assert!(channel.can_send(retry_at));
     channel.note_heartbeat();
-    assert_eq!(channel.unanswered(), 0);
+    assert_eq!(channel.unanswered_batches(), 0);
     assert!(channel.is_unreachable(), "only an answer shows a path");
     channel.note_answer();
     assert!(!channel.is_unreachable());
--- a/src/coordination/shard/reconciler/mod.rs
+++ b/src/coordination/shard/reconciler/mod.rs
@@ -121,7 +121,7 @@
         if machine.last_contact.is_none() {
             machine.begin_idle(now);
         }
-        machine.describe(
+        machine.update_description(
             &heartbeat.addr,
             &heartbeat.machine_type,
             &heartbeat.zone,
--- a/src/coordination/shard/reconciler/recovery.rs
+++ b/src/coordination/shard/reconciler/recovery.rs
@@ -139,7 +139,7 @@
             self.writes
                 .load_roster_entry(page, id.clone(), record.clone());
             let mut machine = Machine::new(id.clone(), now, lease_expires_at);
-            machine.describe(
+            machine.update_description(
                 &record.addr,
                 &record.machine_type,
                 &record.zone,
