--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command-line interface: parses the arguments, loads the settings and runs the server.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -25,7 +25,7 @@
     check: bool,
 }
 
-/// Runs the program; returns only on an error or after a check.
+/// Runs the program. Returns only on an error, after `--check`, or when the server ends.
 pub fn main() -> ExitCode {
     let arguments = Arguments::parse();
     telemetry::init();
@@ -37,7 +37,7 @@
         }
     };
     if arguments.check {
-        return print_effective(&settings);
+        return print_effective_settings(&settings);
     }
     let runtime = match tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -58,8 +58,8 @@
     }
 }
 
-/// Prints the values of both files as the process would use them, defaults included.
-fn print_effective(settings: &Settings) -> ExitCode {
+/// Prints the effective values of both settings files, including defaults.
+fn print_effective_settings(settings: &Settings) -> ExitCode {
     let platform = serde_json::to_string_pretty(&settings.platform);
     let operator = serde_lexpr::to_string(&settings.operator);
     match (platform, operator) {
@@ -67,12 +67,12 @@
             println!("{platform}\n{operator}");
             ExitCode::SUCCESS
         }
-        (Err(error), _) => fail_to_print(&error),
-        (_, Err(error)) => fail_to_print(&error),
+        (Err(error), _) => report_print_error(&error),
+        (_, Err(error)) => report_print_error(&error),
     }
 }
 
-fn fail_to_print(error: &dyn std::error::Error) -> ExitCode {
+fn report_print_error(error: &dyn std::error::Error) -> ExitCode {
     eprintln!("valegap: can't print the settings: {error}");
     ExitCode::FAILURE
 }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,15 +1,15 @@
-//! The clock that every decision takes its time from: the system's, or one that tests advance.
+//! The clock that all decisions use: the operating system's, or a fake one that tests advance.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// A source of time.
 pub trait Clock: Send + Sync {
-    /// The monotonic clock's time, for every interval and deadline.
+    /// The current time of the monotonic clock, used for all intervals and deadlines.
     fn now(&self) -> Instant;
 
-    /// The time of day, in milliseconds since 1970, for what is compared with other machines or
-    /// kept across restarts. It may jump.
+    /// The wall-clock time in milliseconds since 1970, used only for times that are compared with
+    /// those of other machines or kept across restarts. It may jump in either direction.
     fn wall_ms(&self) -> u64;
 }
 
@@ -25,26 +25,26 @@
     fn wall_ms(&self) -> u64 {
         SystemTime::now()
             .duration_since(UNIX_EPOCH)
-            .map_or(0, |passed| passed.as_millis() as u64)
+            .map_or(0, |since_epoch| since_epoch.as_millis() as u64)
     }
 }
 
-/// A clock that moves only by [`FakeClock::advance`].
+/// A clock for tests, which moves only when [`FakeClock::advance`] is called.
 #[derive(Debug)]
 pub struct FakeClock(Mutex<Instant>);
 
 impl FakeClock {
-    /// A clock that shows an arbitrary time.
+    /// Creates a clock that starts at an arbitrary time.
     pub fn new() -> Self {
         Self(Mutex::new(Instant::now()))
     }
 
     /// Moves the clock forward.
     pub fn advance(&self, by: Duration) {
-        *self.time() += by;
+        *self.lock() += by;
     }
 
-    fn time(&self) -> MutexGuard<'_, Instant> {
+    fn lock(&self) -> MutexGuard<'_, Instant> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -57,7 +57,7 @@
 
 impl Clock for FakeClock {
     fn now(&self) -> Instant {
-        *self.time()
+        *self.lock()
     }
 
     fn wall_ms(&self) -> u64 {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,15 +1,16 @@
-//! valegap: a cluster scheduler in which each shard of machines is run by the
-//! one controller that holds its lease.
+//! valegap: a cluster scheduler in which each shard of machines is managed by the one controller
+//! that holds the shard's lease.
 //!
-//! Layers, lowest first; each imports only itself and those below it (`tests/layers.rs`):
+//! The layers, lowest first. Each may import only itself and the layers below it, which
+//! `tests/layers.rs` checks:
 //!
 //! 1. [`transport`]: listeners, connection limits and the HTTP client;
 //! 2. [`protocol`]: the messages of the published interfaces;
 //! 3. [`settings`], [`clock`] and [`telemetry`];
-//! 4. [`storage`]: the records in the key-value store, and the store's client;
-//! 5. [`coordination`]: leadership of the shard and every decision on it;
+//! 4. [`storage`]: the records in the key-value store, and the client of the store;
+//! 5. [`coordination`]: leadership of the shard and all scheduling decisions;
 //! 6. [`api`]: the HTTP interfaces of users, workers, peers and operators;
-//! 7. [`server`] and [`cli`]: the process.
+//! 7. [`server`] and [`cli`]: the controller's process.
 
 pub mod api;
 pub mod cli;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The controller's process; see [`valegap::cli`].
+//! The entry point of the controller's process. [`valegap::cli`] implements it.
 
 use std::process::ExitCode;
 
--- a/src/server.rs
+++ b/src/server.rs
@@ -1,5 +1,5 @@
-//! The controller's process: binds its addresses, starts its background loops and serves its
-//! interfaces. Nothing but the command line imports it.
+//! The controller's server: binds the listening addresses, spawns the background loops and serves
+//! the HTTP interfaces. Only [`crate::cli`] uses this module.
 
 use std::future::IntoFuture;
 use std::io;
@@ -20,26 +20,28 @@
 use crate::settings::Settings;
 use crate::transport::connection_limit::{ConnectionLimit, LimitedListener};
 
-/// Heartbeat intervals without a byte received after which a connection is closed.
+/// A connection on which no byte is received for this many heartbeat intervals is closed.
 const IDLE_HEARTBEAT_INTERVALS: u32 = 5;
-/// Percentage of the sockets for connections of users, workers and the load balancer. What the
-/// two servers leave is for connections that this controller opens itself.
+/// Percentage of the process's sockets that connections from users, workers and the load balancer
+/// may use. The sockets that neither server may use are left for connections that this controller
+/// opens itself.
 const PUBLIC_CONNECTION_PERCENT: usize = 80;
-/// Percentage of the sockets for connections of the other controllers and operators.
+/// Percentage of the process's sockets that connections from the other controllers and operators
+/// may use.
 const INTERNAL_CONNECTION_PERCENT: usize = 5;
 
-/// Why the process ends.
+/// Why the server could not start or stopped.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// The controller can't listen on one of its addresses.
+    /// One of the listening addresses can't be bound.
     #[error("can't listen on {address}: {source}")]
     Listen {
-        /// The address, from the platform's settings.
+        /// The address as given in the platform's settings.
         address: SocketAddr,
-        /// Why it can't be bound.
+        /// Why the address can't be bound.
         source: io::Error,
     },
-    /// One of the two servers stopped.
+    /// One of the two HTTP servers stopped.
     #[error("a server ended: {0}")]
     Server(#[source] io::Error),
 }
@@ -66,8 +68,8 @@
         .map_err(|source| RunError::Listen { address, source })
 }
 
-/// Spawns the loops that last as long as the process; none of them returns, and a
-/// controller is always stopped by killing it.
+/// Spawns the loops that run for the lifetime of the process. None of them returns, since a
+/// controller is always stopped by killing its process.
 fn spawn_background_loops(node: &Arc<Node>) {
     tokio::spawn(polling::refresh_machine_types(node.clone()));
     tokio::spawn(peering::run(node.clone()));
@@ -80,15 +82,19 @@
     public_listener: TcpListener,
     internal_listener: TcpListener,
 ) -> Result<(), RunError> {
-    let idle = idle_timeout(&node.settings);
-    let public_connections = connection_limit(&node.settings, PUBLIC_CONNECTION_PERCENT);
-    let internal_connections = connection_limit(&node.settings, INTERNAL_CONNECTION_PERCENT);
+    let connection_idle_timeout = idle_timeout(&node.settings);
+    let public_limit = connection_limit(&node.settings, PUBLIC_CONNECTION_PERCENT);
+    let internal_limit = connection_limit(&node.settings, INTERNAL_CONNECTION_PERCENT);
     let public = axum::serve(
-        LimitedListener::new(public_listener, public_connections.clone(), idle),
-        api::public_router(node.clone(), public_connections),
+        LimitedListener::new(
+            public_listener,
+            public_limit.clone(),
+            connection_idle_timeout,
+        ),
+        api::public_router(node.clone(), public_limit),
     );
     let internal = axum::serve(
-        LimitedListener::new(internal_listener, internal_connections, idle),
+        LimitedListener::new(internal_listener, internal_limit, connection_idle_timeout),
         api::internal_router(node.clone()),
     );
     tokio::try_join!(public.into_future(), internal.into_future())
@@ -96,11 +102,12 @@
         .map_err(RunError::Server)
 }
 
+/// Returns the time without received bytes after which a connection is closed.
 fn idle_timeout(settings: &Settings) -> Duration {
     settings.platform.settings.workers.heartbeat_interval() * IDLE_HEARTBEAT_INTERVALS
 }
 
-/// A percentage of the process's sockets as a limit on connections.
+/// Returns a connection limit of this percentage of the process's sockets.
 fn connection_limit(settings: &Settings, percent: usize) -> ConnectionLimit {
     let sockets = settings.platform.settings.resources.max_connections;
     ConnectionLimit::new(sockets * percent / 100)
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,6 +1,7 @@
-//! The settings that the process starts with: the platform's file and the operators' own.
+//! The settings of the process: the platform's file and the operators' file.
 //!
-//! Both are read once, checked, and passed down; a running process never reads them again.
+//! Both files are read and validated once, when the process starts, and the values are passed to
+//! the components. A running process never reads the files again.
 
 pub mod operator;
 pub mod platform;
@@ -13,51 +14,52 @@
 pub use operator::Operator;
 pub use platform::Platform;
 
-/// Why the process can't start with the settings given.
+/// Why the settings can't be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// A file can't be read.
+    /// A settings file can't be read.
     #[error("{file}: can't be read: {source}")]
     Unreadable {
         /// The file.
         file: String,
-        /// What the operating system says.
+        /// The error of the operating system.
         #[source]
         source: std::io::Error,
     },
-    /// The platform's file is not the JSON that is expected.
+    /// The platform's file is not valid JSON or doesn't have the expected structure.
     #[error("{file}: {source}")]
     Json {
         /// The file.
         file: String,
-        /// What is wrong, and where.
+        /// What is wrong, with the line and column.
         #[source]
         source: serde_json::Error,
     },
-    /// The operators' file is not the S-expression that is expected.
+    /// The operators' file is not a valid S-expression or doesn't have the expected structure.
     #[error("{file}: {location}{source}")]
     SExpression {
         /// The file.
         file: String,
-        /// Where it is wrong.
+        /// The position of the error in the file.
         location: Location,
         /// What is wrong.
         #[source]
         source: serde_lexpr::Error,
     },
-    /// A value is not allowed.
+    /// A field has a value that is not allowed.
     #[error("{file}: field {field}: {why}")]
     Field {
         /// The file.
         file: String,
-        /// The field.
+        /// The name of the field as in the file.
         field: String,
-        /// What the value has to be.
+        /// The requirement that the value doesn't meet.
         why: String,
     },
 }
 
-/// A place in a file, to precede a message; nothing if it isn't known.
+/// A position in a file. It is displayed as the prefix of a message, and as nothing if the position
+/// is unknown.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Location(Option<LineColumn>);
 
@@ -85,29 +87,29 @@
     }
 }
 
-/// Both files, checked.
+/// The validated settings from both files.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// The platform's file.
+    /// The settings from the platform's file.
     pub platform: Platform,
-    /// The operators' own file, or its defaults.
+    /// The settings from the operators' file, or the defaults if no file was given.
     pub operator: Operator,
 }
 
 impl Settings {
-    /// Reads and checks the platform's file and, if given, the operators' file.
+    /// Reads and validates the platform's file and, if given, the operators' file.
     pub fn load(platform: &Path, operator: Option<&Path>) -> Result<Self, SettingsError> {
         Ok(Self {
-            platform: Platform::parse(&platform.display().to_string(), &read(platform)?)?,
+            platform: Platform::parse(&platform.display().to_string(), &read_file(platform)?)?,
             operator: match operator {
-                Some(path) => Operator::parse(&path.display().to_string(), &read(path)?)?,
+                Some(path) => Operator::parse(&path.display().to_string(), &read_file(path)?)?,
                 None => Operator::default(),
             },
         })
     }
 }
 
-fn read(path: &Path) -> Result<String, SettingsError> {
+fn read_file(path: &Path) -> Result<String, SettingsError> {
     std::fs::read_to_string(path).map_err(|source| SettingsError::Unreadable {
         file: path.display().to_string(),
         source,
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' own settings: an S-expression in which every key is optional.
+//! The operators' settings file: an S-expression in which every key is optional.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -7,10 +7,12 @@
 
 use super::{Location, SettingsError};
 
-/// The settings. `deploy/operator.lisp` lists every key with its default, range and reason.
+/// The operators' settings. `deploy/operator.lisp` lists every key with its default, its range and
+/// the reason for it.
 ///
-/// Keys are the fields' names with hyphens, unless a serde rename says otherwise; an alias is
-/// another name of the same key. Messages and the printed effective values use the former.
+/// A key is the name of its field with hyphens, or the name in the field's serde rename if there
+/// is one. A serde alias is another accepted name of the key. Error messages and the printed
+/// effective values use the key, not the alias.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Operator {
@@ -18,32 +20,35 @@
     pub lease_s: f64,
     /// Time between two renewals of the lease, in seconds.
     pub renew_s: f64,
-    /// How long before its lease may expire a leader stops acting, in seconds.
+    /// Safety margin of the lease: how long before its lease may expire a leader stops acting, in
+    /// seconds.
     pub lease_margin_s: f64,
     /// Time between two snapshots of a changed shard, in seconds.
     pub snapshot_s: f64,
-    /// Age of changes not yet in a snapshot from which on no task is started, in seconds.
+    /// If changes of the shard have been missing from the snapshot for this long, no task is
+    /// started until they are written, in seconds.
     pub staleness_s: f64,
     /// Share of the key-value store's write rate that snapshots may use.
     pub snapshot_write_share: f64,
-    /// How late a heartbeat has to be for its machine to get no new tasks, in seconds.
+    /// How late a machine's heartbeat has to be for the machine to get no new tasks, in seconds.
     pub suspect_late_s: f64,
-    /// How late a heartbeat has to be for a machine that answers no probe to be declared dead
-    /// and deleted, so that its tasks can start elsewhere, in seconds.
+    /// How late the heartbeat of a machine that answers no probe has to be for the machine to be
+    /// declared dead and deleted, so that its tasks can start elsewhere, in seconds.
     #[serde(rename = "abandon-late-s", alias = "declare-dead-late-s")]
     pub declare_dead_late_s: f64,
-    /// Capacity kept free, as a multiple of what running and waiting tasks need.
+    /// Free capacity to maintain, as a multiple of what running and waiting tasks need.
     pub headroom: f64,
-    /// How long a machine may be idle before it is scaled in, in seconds.
+    /// How long a machine may be idle before it is deleted by a scale-in, in seconds.
     pub idle_s: f64,
-    /// How long capacity for a team's unused quota is kept after its last job ended, in seconds.
+    /// How long capacity for a team's unused quota is kept after the team's last job ended, in
+    /// seconds.
     #[serde(rename = "guarantee-hold-s", alias = "quota-hold-s")]
     pub quota_hold_s: f64,
-    /// How long no machine is requested of a type and zone of which the cloud had none, in
-    /// seconds.
+    /// Pause before machines of a type are requested again in a zone where the cloud had no
+    /// capacity of that type, in seconds.
     #[serde(rename = "refused-s", alias = "scale-out-retry-s")]
     pub scale_out_retry_s: f64,
-    /// How long at the most a controller that can reach neither the key-value store nor the
+    /// The longest time for which a controller that can reach neither the key-value store nor the
     /// leader renews workers' leases under an advance delegation, in seconds.
     #[serde(rename = "keep-alone-s", alias = "advance-delegation-s")]
     pub advance_delegation_s: f64,
@@ -69,15 +74,15 @@
     }
 }
 
-/// A key's value and what it may be.
-struct Bounded {
+/// The value of a key and its allowed range.
+struct BoundedValue {
     key: &'static str,
     value: f64,
     range: RangeInclusive<f64>,
 }
 
 impl Operator {
-    /// Parses and checks the file's text; `file` is for messages only.
+    /// Parses and validates the file's text. `file` is the file's name for error messages.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         let operator: Self =
             serde_lexpr::from_str(text).map_err(|source| SettingsError::SExpression {
@@ -89,15 +94,15 @@
         Ok(operator)
     }
 
-    /// Reports the first value that is out of its range.
+    /// Checks that every value is within its range, and reports the first that isn't.
     fn check(&self, file: &str) -> Result<(), SettingsError> {
-        let wrong = self
+        let out_of_range = self
             .bounded_values()
             .into_iter()
             .find(|bounded| !bounded.range.contains(&bounded.value));
-        match wrong {
+        match out_of_range {
             None => Ok(()),
-            Some(Bounded { key, value, range }) => Err(SettingsError::Field {
+            Some(BoundedValue { key, value, range }) => Err(SettingsError::Field {
                 file: file.to_owned(),
                 field: key.to_owned(),
                 why: format!("must be {} to {}, not {value}", range.start(), range.end()),
@@ -105,7 +110,7 @@
         }
     }
 
-    fn bounded_values(&self) -> [Bounded; 13] {
+    fn bounded_values(&self) -> [BoundedValue; 13] {
         let max_lease_share = self.lease_s / 3.0;
         [
             ("lease-s", self.lease_s, 1.0..=60.0),
@@ -134,55 +139,57 @@
             ("refused-s", self.scale_out_retry_s, 1.0..=3600.0),
             ("keep-alone-s", self.advance_delegation_s, 0.0..=600.0),
         ]
-        .map(|(key, value, range)| Bounded { key, value, range })
+        .map(|(key, value, range)| BoundedValue { key, value, range })
     }
 
-    /// Time to live of a shard leader's lease.
+    /// Returns the time to live of a shard leader's lease.
     pub fn lease(&self) -> Duration {
         Duration::from_secs_f64(self.lease_s)
     }
 
-    /// Time between two renewals of the lease.
+    /// Returns the time between two renewals of the lease.
     pub fn renew(&self) -> Duration {
         Duration::from_secs_f64(self.renew_s)
     }
 
-    /// Time between two snapshots of a changed shard.
+    /// Returns the time between two snapshots of a changed shard.
     pub fn snapshot(&self) -> Duration {
         Duration::from_secs_f64(self.snapshot_s)
     }
 
-    /// Age of changes not yet in a snapshot from which on no task is started.
+    /// Returns how long changes of the shard may be missing from the snapshot before no more tasks
+    /// are started.
     pub fn staleness(&self) -> Duration {
         Duration::from_secs_f64(self.staleness_s)
     }
 
-    /// Lateness of a heartbeat from which on its machine gets no new tasks.
+    /// Returns how late a machine's heartbeat has to be for the machine to get no new tasks.
     pub fn suspect_late(&self) -> Duration {
         Duration::from_secs_f64(self.suspect_late_s)
     }
 
-    /// Lateness of a heartbeat from which on its machine may be declared dead.
+    /// Returns how late a machine's heartbeat has to be for the machine to be declared dead, if it
+    /// answers no probe.
     pub fn declare_dead_late(&self) -> Duration {
         Duration::from_secs_f64(self.declare_dead_late_s)
     }
 
-    /// How long a machine may be idle before it is scaled in.
+    /// Returns how long a machine may be idle before it is deleted by a scale-in.
     pub fn idle(&self) -> Duration {
         Duration::from_secs_f64(self.idle_s)
     }
 
-    /// How long capacity for a team's unused quota is kept after its last job ended.
+    /// Returns how long capacity for a team's unused quota is kept after the team's last job ended.
     pub fn quota_hold(&self) -> Duration {
         Duration::from_secs_f64(self.quota_hold_s)
     }
 
-    /// Pause before a refused scale-out of a machine type in a zone is tried again.
+    /// Returns the pause before a refused scale-out of a machine type in a zone is retried.
     pub fn scale_out_retry(&self) -> Duration {
         Duration::from_secs_f64(self.scale_out_retry_s)
     }
 
-    /// Longest time of an advance delegation.
+    /// Returns the longest duration of an advance delegation.
     pub fn advance_delegation(&self) -> Duration {
         Duration::from_secs_f64(self.advance_delegation_s)
     }
--- a/src/settings/operator/tests.rs
+++ b/src/settings/operator/tests.rs
@@ -8,37 +8,39 @@
 }
 
 #[test]
-fn mistakes_are_located() {
-    let unknown = Operator::parse("o", "((lease-s . 5.0)\n (leese-s . 5.0))")
+fn errors_state_the_line_or_the_key() {
+    let unknown_key = Operator::parse("o", "((lease-s . 5.0)\n (leese-s . 5.0))")
         .expect_err("unknown key")
         .to_string();
-    assert!(unknown.contains("leese-s"), "{unknown}");
-    let broken = Operator::parse("o", "((lease-s . 5.0)\n (")
-        .expect_err("broken")
+    assert!(unknown_key.contains("leese-s"), "{unknown_key}");
+    let syntax_error = Operator::parse("o", "((lease-s . 5.0)\n (")
+        .expect_err("unbalanced parenthesis")
         .to_string();
-    assert!(broken.contains("line 2"), "{broken}");
-    let range = Operator::parse("o", "((lease-s . 0.5))")
-        .expect_err("range")
+    assert!(syntax_error.contains("line 2"), "{syntax_error}");
+    let out_of_range = Operator::parse("o", "((lease-s . 0.5))")
+        .expect_err("value out of range")
         .to_string();
-    assert!(range.contains("lease-s"), "{range}");
+    assert!(out_of_range.contains("lease-s"), "{out_of_range}");
 }
 
 #[test]
 fn a_key_and_its_alias_set_the_same_value() {
-    let parsed = |text: &str| Operator::parse("o", text).expect(text);
+    let parse = |text: &str| Operator::parse("o", text).expect(text);
     for (key, alias) in [
         ("abandon-late-s", "declare-dead-late-s"),
         ("guarantee-hold-s", "quota-hold-s"),
         ("refused-s", "scale-out-retry-s"),
         ("keep-alone-s", "advance-delegation-s"),
     ] {
-        let by_key = parsed(&format!("(({key} . 77.0))"));
-        let by_alias = parsed(&format!("(({alias} . 77.0))"));
+        let by_key = parse(&format!("(({key} . 77.0))"));
+        let by_alias = parse(&format!("(({alias} . 77.0))"));
         assert_eq!(by_key, by_alias, "{key}");
         assert_ne!(by_key, Operator::default(), "{key}");
 
-        let both = format!("(({key} . 77.0) ({alias} . 77.0))");
-        let error = Operator::parse("o", &both).expect_err(&both).to_string();
+        let key_and_alias = format!("(({key} . 77.0) ({alias} . 77.0))");
+        let error = Operator::parse("o", &key_and_alias)
+            .expect_err(&key_and_alias)
+            .to_string();
         assert!(error.contains(key), "{error}");
 
         let printed = serde_lexpr::to_string(&by_alias).expect("prints");
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,4 +1,4 @@
-//! The settings file (JSON) that the platform hands over. Fields that it doesn't know are ignored.
+//! The platform's settings file, in JSON. Unknown fields in the file are ignored.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 
 mod validation;
 
-/// Longest time between two heartbeats of a worker, as a multiple of the usual one.
-const MAX_HEARTBEAT_INTERVAL: f64 = 1.25;
-/// How long a gang's task waits for the others if the file doesn't say, in seconds.
+/// Longest time between two heartbeats of a worker, as a multiple of the usual interval.
+const MAX_HEARTBEAT_INTERVAL_FACTOR: f64 = 1.25;
+/// Default of [`Workers::gang_wait_s`], in seconds.
 const DEFAULT_GANG_WAIT_S: f64 = 30.0;
-/// How soon a gang's tasks notice the end of another if the file doesn't say, in seconds.
+/// Default of [`Workers::gang_peer_s`], in seconds.
 const DEFAULT_GANG_PEER_S: f64 = 5.0;
 
-/// Another controller.
+/// Another controller of the same cluster.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Peer {
     /// Its node id.
@@ -25,11 +25,11 @@
     /// Its zone.
     #[serde(rename = "area")]
     pub zone: String,
-    /// Its internal address.
+    /// Its address for the other controllers.
     pub address: SocketAddr,
 }
 
-/// Where the outside services are.
+/// The addresses of the external services.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Services {
     /// The cloud's address.
@@ -39,22 +39,22 @@
     pub kv: SocketAddr,
 }
 
-/// A team's quota and its limit: what it is guaranteed, and the most that it may use at once.
-/// 0 means none.
+/// A team's quota, which is guaranteed to it, and its quota limit, which is the most that it may
+/// use at once. A quota of 0 means that nothing is guaranteed, a limit of 0 means unlimited.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Team {
     /// The team's name.
     pub name: String,
-    /// Cores that are guaranteed.
+    /// Number of cores that are guaranteed to the team.
     #[serde(rename = "cpus", default)]
     pub quota_cores: f64,
-    /// Most cores in use at once.
+    /// Maximum number of cores in use at once.
     #[serde(rename = "cpus_max", default)]
     pub max_cores: f64,
-    /// Accelerators that are guaranteed.
+    /// Number of accelerators that are guaranteed to the team.
     #[serde(rename = "gpus", default)]
     pub quota_accelerators: f64,
-    /// Most accelerators in use at once.
+    /// Maximum number of accelerators in use at once.
     #[serde(rename = "gpus_max", default)]
     pub max_accelerators: f64,
 }
@@ -62,23 +62,23 @@
 /// A service-level objective for one class of jobs.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ServiceLevelObjective {
-    /// What is measured, such as `wait` (the time until a task starts) or `deadline`.
+    /// The measure, such as `wait` (the time until a task starts) or `deadline`.
     pub kind: String,
-    /// The class of jobs.
+    /// The class of jobs that the objective applies to.
     #[serde(default)]
     pub class: Option<String>,
-    /// The time within which it should happen, in seconds.
+    /// The time that the measure should not exceed, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// The share of jobs for which it should.
+    /// The share of jobs that should meet the objective.
     #[serde(default)]
     pub share: Option<f64>,
-    /// For deadlines: the multiple of the deadline within which jobs should be done.
+    /// For `deadline`: the multiple of a job's deadline within which the job should be done.
     #[serde(rename = "times", default)]
     pub deadline_multiple: Option<f64>,
 }
 
-/// How workers behave; times are in seconds.
+/// Parameters of the workers' behaviour; times are in seconds.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Workers {
     /// The usual time between two heartbeats.
@@ -86,13 +86,13 @@
     pub heartbeat_interval_s: f64,
     /// How long a worker's lease lasts.
     pub lease_s: f64,
-    /// How long after its cancellation a job's last task may still run.
+    /// The time from the cancellation of a job until none of its tasks may run any more.
     pub cancel_s: f64,
-    /// How long a gang's task waits for the others.
+    /// How long a task of a gang waits for the others to start.
     #[serde(default = "default_gang_wait")]
     pub gang_wait_s: f64,
-    /// How soon a gang's tasks notice that one of them has ended, and within what time all have
-    /// to be commanded to stop.
+    /// The time within which the tasks of a gang notice that one of them has ended, and also the
+    /// time within which all of them have to be commanded to stop.
     #[serde(default = "default_gang_peer")]
     pub gang_peer_s: f64,
 }
@@ -106,27 +106,27 @@
 }
 
 impl Workers {
-    /// The usual time between two heartbeats.
+    /// Returns the usual time between two heartbeats.
     pub fn heartbeat_interval(&self) -> Duration {
         Duration::from_secs_f64(self.heartbeat_interval_s)
     }
 
-    /// The longest time between two heartbeats.
+    /// Returns the longest time between two heartbeats of a worker.
     pub fn latest_heartbeat(&self) -> Duration {
-        Duration::from_secs_f64(self.heartbeat_interval_s * MAX_HEARTBEAT_INTERVAL)
+        Duration::from_secs_f64(self.heartbeat_interval_s * MAX_HEARTBEAT_INTERVAL_FACTOR)
     }
 
-    /// How long a worker's lease lasts.
+    /// Returns how long a worker's lease lasts.
     pub fn lease(&self) -> Duration {
         Duration::from_secs_f64(self.lease_s)
     }
 
-    /// How long a gang's task waits for the others.
+    /// Returns how long a task of a gang waits for the others to start.
     pub fn gang_wait(&self) -> Duration {
         Duration::from_secs_f64(self.gang_wait_s)
     }
 
-    /// How long after its cancellation a job's last task may still run.
+    /// Returns the time from the cancellation of a job until none of its tasks may run any more.
     pub fn cancel(&self) -> Duration {
         Duration::from_secs_f64(self.cancel_s)
     }
@@ -135,38 +135,39 @@
 /// The key-value store's limits.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct KvLimits {
-    /// Requests per second.
+    /// Maximum requests per second.
     pub rps: f64,
-    /// Mutations per second.
+    /// Maximum mutations per second.
     pub write_rps: f64,
-    /// Largest value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Most mutations of one transaction.
+    /// Maximum number of mutations in one transaction.
     pub txn_ops: usize,
-    /// The limits that will apply from some moment on, which isn't announced.
+    /// The limits that will apply from a later time, which is not announced.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub next: Option<UpcomingLimits>,
 }
 
-/// Limits to come; what isn't named stays as it is.
+/// The upcoming limits of the key-value store. A limit that is `None` doesn't change.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct UpcomingLimits {
-    /// Requests per second, if that changes.
+    /// Maximum requests per second, if that changes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rps: Option<f64>,
-    /// Mutations per second, if that changes.
+    /// Maximum mutations per second, if that changes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub write_rps: Option<f64>,
-    /// Largest value in KiB, if that changes.
+    /// Maximum size of a value in KiB, if that changes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub value_kb: Option<f64>,
-    /// Most mutations of one transaction, if that changes.
+    /// Maximum number of mutations in one transaction, if that changes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub txn_ops: Option<usize>,
 }
 
 impl KvLimits {
-    /// The limits to keep: the lower of each now and to come, since the change isn't announced.
+    /// Returns the limits to comply with: the lower of the current and the upcoming value of each,
+    /// since the time of the change is not announced.
     pub fn planned(&self) -> Self {
         let next = self.next.clone().unwrap_or_default();
         let lower = |now: f64, next: Option<f64>| next.map_or(now, |next| next.min(now));
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Largest value, in bytes.
+    /// Returns the maximum size of a value, in bytes.
     pub fn value_bytes(&self) -> usize {
         (self.value_kb * 1024.0) as usize
     }
@@ -188,24 +189,24 @@
 /// The cloud's limits.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CloudLimits {
-    /// Requests per second.
+    /// Maximum requests per second.
     pub rps: f64,
-    /// How old the machine list may be, in seconds.
+    /// How far the machine list may lag behind rentals and deletions, in seconds.
     pub list_lag_s: f64,
 }
 
-/// The resources that a controller's process has.
+/// The resources available to a controller's process.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Resources {
-    /// Share of a core.
+    /// CPU, as a fraction of a core.
     pub cpu: f64,
     /// Memory in MB.
     pub ram_mb: f64,
-    /// Most open connections.
+    /// Maximum number of open connections.
     pub max_connections: usize,
 }
 
-/// The part named `settings`: what is the same for all controllers.
+/// The part `settings` of the file, which is the same for all controllers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Parameters {
     /// The zones that have controllers.
@@ -215,7 +216,7 @@
     /// The service-level objectives.
     #[serde(default)]
     pub objectives: Vec<ServiceLevelObjective>,
-    /// How workers behave.
+    /// Parameters of the workers' behaviour.
     pub workers: Workers,
     /// The key-value store's limits.
     #[serde(rename = "state")]
@@ -224,18 +225,18 @@
     pub cloud: CloudLimits,
     /// The resources of each controller.
     pub resources: Resources,
-    /// How far the controllers' times of day may differ, in milliseconds.
+    /// Maximum difference between the wall clocks of the controllers, in milliseconds.
     #[serde(default)]
     pub skew_ms: f64,
 }
 
-/// The whole file.
+/// The content of the platform's settings file.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Platform {
     /// This controller's node id.
     #[serde(rename = "label")]
     pub node_id: String,
-    /// Its zone.
+    /// This controller's zone.
     #[serde(rename = "area")]
     pub zone: String,
     /// The address for users, workers and the load balancer.
@@ -252,7 +253,7 @@
 }
 
 impl Platform {
-    /// Reads and checks the file's text; `file` is for messages only.
+    /// Parses and validates the file's text. `file` is the file's name for error messages.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         let platform: Self = serde_json::from_str(text).map_err(|source| SettingsError::Json {
             file: file.to_owned(),
--- a/src/settings/platform/tests.rs
+++ b/src/settings/platform/tests.rs
@@ -13,24 +13,29 @@
       "resources":{"cpu":0.2,"ram_mb":100,"max_connections":1000},"skew_ms":25}}"#;
 
 #[test]
-fn unknown_fields_are_ignored_and_bad_values_name_their_field() {
+fn unknown_fields_are_ignored_and_errors_name_the_invalid_field() {
     assert!(Platform::parse("f", EXAMPLE).is_ok());
-    let bad = EXAMPLE.replace("\"lease_s\":27.0", "\"lease_s\":0");
-    let error = Platform::parse("f", &bad).expect_err("zero lease");
+    let zero_lease = EXAMPLE.replace("\"lease_s\":27.0", "\"lease_s\":0");
+    let error = Platform::parse("f", &zero_lease).expect_err("zero lease");
     assert!(error.to_string().contains("settings.workers.lease_s"));
-    let next = |limits: &str| {
+    let parse_with_next_limits = |limits: &str| {
         let state = format!("\"txn_ops\":8,\"next\":{limits}");
         Platform::parse("f", &EXAMPLE.replace("\"txn_ops\":8", &state))
     };
-    let lowered = next(r#"{"value_kb":2,"txn_ops":4,"rps":900}"#).expect("valid");
-    let planned = lowered.settings.kv.planned();
+    let platform =
+        parse_with_next_limits(r#"{"value_kb":2,"txn_ops":4,"rps":900}"#).expect("valid limits");
+    let planned = platform.settings.kv.planned();
     assert_eq!((planned.value_bytes(), planned.txn_ops), (2048, 4));
-    assert_eq!((planned.rps, planned.write_rps), (80.0, 25.0), "the lesser");
+    assert_eq!(
+        (planned.rps, planned.write_rps),
+        (80.0, 25.0),
+        "the lower limit applies"
+    );
     for (limits, field) in [
         (r#"{"value_kb":0}"#, "settings.state.next.value_kb"),
         (r#"{"txn_ops":1}"#, "settings.state.next.txn_ops"),
     ] {
-        let error = next(limits).expect_err(field);
+        let error = parse_with_next_limits(limits).expect_err(field);
         assert!(error.to_string().contains(field));
     }
     let missing = EXAMPLE.replace("\"report_s\":3.0,", "");
--- a/src/settings/platform/validation.rs
+++ b/src/settings/platform/validation.rs
@@ -1,19 +1,20 @@
-//! What has to be true of the platform's file. Messages name fields as the file does.
+//! Validation of the platform's settings file. Messages use the field names of the file.
 
 use super::{KvLimits, Platform, Team, Workers};
 use crate::settings::SettingsError;
 
-/// Numbers from here on are taken for mistakes.
+/// Numbers that are not below this limit are rejected as mistakes.
 const NUMBER_LIMIT: f64 = 1e9;
 
-/// Fewest mutations that a transaction has to allow: the sequence number, and a job's two records.
+/// Minimum of the store's limit on mutations in one transaction: a transaction has to be able to
+/// write the sequence record and a job's two records.
 const MIN_TRANSACTION_MUTATIONS: usize = 3;
 
-/// Something that has to be true of a field.
+/// A requirement for the value of a field, and whether the value meets it.
 struct Rule {
     field: &'static str,
     is_met: bool,
-    /// What the value has to be.
+    /// The requirement as worded in the error message.
     requirement: &'static str,
 }
 
@@ -27,10 +28,10 @@
     }
 }
 
-/// Reports the first rule that isn't met.
+/// Checks all rules and reports the first that isn't met.
 pub(super) fn check(platform: &Platform, file: &str) -> Result<(), SettingsError> {
-    let broken = rules(platform).into_iter().find(|rule| !rule.is_met);
-    match broken {
+    let first_unmet = rules(platform).into_iter().find(|rule| !rule.is_met);
+    match first_unmet {
         None => Ok(()),
         Some(rule) => Err(SettingsError::Field {
             file: file.to_owned(),
@@ -40,7 +41,7 @@
     }
 }
 
-/// All rules, in the order in which a broken one is reported.
+/// Returns all rules. If several are not met, the first in this order is reported.
 fn rules(platform: &Platform) -> Vec<Rule> {
     let settings = &platform.settings;
     let mut rules = identity_rules(platform);
@@ -49,7 +50,7 @@
     rules.extend(transaction_rules(&settings.kv));
     rules.push(Rule::new(
         "settings.cloud.list_lag_s",
-        is_amount(settings.cloud.list_lag_s),
+        is_valid_amount(settings.cloud.list_lag_s),
         "must be a number of 0 or more",
     ));
     rules.push(team_amounts_rule(&settings.teams));
@@ -58,10 +59,10 @@
 
 fn identity_rules(platform: &Platform) -> Vec<Rule> {
     let node_id = &platform.node_id;
-    let is_own_peer = platform.others.iter().any(|peer| peer.node_id == *node_id);
+    let names_itself = platform.others.iter().any(|peer| peer.node_id == *node_id);
     vec![
         Rule::new("label", !node_id.is_empty(), "must not be empty"),
-        Rule::new("others", !is_own_peer, "names this node itself"),
+        Rule::new("others", !names_itself, "names this node itself"),
         Rule::new(
             "settings.teams",
             !platform.settings.teams.is_empty(),
@@ -70,12 +71,13 @@
     ]
 }
 
-/// The numbers that have to be above 0. A limit to come that isn't given is left out.
+/// Returns the rules for the numbers that have to be above 0. An upcoming limit that isn't given
+/// counts as valid.
 fn number_rules(platform: &Platform) -> impl Iterator<Item = Rule> {
     let workers = &platform.settings.workers;
     let kv = &platform.settings.kv;
     let next = kv.next.clone().unwrap_or_default();
-    let given = [
+    let numbers = [
         (
             "settings.workers.report_s",
             Some(workers.heartbeat_interval_s),
@@ -92,7 +94,7 @@
         ("settings.state.next.write_rps", next.write_rps),
         ("settings.state.next.value_kb", next.value_kb),
     ];
-    given.into_iter().map(|(field, value)| {
+    numbers.into_iter().map(|(field, value)| {
         let is_met = value.is_none_or(|value| value > 0.0 && value < NUMBER_LIMIT);
         Rule::new(field, is_met, "must be a number above 0")
     })
@@ -107,7 +109,7 @@
 }
 
 fn transaction_rules(kv: &KvLimits) -> [Rule; 2] {
-    let next = kv.next.as_ref().and_then(|next| next.txn_ops);
+    let next_txn_ops = kv.next.as_ref().and_then(|next| next.txn_ops);
     [
         Rule::new(
             "settings.state.txn_ops",
@@ -116,7 +118,7 @@
         ),
         Rule::new(
             "settings.state.next.txn_ops",
-            next.is_none_or(|mutations| mutations >= MIN_TRANSACTION_MUTATIONS),
+            next_txn_ops.is_none_or(|mutations| mutations >= MIN_TRANSACTION_MUTATIONS),
             "must be at least 3",
         ),
     ]
@@ -133,11 +135,11 @@
     });
     Rule::new(
         "settings.teams",
-        amounts.into_iter().all(is_amount),
+        amounts.into_iter().all(is_valid_amount),
         "amounts must be numbers of 0 or more",
     )
 }
 
-fn is_amount(value: f64) -> bool {
+fn is_valid_amount(value: f64) -> bool {
     value.is_finite() && value >= 0.0
 }
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Logging to standard error, and the processor time of each activity.
+//! Logging to standard error, and counters of the time spent on each activity.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,7 +8,8 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// Installs the subscriber with the level of `LOG_LEVEL`; an unknown or missing one means `info`.
+/// Installs the log subscriber. Its level is the value of the environment variable `LOG_LEVEL`, or
+/// `info` if the variable is missing or has an unknown value.
 pub fn init() {
     let level = std::env::var("LOG_LEVEL")
         .ok()
@@ -19,42 +20,43 @@
         .with_ansi(false)
         .with_target(false)
         .without_time();
-    // Of libraries, only warnings and errors are logged.
+    // From libraries only warnings and errors are logged.
     let filter = Targets::new()
         .with_default(level.min(LevelFilter::WARN))
         .with_target(env!("CARGO_CRATE_NAME"), level);
-    // Only tests call this twice in a process; the first subscriber stays.
+    // Only tests call this more than once in a process. The first subscriber stays installed, so
+    // the error is ignored.
     let _ = tracing_subscriber::registry()
         .with(lines)
         .with(filter)
         .try_init();
 }
 
-/// How often an activity took place, and its time altogether.
+/// The number of executions of an activity, and the total time that they took.
 #[derive(Debug, Default)]
 struct ActivityTotal {
     count: u64,
-    time: Duration,
+    total_time: Duration,
 }
 
-/// The totals of each activity since the start, for display to operators.
+/// The totals of each activity since this value was created, for display to operators.
 #[derive(Debug, Default)]
 pub struct Activities(BTreeMap<&'static str, ActivityTotal>);
 
 impl Activities {
-    /// Adds one execution of an activity, which took so long.
-    pub fn note(&mut self, activity: &'static str, took: Duration) {
+    /// Adds one execution of an activity and the time that it took.
+    pub fn note(&mut self, activity: &'static str, elapsed: Duration) {
         let total = self.0.entry(activity).or_default();
         total.count += 1;
-        total.time += took;
+        total.total_time += elapsed;
     }
 }
 
 impl fmt::Display for Activities {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (index, (activity, ActivityTotal { count, time })) in self.0.iter().enumerate() {
+        for (index, (activity, ActivityTotal { count, total_time })) in self.0.iter().enumerate() {
             let comma = if index > 0 { ", " } else { "" };
-            let millis = time.as_millis();
+            let millis = total_time.as_millis();
             write!(f, "{comma}{activity} {count} in {millis} ms")?;
         }
         Ok(())
