--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,9 +1,9 @@
 //! The HTTP interfaces that a controller serves, one module for each kind of caller.
 //!
-//! Each handler reads a request, calls the component of [`crate::coordination`] that decides on it,
-//! and writes the answer. It takes no decision of its own. [`crate::server`] serves the two routers
-//! built here: one at the address for users, workers and the load balancer, one at the address for
-//! the other controllers and operators.
+//! Each handler decodes a request, passes it to the component of [`crate::coordination`] that
+//! decides on it, and encodes the answer. Handlers make no decisions of their own.
+//! [`crate::server`] serves the two routers built here: the public one for users, workers and the
+//! load balancer, and the internal one for the other controllers and operators.
 
 mod operator;
 mod peer;
@@ -25,21 +25,21 @@
 use crate::protocol::peer_messages::{CANCELLATIONS, REVIVE_LEASE};
 use crate::transport::connection_limit::ConnectionLimit;
 
-/// Largest body of a user's or a worker's request, in bytes.
+/// Maximum size of a request body from a user or a worker, in bytes.
 const MAX_USER_BODY_BYTES: usize = 64 * 1024;
-/// Largest frame accepted from another controller, in bytes: twice what the counts of a
-/// heartbeat may take.
+/// Maximum size of a frame from another controller, in bytes: twice the space that the job
+/// progress in a heartbeat may take.
 const MAX_PEER_FRAME_BYTES: usize = 4 << 20;
-/// `Retry-After` of each 503 answer, in seconds.
+/// Value of the `Retry-After` header on every 503 response, in seconds.
 const RETRY_AFTER_SECONDS: &str = "1";
-const JSON: &str = "application/json";
+const JSON_CONTENT_TYPE: &str = "application/json";
 
-/// What the handlers of the public address share.
+/// State shared by the handlers of the public address.
 #[derive(Clone)]
 struct PublicState {
     node: Arc<Node>,
-    /// The connections of the public address.
-    connections: ConnectionLimit,
+    /// The connection limit of the public listener.
+    connection_limit: ConnectionLimit,
 }
 
 impl FromRef<PublicState> for Arc<Node> {
@@ -48,9 +48,10 @@
     }
 }
 
-/// Routes of the address for users, workers and the load balancer. Other paths are answered with
-/// 404, other methods with 405. `connections` is the limit of the listener that serves them.
-pub fn public_router(node: Arc<Node>, connections: ConnectionLimit) -> Router {
+/// Builds the routes for users, workers and the load balancer. An unknown path is answered with
+/// 404, an unsupported method with 405. `connection_limit` is the limit of the listener that
+/// serves these routes.
+pub fn public_router(node: Arc<Node>, connection_limit: ConnectionLimit) -> Router {
     Router::new()
         .route("/ready", get(user::ready))
         .route("/v1/jobs", post(user::submit))
@@ -58,10 +59,13 @@
         .route("/v1/jobs/{id}/cancel", post(user::cancel))
         .route("/v1/report", post(worker::heartbeat))
         .fallback(unknown_path)
-        .with_state(PublicState { node, connections })
+        .with_state(PublicState {
+            node,
+            connection_limit,
+        })
 }
 
-/// Routes of the address for the other controllers and operators.
+/// Builds the routes for the other controllers and operators.
 pub fn internal_router(node: Arc<Node>) -> Router {
     Router::new()
         .route("/peer", post(peer::exchange))
@@ -73,18 +77,24 @@
 }
 
 async fn unknown_path() -> Response {
-    respond(UserResponse::not_found())
+    to_http_response(UserResponse::not_found())
 }
 
-/// Reads a request's body; `None` if it can't be read or is larger than allowed.
+/// Reads a request's body. Returns `None` if it can't be read or exceeds
+/// [`MAX_USER_BODY_BYTES`].
 async fn read_body(body: Body) -> Option<Bytes> {
     to_bytes(body, MAX_USER_BODY_BYTES).await.ok()
 }
 
-/// Writes a response, with `Retry-After` if the service is unavailable.
-fn respond(response: UserResponse) -> Response {
+/// Converts the answer to an HTTP response. A 503 response gets a `Retry-After` header.
+fn to_http_response(response: UserResponse) -> Response {
     let status = StatusCode::from_u16(response.status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
-    let mut http = (status, [(header::CONTENT_TYPE, JSON)], response.body).into_response();
+    let mut http = (
+        status,
+        [(header::CONTENT_TYPE, JSON_CONTENT_TYPE)],
+        response.body,
+    )
+        .into_response();
     if status == StatusCode::SERVICE_UNAVAILABLE {
         http.headers_mut().insert(
             header::RETRY_AFTER,
@@ -94,7 +104,7 @@
     http
 }
 
-fn json(status: StatusCode, value: &impl serde::Serialize) -> Response {
+fn json_response(status: StatusCode, value: &impl serde::Serialize) -> Response {
     let body = serde_json::to_vec(value).unwrap_or_default();
-    (status, [(header::CONTENT_TYPE, JSON)], body).into_response()
+    (status, [(header::CONTENT_TYPE, JSON_CONTENT_TYPE)], body).into_response()
 }
--- a/src/api/operator.rs
+++ b/src/api/operator.rs
@@ -1,4 +1,4 @@
-//! The interface of operators: the status page.
+//! The HTTP interface for operators: the status page.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 
 use crate::coordination::node::Node;
 
-/// The controller's state as text for people; its format may change.
+/// Returns the controller's state as human-readable text. The format is not stable.
 pub(super) async fn status(State(node): State<Arc<Node>>) -> String {
     node.status()
 }
--- a/src/api/peer.rs
+++ b/src/api/peer.rs
@@ -1,4 +1,4 @@
-//! The interface of the other controllers: rkyv frames.
+//! The HTTP interface for the other controllers, whose messages are rkyv frames.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,17 +14,17 @@
 use crate::protocol::peer_messages::{CancellationsRequest, ReviveLease};
 use crate::protocol::peers::{PeerAnswer, PeerRequest};
 
-/// Answers the frames that every version reads: heartbeats, votes for lease extension and
-/// forwarded requests of users.
+/// Answers the frames that all versions of the controller understand: heartbeats, requests for a
+/// vote on a lease extension, and forwarded user requests.
 pub(super) async fn exchange(State(node): State<Arc<Node>>, body: Bytes) -> Vec<u8> {
     let answer = match PeerRequest::decode(&body) {
-        Ok(request) => answer(&node, request).await,
+        Ok(request) => answer_request(&node, request).await,
         Err(_) => PeerAnswer::Unreadable,
     };
     answer.encode()
 }
 
-async fn answer(node: &Arc<Node>, request: PeerRequest) -> PeerAnswer {
+async fn answer_request(node: &Arc<Node>, request: PeerRequest) -> PeerAnswer {
     match request {
         PeerRequest::Heartbeat(heartbeat) => {
             PeerAnswer::Heartbeat(heartbeat::answer_heartbeat(node, heartbeat))
@@ -33,7 +33,7 @@
             granted: lease_votes::grant_extension(node, Duration::from_millis(millis)),
         },
         PeerRequest::Forward { method, path, body } => {
-            answer_forwarded(node, UserRequest::from_forward(&method, &path, body)).await
+            answer_forwarded(node, UserRequest::from_forwarded(&method, &path, body)).await
         }
     }
 }
@@ -49,7 +49,7 @@
     }
 }
 
-/// Names the cancellations that this controller has confirmed to users.
+/// Returns the cancellations that this controller has confirmed to users.
 pub(super) async fn cancellations(State(node): State<Arc<Node>>, body: Bytes) -> Response {
     match CancellationsRequest::decode(&body) {
         Ok(request) => cancellations::confirmed_cancellations(&node, &request)
@@ -59,7 +59,7 @@
     }
 }
 
-/// Votes on the revival of a lease past its deadline.
+/// Votes on whether the sender may revive its lease after the lease's deadline has passed.
 pub(super) async fn vote_on_revival(State(node): State<Arc<Node>>, body: Bytes) -> Response {
     match ReviveLease::decode(&body) {
         Ok(request) => lease_votes::vote_on_revival(&node, &request)
--- a/src/api/user.rs
+++ b/src/api/user.rs
@@ -1,4 +1,4 @@
-//! The interface of users, and the load balancer's readiness check.
+//! The HTTP interface for users, and the readiness check for the load balancer.
 
 use std::sync::Arc;
 
@@ -7,28 +7,28 @@
 use axum::http::StatusCode;
 use axum::response::{IntoResponse, Response};
 
-use super::{read_body, respond};
+use super::{read_body, to_http_response};
 use crate::coordination::node::Node;
 use crate::coordination::requests::{self, RequestOrigin, UserRequest, UserResponse};
 
-/// Whether the load balancer should send users here.
+/// Answers 200 if the load balancer should send users to this controller, otherwise 503.
 pub(super) async fn ready(State(node): State<Arc<Node>>) -> Response {
     if node.is_ready() {
         StatusCode::OK.into_response()
     } else {
-        respond(UserResponse::unavailable("not ready"))
+        to_http_response(UserResponse::unavailable("not ready"))
     }
 }
 
-/// Submits a job.
+/// Submits the job that the body describes.
 pub(super) async fn submit(State(node): State<Arc<Node>>, body: Body) -> Response {
     let Some(body) = read_body(body).await else {
-        return respond(UserResponse::malformed(
+        return to_http_response(UserResponse::malformed(
             "the body can't be read or is too large",
             None,
         ));
     };
-    respond(
+    to_http_response(
         requests::answer(
             &node,
             UserRequest::Submit(body.to_vec()),
@@ -38,12 +38,12 @@
     )
 }
 
-/// Reads a job's state.
+/// Returns a job's state.
 pub(super) async fn poll(State(node): State<Arc<Node>>, Path(id): Path<String>) -> Response {
-    respond(requests::answer(&node, UserRequest::Poll(id), RequestOrigin::User).await)
+    to_http_response(requests::answer(&node, UserRequest::Poll(id), RequestOrigin::User).await)
 }
 
-/// Cancels a job.
+/// Cancels a job and returns the state that the job is left in.
 pub(super) async fn cancel(State(node): State<Arc<Node>>, Path(id): Path<String>) -> Response {
-    respond(requests::answer(&node, UserRequest::Cancel(id), RequestOrigin::User).await)
+    to_http_response(requests::answer(&node, UserRequest::Cancel(id), RequestOrigin::User).await)
 }
--- a/src/api/worker.rs
+++ b/src/api/worker.rs
@@ -1,4 +1,4 @@
-//! The interface of workers: their heartbeats.
+//! The HTTP interface for workers, which send heartbeats.
 
 use std::sync::Arc;
 
@@ -7,31 +7,35 @@
 use axum::http::{HeaderValue, StatusCode, header};
 use axum::response::Response;
 
-use super::{PublicState, json, read_body, respond};
+use super::{PublicState, json_response, read_body, to_http_response};
 use crate::coordination::node::Node;
 use crate::coordination::requests::UserResponse;
 use crate::coordination::worker_heartbeats::{self, HeartbeatDecision};
 use crate::protocol::workers::WorkerHeartbeat;
 
-/// Answers a heartbeat. Workers reconnect every few seconds anyway: while connections run short,
-/// each is asked to close its own.
+/// Answers a heartbeat. While the listener is near its connection limit, the response asks the
+/// worker to close its connection: workers reconnect every few seconds anyway.
 pub(super) async fn heartbeat(State(state): State<PublicState>, body: Body) -> Response {
-    let mut response = answer(&state.node, body).await;
-    if state.connections.near_capacity() {
+    let mut response = answer_heartbeat(&state.node, body).await;
+    if state.connection_limit.is_near_capacity() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
     response
 }
 
-async fn answer(node: &Arc<Node>, body: Body) -> Response {
+async fn answer_heartbeat(node: &Arc<Node>, body: Body) -> Response {
     let Some(heartbeat) = read_heartbeat(body).await else {
-        return respond(UserResponse::malformed("not a report", None));
+        return to_http_response(UserResponse::malformed("not a report", None));
     };
     match worker_heartbeats::handle_heartbeat(node, &heartbeat) {
-        HeartbeatDecision::Renewed(answer) => json(StatusCode::OK, &answer),
-        HeartbeatDecision::Refused => respond(UserResponse::unavailable("this machine is gone")),
-        HeartbeatDecision::Redirected(redirect) => json(StatusCode::MISDIRECTED_REQUEST, &redirect),
+        HeartbeatDecision::Renewed(answer) => json_response(StatusCode::OK, &answer),
+        HeartbeatDecision::Refused => {
+            to_http_response(UserResponse::unavailable("this machine is gone"))
+        }
+        HeartbeatDecision::Redirected(redirect) => {
+            json_response(StatusCode::MISDIRECTED_REQUEST, &redirect)
+        }
     }
 }
 
--- a/src/coordination/cloud/client.rs
+++ b/src/coordination/cloud/client.rs
@@ -1,4 +1,5 @@
-//! The client of the cloud's interface.
+//! The client of the cloud's HTTP interface: machine types, the machine list, rentals and
+//! deletions.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,45 +14,46 @@
 };
 use crate::transport::client::{Answer, CallError, HttpClient};
 
-/// Deadline of one request to the cloud.
+/// Time from sending a request to the cloud until it counts as unanswered.
 const CLOUD_DEADLINE: Duration = Duration::from_secs(4);
-/// Entries asked for on one page of the machine list.
+/// Number of machines requested for one page of the machine list.
 const LIST_PAGE_ENTRIES: usize = 500;
-/// What the body of a 503 says when the cloud refuses for want of capacity; any other
-/// 503 means that it doesn't serve now.
+/// Text in the body of a 503 by which the cloud refuses a rental for lack of capacity. A 503
+/// without it means that the cloud is temporarily unavailable.
 const NO_CAPACITY: &[u8] = b"no capacity";
 
-/// Why the cloud didn't do what it was asked.
+/// Why a request to the cloud failed.
 #[derive(Debug, Error)]
 pub enum CloudError {
-    /// It answered, and will not carry the request out: it has no such machines now.
+    /// The cloud refused the request: it has no machines of this kind now.
     #[error("the cloud has no capacity for this request")]
     NoCapacity,
-    /// It answered that the request is malformed, and will never carry it out.
+    /// The cloud rejected the request as malformed and will never carry it out.
     #[error("the cloud calls the request malformed")]
     Malformed,
-    /// The request could not be encoded, and was not sent.
+    /// The request could not be encoded and was not sent.
     #[error("the request cannot be encoded: {0}")]
     Unencodable(#[source] serde_json::Error),
-    /// An answer that leaves open whether the request was carried out.
+    /// The cloud answered with a status that doesn't tell whether the request was carried out.
     #[error("the cloud answered with status {0}")]
     Unavailable(StatusCode),
-    /// No answer; the request may have been carried out, or may still be.
+    /// The call has no answer: unless it was not sent, the request may have been carried out or
+    /// may still be.
     #[error("the request to the cloud failed: {0}")]
     Call(#[from] CallError),
-    /// Success, with a body that cannot be parsed.
+    /// The cloud answered with success, but the body cannot be parsed.
     #[error("the cloud's answer cannot be parsed: {0}")]
     Unreadable(#[source] serde_json::Error),
 }
 
-/// The client of the cloud's interface.
+/// A client of the cloud's HTTP interface.
 pub struct CloudClient {
     http: HttpClient,
     addr: SocketAddr,
 }
 
 impl CloudClient {
-    /// A client of the cloud at this address.
+    /// Creates a client of the cloud at this address.
     pub fn new(addr: SocketAddr) -> Self {
         Self {
             http: HttpClient::new(),
@@ -59,36 +61,36 @@
         }
     }
 
-    /// The machine types, with their prices.
+    /// Reads all machine types with their prices.
     pub async fn machine_types(&self) -> Result<Vec<MachineType>, CloudError> {
         let answer: MachineTypes = self.get("/machine_types").await?;
         Ok(answer.types)
     }
 
-    /// All rented machines, page by page.
+    /// Reads the list of all rented machines, page by page.
     pub async fn list_machines(&self) -> Result<Vec<ListedMachine>, CloudError> {
         let mut machines: Vec<ListedMachine> = Vec::new();
         loop {
             let after = machines.last().map_or("", |machine| machine.id.as_str());
             let path = format!("/rentals?After={after}&Most={LIST_PAGE_ENTRIES}");
             let page: MachinePage = self.get(&path).await?;
-            let more = page.more && !page.machines.is_empty();
+            let has_next_page = page.more && !page.machines.is_empty();
             machines.extend(page.machines);
-            if !more {
+            if !has_next_page {
                 return Ok(machines);
             }
         }
     }
 
-    /// Rents machines; the names of those that were rented, perhaps fewer than asked for.
-    /// The cloud carries out a repeated request of the same id only once.
+    /// Rents machines and returns the names of those rented, which may be fewer than requested.
+    /// The cloud carries out a request only once, however often it is sent with the same id.
     pub async fn rent(&self, rental: &Rental) -> Result<Vec<String>, CloudError> {
         let body = serde_json::to_vec(rental).map_err(CloudError::Unencodable)?;
         let rented: MachineNames = self.call(Method::POST, "/rentals", body).await?;
         Ok(rented.machines)
     }
 
-    /// Deletes machines: they are returned to the cloud.
+    /// Deletes machines, which returns them to the cloud.
     pub async fn delete(&self, machines: &[MachineId]) -> Result<(), CloudError> {
         let names = MachineNames {
             machines: machines.iter().map(|id| id.to_string()).collect(),
@@ -113,15 +115,15 @@
             .call(method, self.addr, path, body, CLOUD_DEADLINE)
             .await?;
         if answer.status != StatusCode::OK {
-            return Err(refusal(&answer));
+            return Err(classify_error(&answer));
         }
         serde_json::from_slice(&answer.body).map_err(CloudError::Unreadable)
     }
 }
 
-/// What an answer other than 200 says of the request.
-fn refusal(answer: &Answer) -> CloudError {
-    let says_no_capacity = || {
+/// Classifies an answer whose status is not 200.
+fn classify_error(answer: &Answer) -> CloudError {
+    let body_says_no_capacity = || {
         answer
             .body
             .windows(NO_CAPACITY.len())
@@ -129,7 +131,7 @@
     };
     match answer.status {
         StatusCode::BAD_REQUEST => CloudError::Malformed,
-        StatusCode::SERVICE_UNAVAILABLE if says_no_capacity() => CloudError::NoCapacity,
+        StatusCode::SERVICE_UNAVAILABLE if body_says_no_capacity() => CloudError::NoCapacity,
         status => CloudError::Unavailable(status),
     }
 }
--- a/src/coordination/cloud/client/tests.rs
+++ b/src/coordination/cloud/client/tests.rs
@@ -8,15 +8,15 @@
 }
 
 #[test]
-fn a_503_is_a_refusal_only_for_want_of_capacity() {
+fn a_503_means_no_capacity_only_if_its_body_says_so() {
     let refused = answer(
         StatusCode::SERVICE_UNAVAILABLE,
         r#"{"Error":"no capacity"}"#,
     );
-    assert!(matches!(refusal(&refused), CloudError::NoCapacity));
-    let failing = answer(StatusCode::SERVICE_UNAVAILABLE, r#"{"Error":"try later"}"#);
+    assert!(matches!(classify_error(&refused), CloudError::NoCapacity));
+    let unavailable = answer(StatusCode::SERVICE_UNAVAILABLE, r#"{"Error":"try later"}"#);
     assert!(matches!(
-        refusal(&failing),
+        classify_error(&unavailable),
         CloudError::Unavailable(StatusCode::SERVICE_UNAVAILABLE)
     ));
 }
@@ -24,9 +24,9 @@
 #[test]
 fn only_a_400_means_that_the_request_is_malformed() {
     let malformed = answer(StatusCode::BAD_REQUEST, "no capacity");
-    assert!(matches!(refusal(&malformed), CloudError::Malformed));
+    assert!(matches!(classify_error(&malformed), CloudError::Malformed));
     for status in [StatusCode::NOT_FOUND, StatusCode::INTERNAL_SERVER_ERROR] {
-        let found = refusal(&answer(status, "no capacity"));
-        assert!(matches!(found, CloudError::Unavailable(s) if s == status));
+        let error = classify_error(&answer(status, "no capacity"));
+        assert!(matches!(error, CloudError::Unavailable(s) if s == status));
     }
 }
--- a/src/coordination/cloud/mod.rs
+++ b/src/coordination/cloud/mod.rs
@@ -1,9 +1,10 @@
-//! The cloud's interface: a client, and the loops that poll the cloud.
+//! Access to the cloud: a client, and the loops that poll the cloud.
 //!
-//! Owns the requests to the cloud and the meaning of its answers. The executor scales
-//! out and in through [`client::CloudClient`]; the controller's process spawns
-//! [`polling::refresh_machine_types`], and each leadership
-//! [`polling::watch_machine_list`]. It never decides what to rent or to delete.
+//! This module owns the requests to the cloud and the interpretation of its answers. The
+//! executor scales out and in through [`client::CloudClient`]. [`crate::server`] spawns
+//! [`polling::refresh_machine_types`] once per process; the leader spawns
+//! [`polling::watch_machine_list`] once per leadership. Which machines to rent or delete is
+//! decided by the shard, not here.
 
 pub mod client;
 pub mod polling;
--- a/src/coordination/cloud/polling.rs
+++ b/src/coordination/cloud/polling.rs
@@ -1,4 +1,4 @@
-//! The loops that poll the cloud: its machine types, and the list of rented machines.
+//! The loops that poll the cloud for its machine types and for the list of rented machines.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,55 +10,59 @@
 use crate::coordination::retry::Backoff;
 use crate::protocol::cloud::MachineType;
 
-/// Pause between two reads of the machine types.
+/// Pause between two successful reads of the machine types.
 const MACHINE_TYPES_INTERVAL: Duration = Duration::from_secs(30);
-/// Failures that the first failed read of the machine types counts for besides itself:
-/// nobody waits for a fast answer.
-const MACHINE_TYPES_BACKOFF_OFFSET: u32 = 2;
+/// Number of failures added to the actual ones when the backoff of a failed read of the machine
+/// types is computed. The longer pauses are acceptable because nothing waits for a fast answer.
+const MACHINE_TYPES_EXTRA_FAILURES: u32 = 2;
 /// Shortest pause, in seconds, between two reads of the machine list.
 const MIN_LIST_INTERVAL_S: f64 = 2.0;
 /// Longest pause, in seconds, between two reads of the machine list.
 const MAX_LIST_INTERVAL_S: f64 = 10.0;
 
-/// Reads the cloud's machine types and prices from time to time, as long as the process
-/// lasts.
+/// Reads the cloud's machine types and prices periodically, for as long as the process runs.
 pub async fn refresh_machine_types(node: Arc<Node>) {
-    let mut retry = Backoff::starting_after(MACHINE_TYPES_BACKOFF_OFFSET);
+    let mut backoff = Backoff::with_extra_failures(MACHINE_TYPES_EXTRA_FAILURES);
     loop {
         match node.clients.cloud.machine_types().await {
             Ok(types) => {
-                retry.reset();
-                note_machine_types(&node, types);
+                backoff.reset();
+                store_machine_types(&node, types);
                 tokio::time::sleep(MACHINE_TYPES_INTERVAL).await;
             }
             Err(error) => {
                 debug!(%error, "the machine types could not be read");
-                retry.wait().await;
+                backoff.wait().await;
             }
         }
     }
 }
 
-fn note_machine_types(node: &Arc<Node>, types: Vec<MachineType>) {
+/// Stores the machine types in the node's state and passes them to the shard, if this node leads.
+fn store_machine_types(node: &Arc<Node>, types: Vec<MachineType>) {
     let lease = {
         let mut state = node.lock();
         if state.machine_types.is_none() {
             info!(types = types.len(), "machine types read");
         }
         state.machine_types = Some(types.clone());
-        state.leadership.as_ref().map(|own| own.lease.clone())
+        state
+            .leadership
+            .as_ref()
+            .map(|leadership| leadership.lease.clone())
     };
     if let Some(lease) = lease {
         node.with_shard(&lease, "types", |shard, _| shard.set_types(&types));
     }
 }
 
-/// Reads the list of rented machines again and again, until the lease ends. It may lag
-/// behind rentals and deletions by the time that the platform's settings say.
+/// Reads the list of rented machines periodically until the lease ends. The list may lag behind
+/// rentals and deletions by up to `list_lag_s` of the platform's settings. The list is read every
+/// half of that time, but at least every 10 seconds and at most every 2 seconds.
 pub async fn watch_machine_list(node: Arc<Node>, lease: Arc<ShardLease>) {
-    let lag = node.settings.platform.settings.cloud.list_lag_s;
-    let interval = (lag / 2.0).clamp(MIN_LIST_INTERVAL_S, MAX_LIST_INTERVAL_S);
-    let interval = Duration::from_secs_f64(interval);
+    let list_lag_s = node.settings.platform.settings.cloud.list_lag_s;
+    let interval_s = (list_lag_s / 2.0).clamp(MIN_LIST_INTERVAL_S, MAX_LIST_INTERVAL_S);
+    let interval = Duration::from_secs_f64(interval_s);
     while !lease.has_ended() {
         if lease.is_live(node.now()) {
             read_machine_list(&node, &lease).await;
--- a/src/coordination/executor/commands.rs
+++ b/src/coordination/executor/commands.rs
@@ -1,4 +1,4 @@
-//! Sending batches of commands to workers.
+//! Sends batches of commands to workers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,12 +12,13 @@
 use crate::protocol::workers::{Command, CommandBatch};
 use crate::transport::client::{Answer, CallError};
 
-/// Deadline of a batch that holds commands.
+/// Time from sending a batch of commands until it counts as unanswered.
 const COMMAND_DEADLINE: Duration = Duration::from_secs(2);
-/// Deadline of an empty batch, which only asks the worker for its status.
+/// The same for a probe: an empty batch, which only requests the worker's status.
 const PROBE_DEADLINE: Duration = Duration::from_secs(1);
 
-/// Sends one batch of commands to the worker at `addr`. An empty batch is a probe.
+/// Sends one batch of commands to the worker at `addr` and returns its outcome. An empty batch
+/// is a probe. Waits for a permit first, since commands and probes in flight are limited.
 pub(super) async fn send(
     node: &Node,
     lease: &ShardLease,
@@ -51,18 +52,18 @@
         .call(Method::POST, addr, "/commands", body, deadline)
         .await;
     match result {
-        Ok(answer) => outcome_of(&answer, addr),
+        Ok(answer) => command_outcome(&answer, addr),
         Err(CallError::NotSent) => CommandOutcome::NotSent,
         Err(CallError::NoAnswer | CallError::TooLarge) => CommandOutcome::NoAnswer,
     }
 }
 
-fn outcome_of(answer: &Answer, addr: SocketAddr) -> CommandOutcome {
+fn command_outcome(answer: &Answer, addr: SocketAddr) -> CommandOutcome {
     match (answer.status, serde_json::from_slice(&answer.body)) {
         (StatusCode::OK, Ok(heartbeat)) => CommandOutcome::Executed(heartbeat),
         (StatusCode::CONFLICT, Ok(heartbeat)) => CommandOutcome::Refused(heartbeat),
         (status, _) => {
-            warn!(%addr, %status, "a worker's answer cannot be parsed");
+            warn!(%addr, %status, "a worker's answer has an unexpected status or cannot be parsed");
             CommandOutcome::NoAnswer
         }
     }
--- a/src/coordination/executor/fencing.rs
+++ b/src/coordination/executor/fencing.rs
@@ -1,4 +1,4 @@
-//! Whether this controller still leads, by the leader record.
+//! Checks against the leader record in the store whether this controller still leads.
 
 use tracing::{debug, warn};
 
@@ -7,13 +7,14 @@
 use crate::protocol::FencingToken;
 use crate::storage::keys;
 
-/// Whether the leader record may still be that of this lease; ends the lease if it surely
-/// isn't.
+/// Reads the leader record and returns whether this lease may still be the leader's. If the
+/// record is missing or has another revision, the lease is ended. If the store can't be read,
+/// the answer is true: only a successful read proves that the leadership was lost.
 pub(super) async fn may_still_lead(node: &Node, lease: &ShardLease) -> bool {
     match node.clients.kv.get(&keys::leader(), KV_DEADLINE).await {
         Ok(Some(item)) if item.mod_revision == lease.fencing_token.revision() => true,
         Ok(_) => {
-            warn!(fencing_token = %lease.fencing_token, "superseded: the leader record is another's");
+            warn!(fencing_token = %lease.fencing_token, "lease ended: the leader record is missing or belongs to another term");
             lease.end();
             false
         }
@@ -21,8 +22,8 @@
     }
 }
 
-/// A worker has seen a higher fencing token than that of this lease.
-pub(super) async fn check_fence(node: &Node, lease: &ShardLease, seen: FencingToken) {
+/// Checks the leadership after a worker has reported a fencing token higher than this lease's.
+pub(super) async fn handle_higher_token(node: &Node, lease: &ShardLease, seen: FencingToken) {
     if may_still_lead(node, lease).await {
         debug!(
             fencing_token = %lease.fencing_token,
--- a/src/coordination/executor/jobs.rs
+++ b/src/coordination/executor/jobs.rs
@@ -1,5 +1,5 @@
-//! Completion of jobs: moving a job's record to the finished ones, and reading the final
-//! record of a job that finished elsewhere.
+//! Completion of jobs: replaces the record of a finished job by its final record, and reads the
+//! final record of a job that this leader didn't finish itself.
 
 use std::sync::Arc;
 
@@ -14,68 +14,78 @@
 use crate::storage::records::{FinalRecord, JobRecord};
 use crate::storage::{job_transition, keys};
 
-/// What one try to finish a job came to.
-enum FinishTry {
-    /// The job is finished: by this try as the stage says, or by someone else.
+/// The result of one attempt to finish a job.
+enum FinishAttempt {
+    /// The job is finished. The stage is `Some` if this attempt finished it, `None` if its
+    /// unfinished record was already gone.
     Finished(Option<JobStage>),
-    /// It is not to be repeated: its record cannot be parsed, or another controller leads.
-    Abandoned,
-    /// The store didn't answer, or the job's record changed meanwhile.
-    Failed,
+    /// The attempt must not be repeated: the job's record cannot be parsed, the final record
+    /// cannot be encoded, or another controller leads.
+    GiveUp,
+    /// The attempt has to be repeated: the store didn't carry the request out or didn't answer,
+    /// or the job's record has changed.
+    Retry,
 }
 
-/// Records that a job is done, unless its user cancelled it first; again after failures,
-/// until the lease ends.
+/// Records in the store that a job is done, unless its user has cancelled it first. Retries after
+/// failures until the lease ends, and notifies the shard once the job is finished.
 pub(super) async fn finish(
     node: &Arc<Node>,
     lease: &Arc<ShardLease>,
     job: &str,
     mod_revision: u64,
 ) {
-    let mut retry = Backoff::default();
+    let mut backoff = Backoff::default();
     while !lease.has_ended() {
         match try_finish(node, lease, job, mod_revision).await {
-            FinishTry::Finished(stage) => {
+            FinishAttempt::Finished(stage) => {
                 node.with_shard(lease, "jobs", |shard, _| shard.job_finished(job, stage));
                 return;
             }
-            FinishTry::Abandoned => return,
-            FinishTry::Failed => retry.wait().await,
+            FinishAttempt::GiveUp => return,
+            FinishAttempt::Retry => backoff.wait().await,
         }
     }
 }
 
-async fn try_finish(node: &Node, lease: &ShardLease, job: &str, mod_revision: u64) -> FinishTry {
+async fn try_finish(
+    node: &Node,
+    lease: &ShardLease,
+    job: &str,
+    mod_revision: u64,
+) -> FinishAttempt {
     let item = match node.clients.kv.get(&keys::job(job), KV_DEADLINE).await {
         Ok(Some(item)) => item,
-        Ok(None) => return FinishTry::Finished(None),
-        Err(_) => return FinishTry::Failed,
+        Ok(None) => return FinishAttempt::Finished(None),
+        Err(_) => return FinishAttempt::Retry,
     };
     let record = match serde_json::from_value::<JobRecord>(item.value) {
         Ok(record) => record,
         Err(error) => {
             error!(job, %error, "the record of a finished job cannot be parsed");
-            return FinishTry::Abandoned;
+            return FinishAttempt::GiveUp;
         }
     };
-    let last = FinalRecord::new(JobStage::Done, record.spec).shortened_to(node.value_bytes());
-    let Ok(transaction) = job_transition::finish_job_transaction(job, mod_revision, &last) else {
-        return FinishTry::Abandoned;
+    let final_record =
+        FinalRecord::new(JobStage::Done, record.spec).shortened_to(node.value_bytes());
+    let Ok(transaction) = job_transition::finish_job_transaction(job, mod_revision, &final_record)
+    else {
+        return FinishAttempt::GiveUp;
     };
     let transaction = transaction.guard(keys::leader(), lease.fencing_token.revision());
     match node.clients.kv.txn(&transaction, KV_DEADLINE).await {
-        Ok(TransactionOutcome::Committed { .. }) => FinishTry::Finished(Some(JobStage::Done)),
+        Ok(TransactionOutcome::Committed { .. }) => FinishAttempt::Finished(Some(JobStage::Done)),
         Ok(TransactionOutcome::Conflict) if !may_still_lead(node, lease).await => {
-            FinishTry::Abandoned
+            FinishAttempt::GiveUp
         }
-        Ok(TransactionOutcome::Conflict) | Err(_) => FinishTry::Failed,
+        Ok(TransactionOutcome::Conflict) | Err(_) => FinishAttempt::Retry,
     }
 }
 
-/// Reads how a job ended whose unfinished record is missing; again after failures, until
-/// the lease ends.
-pub(super) async fn read_final(node: &Arc<Node>, lease: &Arc<ShardLease>, job: &str) {
-    let mut retry = Backoff::default();
+/// Reads the final record of a job whose unfinished record is missing, and passes it to the
+/// shard. Retries after failures until the lease ends.
+pub(super) async fn read_final_record(node: &Arc<Node>, lease: &Arc<ShardLease>, job: &str) {
+    let mut backoff = Backoff::default();
     while !lease.has_ended() {
         if let Ok(item) = node
             .clients
@@ -89,6 +99,6 @@
             });
             return;
         }
-        retry.wait().await;
+        backoff.wait().await;
     }
 }
--- a/src/coordination/executor/mod.rs
+++ b/src/coordination/executor/mod.rs
@@ -1,11 +1,11 @@
-//! The action executor: it carries out what the shard decided, and reports each outcome
-//! back to the shard as an event.
+//! The action executor: carries out the actions that the shard decided on, and reports each
+//! outcome back to the shard as an event.
 //!
-//! Owns how an action is sent and retried, and what a lost or ambiguous answer means.
-//! [`Node::with_shard`] spawns [`execute`] for each action that an event led to. It
-//! sends commands and rents or deletes machines only while the leader's lease is live;
-//! its writes are conditional on the leader record, so that the store refuses them once
-//! another controller leads. It never decides what to do: that is [`super::shard`].
+//! This module owns how an action is sent and retried, and what a lost or ambiguous answer
+//! means. [`Node::with_shard`] spawns [`execute`] for each action that results from an event.
+//! The executor sends commands and rents or deletes machines only while the leader's lease is
+//! live. Its writes are conditional on the leader record, so that the store refuses them once
+//! another controller leads. All decisions are made by [`super::shard`].
 
 mod commands;
 mod fencing;
@@ -24,7 +24,7 @@
 use crate::protocol::MachineId;
 use crate::protocol::cloud::Rental;
 
-/// Carries out one action.
+/// Carries out one action of the shard under the lease under which it was decided.
 pub async fn execute(node: Arc<Node>, lease: Arc<ShardLease>, action: Action) {
     match action {
         Action::Command {
@@ -43,10 +43,10 @@
         Action::Finish { job, mod_revision } => {
             jobs::finish(&node, &lease, &job, mod_revision).await;
         }
-        Action::ReadFinal { job } => jobs::read_final(&node, &lease, &job).await,
+        Action::ReadFinal { job } => jobs::read_final_record(&node, &lease, &job).await,
         Action::Rent(rental) => rent(&node, &lease, &rental).await,
         Action::Delete(machines) => delete(&node, &lease, &machines).await,
-        Action::Fenced { seen } => fencing::check_fence(&node, &lease, seen).await,
+        Action::Fenced { seen } => fencing::handle_higher_token(&node, &lease, seen).await,
     }
 }
 
@@ -83,8 +83,8 @@
     }
 }
 
-/// What the shard has to know of an answer: above all, whether the request may have been
-/// or may still be carried out.
+/// Converts the cloud's answer to the outcome that the shard needs, above all whether the request
+/// may have been or may still be carried out.
 fn rental_outcome(result: Result<Vec<String>, CloudError>) -> RentalOutcome {
     match result {
         Ok(machines) => RentalOutcome::Rented(machines),
@@ -103,12 +103,15 @@
     });
 }
 
-/// Deletes machines; the shard repeats deletions that failed, whatever the reason.
+/// Deletes machines and returns whether that succeeded. The shard repeats a failed deletion,
+/// whatever the reason of the failure.
 async fn delete_machines(node: &Node, machines: &[MachineId]) -> bool {
     node.clients
         .cloud
         .delete(machines)
         .await
-        .inspect_err(|error| debug!(machines = machines.len(), %error, "deletion failed"))
+        .inspect_err(
+            |error| debug!(machines = machines.len(), %error, "deletion of machines failed"),
+        )
         .is_ok()
 }
--- a/src/coordination/executor/shard_write.rs
+++ b/src/coordination/executor/shard_write.rs
@@ -1,8 +1,8 @@
-//! Writes of the shard's keys: fenced, and applied in order.
+//! Writes of the shard's keys, which are fenced and applied in order.
 //!
-//! Each write is one transaction, conditional on the leader record of this leadership
-//! and on the sequence record as the last write left it. So no write is applied once
-//! another controller leads, none is applied twice, and none before its predecessor.
+//! Each write is one transaction. It is conditional on the leader record of this leadership, so
+//! no write is applied once another controller leads, and on the sequence record that the
+//! previous write left, so no write is applied twice or before its predecessor.
 
 use tracing::{error, warn};
 
@@ -16,33 +16,33 @@
 use crate::storage::kv_client::{KvError, TransactionOutcome};
 use crate::storage::records::{FORMAT_VERSION, SequenceRecord};
 
-/// What became of a shard write.
+/// The final outcome of a shard write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WriteOutcome {
-    /// The store has applied it.
+    /// The store has applied the write.
     Applied,
-    /// The store will not take it as it is, now or later.
+    /// The store refuses the write as too large and would do so again.
     TooLarge,
     /// The lease ended before the write was known to be applied.
     LeaseEnded,
 }
 
-/// What one try of a write came to.
-enum WriteTry {
-    /// The store has applied the write, by this try or an earlier one.
+/// The result of one attempt to apply a write.
+enum WriteAttempt {
+    /// The store has applied the write, in this attempt or an earlier one.
     Applied {
-        /// The sequence record's new modification revision.
+        /// The modification revision of the sequence record after the write.
         mod_revision: u64,
     },
-    /// The store refuses the write as it is.
+    /// The store refuses the write as too large.
     TooLarge,
-    /// Another controller leads, or wrote the sequence record: the lease has been ended.
+    /// Another controller leads or wrote the sequence record. The lease has been ended.
     Superseded,
-    /// The write was not applied, as far as could be read: it has to be sent again.
-    Unresolved,
+    /// The write is not known to be applied and has to be sent again.
+    Retry,
 }
 
-/// Applies one shard write, again after failures, as long as the lease has not ended.
+/// Applies one shard write. Retries after failures until the lease ends.
 pub(super) async fn write(node: &Node, lease: &ShardLease, write: &ShardWrite) -> WriteOutcome {
     let mut sequence = lease.sequence.lock().await;
     let record = SequenceRecord {
@@ -53,19 +53,19 @@
     let Ok(transaction) = fenced_transaction(lease, *sequence, &record, write) else {
         return WriteOutcome::LeaseEnded;
     };
-    let mut retry = Backoff::default();
+    let mut backoff = Backoff::default();
     while !lease.has_ended() {
         match try_write(node, lease, *sequence, &record, &transaction).await {
-            WriteTry::Applied { mod_revision } => {
+            WriteAttempt::Applied { mod_revision } => {
                 *sequence = Sequence {
                     mod_revision,
                     number: record.number,
                 };
                 return WriteOutcome::Applied;
             }
-            WriteTry::TooLarge => return WriteOutcome::TooLarge,
-            WriteTry::Superseded => return WriteOutcome::LeaseEnded,
-            WriteTry::Unresolved => retry.wait().await,
+            WriteAttempt::TooLarge => return WriteOutcome::TooLarge,
+            WriteAttempt::Superseded => return WriteOutcome::LeaseEnded,
+            WriteAttempt::Retry => backoff.wait().await,
         }
     }
     WriteOutcome::LeaseEnded
@@ -77,28 +77,29 @@
     sequence: Sequence,
     record: &SequenceRecord,
     transaction: &Transaction,
-) -> WriteTry {
+) -> WriteAttempt {
     match node.clients.kv.txn(transaction, KV_DEADLINE).await {
-        Ok(TransactionOutcome::Committed { revision }) => WriteTry::Applied {
+        Ok(TransactionOutcome::Committed { revision }) => WriteAttempt::Applied {
             mod_revision: revision,
         },
         Ok(TransactionOutcome::Conflict) | Err(KvError::NoAnswer { .. }) => {
-            resolve(node, lease, sequence, record).await
+            resolve_attempt(node, lease, sequence, record).await
         }
         Err(KvError::TooLarge { answer, .. }) => {
             error!(fencing_token = %lease.fencing_token, answer, "the store refused a shard write as too large");
-            WriteTry::TooLarge
+            WriteAttempt::TooLarge
         }
         Err(error) if error.is_protocol_error() => {
             error!(fencing_token = %lease.fencing_token, %error, "unexpected answer to a shard write");
-            WriteTry::Unresolved
+            WriteAttempt::Retry
         }
-        Err(_) => WriteTry::Unresolved,
+        Err(_) => WriteAttempt::Retry,
     }
 }
 
-/// The write with its conditions: the leader record is ours, and the sequence record is
-/// as the last write left it.
+/// Builds the transaction of a write. Its conditions are that the leader record is that of this
+/// lease and that the sequence record is as the previous write left it. It also writes `record`
+/// as the new sequence record.
 fn fenced_transaction(
     lease: &ShardLease,
     sequence: Sequence,
@@ -118,42 +119,43 @@
     Ok(transaction)
 }
 
-/// Finds out what a conflict or a lost answer means, by the sequence record in the store:
-/// `record` is the one of this write, `sequence` that of the write before.
-async fn resolve(
+/// Reads the sequence record from the store to determine whether a write was applied that was
+/// answered with a conflict or not at all. `record` is the sequence record of this write,
+/// `sequence` describes that of the previous write.
+async fn resolve_attempt(
     node: &Node,
     lease: &ShardLease,
     sequence: Sequence,
     record: &SequenceRecord,
-) -> WriteTry {
+) -> WriteAttempt {
     let mod_revision = match read_sequence(node).await {
         Ok(Some(found)) if found.record == *record => {
-            return WriteTry::Applied {
+            return WriteAttempt::Applied {
                 mod_revision: found.mod_revision,
             };
         }
         Ok(found) => found.map_or(0, |found| found.mod_revision),
-        Err(_) => return WriteTry::Unresolved,
+        Err(_) => return WriteAttempt::Retry,
     };
     if mod_revision != sequence.mod_revision {
-        warn!(fencing_token = %lease.fencing_token, "superseded: another leader wrote the shard");
+        warn!(fencing_token = %lease.fencing_token, "lease ended: another controller wrote the shard's sequence record");
         lease.end();
-        return WriteTry::Superseded;
+        return WriteAttempt::Superseded;
     }
     if may_still_lead(node, lease).await {
-        WriteTry::Unresolved
+        WriteAttempt::Retry
     } else {
-        WriteTry::Superseded
+        WriteAttempt::Superseded
     }
 }
 
-/// The sequence record in the store.
+/// The sequence record as read from the store.
 struct StoredSequence {
     record: SequenceRecord,
     mod_revision: u64,
 }
 
-/// Reads the sequence record; None if there is none that can be parsed.
+/// Reads the sequence record. Returns `None` if it is missing or cannot be parsed.
 async fn read_sequence(node: &Node) -> Result<Option<StoredSequence>, KvError> {
     let item = node.clients.kv.get(&keys::sequence(), KV_DEADLINE).await?;
     Ok(item.and_then(|item| {
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,17 +1,21 @@
-//! Leadership of a shard, and what a controller does as its leader or as a delegate
+//! Leadership of a shard, and the work of a controller as the shard's leader or as a delegate
 //! of the leader.
 //!
-//! * [`node`] is the controller's settings, clients, limits and state; all others take it.
-//! * [`leadership`] campaigns for the shard, renews its lease, and runs the leader's loop.
-//! * [`shard`] decides: a state machine without clients, from events to actions.
-//! * `shard_events` gives the shard its events, and its actions to the [`executor`].
-//! * [`cloud`] polls the cloud and is its client.
-//! * [`worker_leases`] says by which authority a controller may renew workers' leases;
+//! * [`node`] holds the controller's settings, clients, limits and state. The other modules take
+//!   a reference to it.
+//! * [`leadership`] campaigns for leadership of the shard, renews the leader's lease, and runs the
+//!   leader's loop.
+//! * [`shard`] makes the decisions. It is a state machine that takes events and returns actions,
+//!   and does no I/O.
+//! * `shard_events` passes events to the shard, and the resulting actions to the [`executor`].
+//! * [`cloud`] contains the cloud's client and polls the cloud.
+//! * [`worker_leases`] determines by what authority a controller may renew workers' leases.
 //!   [`worker_heartbeats`] answers workers accordingly.
-//! * [`requests`] answers users; [`peering`] exchanges heartbeats, votes, delegations and
-//!   cancellations with the other controllers.
+//! * [`requests`] answers users.
+//! * [`peering`] exchanges heartbeats, votes, delegations and cancellations with the other
+//!   controllers.
 //!
-//! [`crate::api`] serves requests with this layer, and [`crate::server`] spawns its loops.
+//! [`crate::api`] calls this layer to answer requests, and [`crate::server`] spawns its loops.
 
 pub mod clock_drift;
 pub mod cloud;
--- a/src/coordination/requests/admission.rs
+++ b/src/coordination/requests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of jobs: which well-formed submissions can never run here.
+//! Admission control: rejects well-formed submissions of jobs that can never run on this cluster.
 
 use std::fmt;
 
@@ -8,28 +8,28 @@
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::{JobKind, JobSpec, field};
 
-/// Slack with which a need is compared with a quota limit: both are sums of floating-point
-/// amounts.
+/// Tolerance when a job's need is compared with a quota limit. Both are sums of floating-point
+/// amounts, which are inexact.
 const QUOTA_TOLERANCE: f64 = 1e-9;
 
-/// Why a job can never run. The texts are those of the answers to users.
+/// Why a job can never run. The messages are part of the answers to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(super) enum Inadmissible {
-    /// The operators' settings don't name its team.
+    /// The settings don't contain the job's team.
     #[error("unknown team")]
     UnknownTeam,
-    /// No machine type that it may use holds one of its tasks.
+    /// No machine type that the job may use is large enough for one of its tasks.
     #[error("a task fits no allowed machine type")]
     NoMachineTypeFits,
-    /// What it needs at the same time exceeds its team's quota limit of this resource.
+    /// The amount of this resource that the job needs at once exceeds its team's quota limit.
     #[error("more than the team's limit")]
     OverQuotaLimit(LimitedResource),
-    /// Its record exceeds what the key-value store holds in a value.
+    /// The job's record exceeds the largest value that the key-value store accepts.
     #[error("the job's description is too long to be kept")]
     RecordTooLarge,
 }
 
-/// A resource that has a quota limit, written as the submission's field.
+/// A resource that has a quota limit. It is displayed by the name of its field in a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LimitedResource {
     Cores,
@@ -52,7 +52,7 @@
 }
 
 impl Inadmissible {
-    /// The submission's field at fault.
+    /// The name of the submission's field that caused the rejection.
     pub(super) fn field(self) -> &'static str {
         match self {
             Self::UnknownTeam => field::TEAM,
@@ -62,7 +62,8 @@
     }
 }
 
-/// Checks that a job can run some time, on these machine types and within its team's quota.
+/// Checks that a job can run at some time on one of these machine types and within its team's
+/// quota limit.
 pub(super) fn check(
     policy: &Policy,
     types: &[MachineType],
@@ -72,7 +73,10 @@
         .teams
         .get(&spec.team)
         .ok_or(Inadmissible::UnknownTeam)?;
-    if !types.iter().any(|machine_type| fits(spec, machine_type)) {
+    if !types
+        .iter()
+        .any(|machine_type| fits_machine_type(spec, machine_type))
+    {
         return Err(Inadmissible::NoMachineTypeFits);
     }
     check_quota_limit(spec, spec.cores, team.cores_max, LimitedResource::Cores)?;
@@ -84,25 +88,25 @@
     )
 }
 
-/// Whether a machine of this type, empty, holds one task of the job and may be used by it.
-fn fits(spec: &JobSpec, machine_type: &MachineType) -> bool {
-    let type_allowed = spec
+/// Whether the job may use this machine type, and an empty machine of it has room for one task.
+fn fits_machine_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
+    let is_type_allowed = spec
         .machine_types
         .as_ref()
         .is_none_or(|types| types.contains(&machine_type.name));
-    let zone_offered = spec
+    let is_zone_available = spec
         .zone
         .as_ref()
         .is_none_or(|zone| machine_type.zones.contains(zone));
-    type_allowed
-        && zone_offered
+    is_type_allowed
+        && is_zone_available
         && machine_type.cores >= spec.cores
         && machine_type.accelerators >= spec.accelerators
         && machine_type.mem_gb >= spec.mem_gb
 }
 
-/// Compares what the job needs of a resource at the same time with its team's quota limit; a
-/// limit of 0 means none.
+/// Checks that the amount of a resource that the job needs at once is within its team's quota
+/// limit. A limit of 0 means unlimited.
 fn check_quota_limit(
     spec: &JobSpec,
     need_per_task: f64,
@@ -116,7 +120,7 @@
     Ok(())
 }
 
-/// How many tasks have to run at the same time for the job to run at all.
+/// How many of the job's tasks have to run at the same time for the job to run at all.
 fn concurrent_tasks(spec: &JobSpec) -> f64 {
     match spec.kind {
         JobKind::Batch => 1.0,
--- a/src/coordination/requests/cancellation.rs
+++ b/src/coordination/requests/cancellation.rs
@@ -1,8 +1,8 @@
-//! Cancelling a job: the durable write before the user gets a confirmation.
+//! Cancellation of a job, which is written to the store before the user gets a confirmation.
 
 use std::sync::Arc;
 
-use super::kv_access::{read, read_final, write_in_turn};
+use super::kv_access::{read, read_final, write_within_rate_share};
 use super::response::UserResponse;
 use crate::coordination::node::Node;
 use crate::protocol::kv::{KeyValue, KvRequest};
@@ -11,16 +11,16 @@
 use crate::storage::records::{FinalRecord, JobRecord};
 use crate::storage::{job_transition, keys};
 
-/// How often a cancellation is tried while others change the job's record.
+/// Maximum number of attempts to cancel a job whose record is changed concurrently.
 const CANCEL_ATTEMPTS: u32 = 6;
 
-/// Cancels a job, or answers with its final state if it has one already.
+/// Cancels a job. If the job is already finished, answers with its final state instead.
 pub(super) async fn cancel(node: &Arc<Node>, id: &str) -> Result<UserResponse, KvError> {
     for _ in 0..CANCEL_ATTEMPTS {
-        let Some(open) = read(node, &keys::job(id)).await? else {
-            return answer_not_open(node, id).await;
+        let Some(open_record) = read(node, &keys::job(id)).await? else {
+            return answer_finished_or_unknown(node, id).await;
         };
-        if let Some(response) = try_cancel(node, id, open).await? {
+        if let Some(response) = try_cancel(node, id, open_record).await? {
             return Ok(response);
         }
     }
@@ -30,27 +30,30 @@
     })
 }
 
-async fn answer_not_open(node: &Arc<Node>, id: &str) -> Result<UserResponse, KvError> {
+async fn answer_finished_or_unknown(node: &Arc<Node>, id: &str) -> Result<UserResponse, KvError> {
     Ok(match read_final(node, id).await? {
         Some(record) => UserResponse::after_cancellation(id, record.stage),
         None => UserResponse::not_found(),
     })
 }
 
-/// Replaces the open job's record by a final one; `None` if the record has changed meanwhile.
+/// Replaces the record of an unfinished job by a final record. Returns `None` if the record has
+/// changed since it was read.
 async fn try_cancel(
     node: &Arc<Node>,
     id: &str,
-    open: KeyValue,
+    open_record: KeyValue,
 ) -> Result<Option<UserResponse>, KvError> {
-    let job: JobRecord = serde_json::from_value(open.value)
-        .map_err(|source| KvError::undecodable_record(&open.key, source))?;
-    let record = FinalRecord::new(JobStage::Cancelled, job.spec).shortened_to(node.value_bytes());
-    let transaction = job_transition::finish_job_transaction(id, open.mod_revision, &record)
-        .map_err(|source| KvError::unencodable("a final record", source))?;
-    match write_in_turn(node, &transaction).await? {
+    let job: JobRecord = serde_json::from_value(open_record.value)
+        .map_err(|source| KvError::undecodable_record(&open_record.key, source))?;
+    let final_record =
+        FinalRecord::new(JobStage::Cancelled, job.spec).shortened_to(node.value_bytes());
+    let transaction =
+        job_transition::finish_job_transaction(id, open_record.mod_revision, &final_record)
+            .map_err(|source| KvError::unencodable("a final record", source))?;
+    match write_within_rate_share(node, &transaction).await? {
         TransactionOutcome::Committed { revision } => {
-            node.job_index.record_final(id, &record, revision);
+            node.job_index.record_final(id, &final_record, revision);
             node.notify_finished_jobs();
             Ok(Some(UserResponse::after_cancellation(
                 id,
--- a/src/coordination/requests/kv_access.rs
+++ b/src/coordination/requests/kv_access.rs
@@ -1,4 +1,4 @@
-//! Reads and writes of the key-value store on users' behalf.
+//! Reads and writes of the key-value store on behalf of users.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,18 +9,20 @@
 use crate::storage::kv_client::{KvError, Refusal, TransactionOutcome, backoff};
 use crate::storage::records::FinalRecord;
 
-/// Deadline of one request to the store on a user's behalf.
+/// Time from sending a request to the store on behalf of a user until it counts as unanswered.
 const USER_KV_DEADLINE: Duration = Duration::from_millis(1500);
-/// Retries after a 429, which means only that the store serves others just now.
+/// Maximum number of retries after a 429, which only means that the store is busy with other
+/// requests at the moment.
 const MAX_RATE_LIMIT_RETRIES: u32 = 4;
 
-/// Repeats a request while the store is at its rate limit.
+/// Sends a request and retries it, up to [`MAX_RATE_LIMIT_RETRIES`] times and with backoff, while
+/// the store refuses it because of its rate limit.
 pub(super) async fn retry_rate_limited<T, F: Future<Output = Result<T, KvError>>>(
-    mut request: impl FnMut() -> F,
+    mut send_request: impl FnMut() -> F,
 ) -> Result<T, KvError> {
     let mut retries = 0;
     loop {
-        match request().await {
+        match send_request().await {
             Err(error) if error.is_rate_limited() && retries < MAX_RATE_LIMIT_RETRIES => {
                 retries += 1;
                 tokio::time::sleep(backoff(retries)).await;
@@ -30,9 +32,9 @@
     }
 }
 
-/// Writes when it is this request's turn within the controller's share of the store's writes; a
-/// request whose turn would come too late is refused at once.
-pub(super) async fn write_in_turn(
+/// Waits for a slot within this controller's share of the store's write rate, then runs the
+/// transaction. If the wait would be too long, the request is refused immediately.
+pub(super) async fn write_within_rate_share(
     node: &Node,
     transaction: &Transaction,
 ) -> Result<TransactionOutcome, KvError> {
@@ -46,12 +48,13 @@
     retry_rate_limited(|| node.clients.kv.txn(transaction, USER_KV_DEADLINE)).await
 }
 
-/// Reads one key.
+/// Reads one key. Returns `None` if it doesn't exist.
 pub(super) async fn read(node: &Node, key: &str) -> Result<Option<KeyValue>, KvError> {
     retry_rate_limited(|| node.clients.kv.get(key, USER_KV_DEADLINE)).await
 }
 
-/// Reads a job's final record. The job index and the shard learn of it before the user does.
+/// Reads a job's final record. The job index and the shard are notified of it before this returns,
+/// and so before the user is answered. Returns `None` if the job has no final record.
 pub(super) async fn read_final(node: &Arc<Node>, id: &str) -> Result<Option<FinalRecord>, KvError> {
     let Some(item) = read(node, &keys::final_job(id)).await? else {
         return Ok(None);
--- a/src/coordination/requests/mod.rs
+++ b/src/coordination/requests/mod.rs
@@ -1,11 +1,11 @@
-//! Requests of users: submitting a job, querying its state and cancelling it.
+//! User requests: submitting a job, querying its state and cancelling it.
 //!
-//! The [`crate::api`] layer passes in a request and writes out the response. Any controller
-//! answers: from the key-value store or, while the store doesn't serve it, through a peer
-//! (`routing`). A final state, and that a job was never accepted, are answered only from a
-//! linearizable read of the store; the counts of an unfinished job's tasks come from the leader's
-//! memory and are for display. The shard is notified of accepted and cancelled jobs, and is never
-//! waited for.
+//! The [`crate::api`] layer decodes requests and encodes the responses. Every controller answers
+//! users, either from the key-value store or, while the store doesn't serve it, through a peer
+//! (`routing`). That a job is finished, or was never accepted, is answered only from a
+//! linearizable read of the store. The task counts of an unfinished job come from the leader's
+//! memory and are for display only. The shard is notified of accepted and cancelled jobs, but no
+//! request waits for the shard.
 
 mod admission;
 mod cancellation;
--- a/src/coordination/requests/request.rs
+++ b/src/coordination/requests/request.rs
@@ -1,14 +1,14 @@
-//! What users ask for, and its validation.
+//! User requests and their validation.
 
 use thiserror::Error;
 
 use crate::protocol::peers::PeerRequest;
-use crate::protocol::users::{JobSpec, Malformed, Submission, parse_submission, valid_job_id};
+use crate::protocol::users::{JobSpec, Malformed, Submission, is_valid_job_id, parse_submission};
 
-/// A user's request for a job, as it came.
+/// A user's request as it was received, before validation.
 #[derive(Debug, Clone, PartialEq)]
 pub enum UserRequest {
-    /// Submit a job, described by the request's body.
+    /// Submit the job that this request body describes.
     Submit(Vec<u8>),
     /// Query the state of the job with this id.
     Poll(String),
@@ -16,16 +16,16 @@
     Cancel(String),
 }
 
-/// Who sent a request here.
+/// Who sent a request to this controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOrigin {
     /// The user.
     User,
-    /// Another controller, which forwards a user's request. It is not forwarded again.
+    /// Another controller, which forwarded a user's request. The request is not forwarded again.
     Peer,
 }
 
-/// A request that is valid in itself.
+/// A validated request.
 #[derive(Debug)]
 pub(super) enum Operation {
     Submit { id: String, spec: Box<JobSpec> },
@@ -33,19 +33,20 @@
     Cancel { id: String },
 }
 
-/// Why a request is invalid, whatever the state of the jobs.
+/// Why a request is invalid, regardless of which jobs exist.
 #[derive(Debug, PartialEq, Error)]
 pub(super) enum InvalidRequest {
     #[error(transparent)]
     Malformed(#[from] Malformed),
-    /// No job can have this id.
+    /// The text is not a job id, so no job can have it.
     #[error("no such job")]
     ImpossibleJobId,
 }
 
 impl UserRequest {
-    /// Reads a request that a peer forwards; `None` if it is none that users may send.
-    pub fn from_forward(method: &str, path: &str, body: Vec<u8>) -> Option<Self> {
+    /// Decodes a request that a peer has forwarded. Returns `None` if the method and path are not
+    /// those of a user request.
+    pub fn from_forwarded(method: &str, path: &str, body: Vec<u8>) -> Option<Self> {
         match (method, path.strip_prefix("/v1/jobs")?) {
             ("POST", "") => Some(Self::Submit(body)),
             ("GET", rest) => Some(Self::Poll(rest.strip_prefix('/')?.to_owned())),
@@ -57,8 +58,8 @@
         }
     }
 
-    /// The frame by which the request is forwarded.
-    pub(super) fn to_forward(&self) -> PeerRequest {
+    /// Encodes the request as the frame that forwards it to a peer.
+    pub(super) fn to_forward_frame(&self) -> PeerRequest {
         let (method, path, body) = match self {
             Self::Submit(body) => ("POST", "/v1/jobs".to_owned(), body.clone()),
             Self::Poll(id) => ("GET", format!("/v1/jobs/{id}"), Vec::new()),
@@ -79,14 +80,18 @@
                 let spec = Box::new(spec);
                 Ok(Operation::Submit { id, spec })
             }
-            Self::Poll(id) => Ok(Operation::Poll { id: job_id(id)? }),
-            Self::Cancel(id) => Ok(Operation::Cancel { id: job_id(id)? }),
+            Self::Poll(id) => Ok(Operation::Poll {
+                id: validate_job_id(id)?,
+            }),
+            Self::Cancel(id) => Ok(Operation::Cancel {
+                id: validate_job_id(id)?,
+            }),
         }
     }
 }
 
-fn job_id(id: &str) -> Result<String, InvalidRequest> {
-    valid_job_id(id)
+fn validate_job_id(id: &str) -> Result<String, InvalidRequest> {
+    is_valid_job_id(id)
         .then(|| id.to_owned())
         .ok_or(InvalidRequest::ImpossibleJobId)
 }
--- a/src/coordination/requests/response.rs
+++ b/src/coordination/requests/response.rs
@@ -1,4 +1,4 @@
-//! What users are answered: the HTTP status and the JSON body.
+//! Responses to users: the HTTP status and the JSON body.
 
 use serde_json::json;
 
@@ -7,14 +7,14 @@
 use crate::coordination::shard::TaskCounts;
 use crate::protocol::users::{JobStage, JobView};
 
-const OK: u16 = 200;
-const CREATED: u16 = 201;
-const BAD_REQUEST: u16 = 400;
-const NOT_FOUND: u16 = 404;
-const UNPROCESSABLE: u16 = 422;
-const UNAVAILABLE: u16 = 503;
+const STATUS_OK: u16 = 200;
+const STATUS_CREATED: u16 = 201;
+const STATUS_BAD_REQUEST: u16 = 400;
+const STATUS_NOT_FOUND: u16 = 404;
+const STATUS_UNPROCESSABLE: u16 = 422;
+const STATUS_UNAVAILABLE: u16 = 503;
 
-/// An answer to a user.
+/// A response to a user.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UserResponse {
     /// The HTTP status.
@@ -31,7 +31,7 @@
         }
     }
 
-    /// A job's stage alone, without the counts of its tasks.
+    /// Responds with a job's stage, without the counts of its tasks.
     fn stage(status: u16, id: &str, stage: JobStage) -> Self {
         let view = JobView {
             id: id.to_owned(),
@@ -42,71 +42,72 @@
         Self::json(status, &view)
     }
 
-    /// A job's stage and the counts of its tasks.
-    fn counts(id: &str, stage: JobStage, counts: TaskCounts) -> Self {
+    /// Responds with a job's stage and the counts of its tasks.
+    fn stage_and_counts(id: &str, stage: JobStage, counts: TaskCounts) -> Self {
         let view = JobView {
             id: id.to_owned(),
             stage,
             done: Some(counts.done),
             running: Some(counts.running),
         };
-        Self::json(OK, &view)
+        Self::json(STATUS_OK, &view)
     }
 
-    /// The job has been accepted by this request.
+    /// Responds that this request has submitted the job.
     pub(super) fn accepted(id: &str) -> Self {
-        Self::stage(CREATED, id, JobStage::Pending)
+        Self::stage(STATUS_CREATED, id, JobStage::Pending)
     }
 
-    /// The state in which a cancellation has left or found the job.
+    /// Responds to a cancellation with the job's stage: cancelled, or the final stage that the job
+    /// had already reached.
     pub(super) fn after_cancellation(id: &str, stage: JobStage) -> Self {
-        Self::stage(OK, id, stage)
+        Self::stage(STATUS_OK, id, stage)
     }
 
-    /// The state of an unfinished job.
+    /// Responds with the state of an unfinished job.
     pub(super) fn unfinished_job(id: &str, counts: TaskCounts) -> Self {
         let stage = if counts.running > 0 {
             JobStage::Running
         } else {
             JobStage::Pending
         };
-        Self::counts(id, stage, counts)
+        Self::stage_and_counts(id, stage, counts)
     }
 
-    /// The final state of a job with this many tasks.
+    /// Responds with the final state of a job that has `tasks` tasks.
     pub(super) fn finished_job(id: &str, stage: JobStage, tasks: u32) -> Self {
         let done = if stage == JobStage::Done { tasks } else { 0 };
-        Self::counts(id, stage, TaskCounts { done, running: 0 })
+        Self::stage_and_counts(id, stage, TaskCounts { done, running: 0 })
     }
 
-    /// The service can't accept or answer the request now; the user should retry soon.
+    /// Responds that the request can't be accepted or answered now; the user should retry soon.
     pub fn unavailable(why: &str) -> Self {
-        Self::json(UNAVAILABLE, &json!({ "error": why }))
+        Self::json(STATUS_UNAVAILABLE, &json!({ "error": why }))
     }
 
-    /// Neither this controller nor a peer gets an answer from the key-value store.
+    /// Responds that neither this controller nor a peer got an answer from the key-value store.
     pub(super) fn store_unavailable() -> Self {
         Self::unavailable("the state service does not answer")
     }
 
-    /// Nobody submitted this job.
+    /// Responds that no such job was ever accepted.
     pub fn not_found() -> Self {
-        Self::json(NOT_FOUND, &json!({ "error": "no such job" }))
+        Self::json(STATUS_NOT_FOUND, &json!({ "error": "no such job" }))
     }
 
-    /// The request is malformed, in this field if one is at fault.
+    /// Responds that the request is malformed; `field` is the invalid field, if it is a single one.
     pub fn malformed(why: &str, field: Option<&str>) -> Self {
-        Self::json(BAD_REQUEST, &json!({ "error": why, "field": field }))
+        Self::json(STATUS_BAD_REQUEST, &json!({ "error": why, "field": field }))
     }
 
-    /// Whether the service could not accept or answer the request.
+    /// Whether the response says that the request could not be accepted or answered.
     pub(super) fn is_unavailable(&self) -> bool {
-        self.status == UNAVAILABLE
+        self.status == STATUS_UNAVAILABLE
     }
 
-    /// Whether the job is known never to have been accepted.
+    /// Whether the response says that the job was never accepted.
     pub(super) fn is_not_found(&self) -> bool {
-        self.status == NOT_FOUND
+        self.status == STATUS_NOT_FOUND
     }
 }
 
@@ -123,7 +124,7 @@
     fn from(reason: Inadmissible) -> Self {
         let error = reason.to_string();
         Self::json(
-            UNPROCESSABLE,
+            STATUS_UNPROCESSABLE,
             &json!({ "error": error, "field": reason.field() }),
         )
     }
--- a/src/coordination/requests/response/tests.rs
+++ b/src/coordination/requests/response/tests.rs
@@ -1,7 +1,7 @@
 use super::super::admission::LimitedResource;
 use super::*;
 
-fn assert_bytes(response: UserResponse, status: u16, body: &str) {
+fn assert_response(response: UserResponse, status: u16, body: &str) {
     assert_eq!(response.status, status);
     assert_eq!(String::from_utf8_lossy(&response.body), body);
 }
@@ -31,39 +31,39 @@
         ),
     ];
     for (reason, body) in expected {
-        assert_bytes(reason.into(), 422, body);
+        assert_response(reason.into(), 422, body);
     }
 }
 
 #[test]
 fn job_states_are_answered_with_the_published_fields() {
     let counts = |done, running| TaskCounts { done, running };
-    assert_bytes(
+    assert_response(
         UserResponse::accepted("run-1"),
         201,
         r#"{"NameId":"run-1","Stage":"pending"}"#,
     );
-    assert_bytes(
+    assert_response(
         UserResponse::after_cancellation("run-1", JobStage::Cancelled),
         200,
         r#"{"NameId":"run-1","Stage":"cancelled"}"#,
     );
-    assert_bytes(
+    assert_response(
         UserResponse::unfinished_job("run-1", counts(2, 0)),
         200,
         r#"{"NameId":"run-1","Stage":"pending","done":2,"running":0}"#,
     );
-    assert_bytes(
+    assert_response(
         UserResponse::unfinished_job("run-1", counts(2, 1)),
         200,
         r#"{"NameId":"run-1","Stage":"running","done":2,"running":1}"#,
     );
-    assert_bytes(
+    assert_response(
         UserResponse::finished_job("run-1", JobStage::Done, 7),
         200,
         r#"{"NameId":"run-1","Stage":"done","done":7,"running":0}"#,
     );
-    assert_bytes(
+    assert_response(
         UserResponse::finished_job("run-1", JobStage::Cancelled, 7),
         200,
         r#"{"NameId":"run-1","Stage":"cancelled","done":0,"running":0}"#,
@@ -72,23 +72,23 @@
 
 #[test]
 fn requests_that_are_refused_or_fail_are_answered_with_the_published_texts() {
-    assert_bytes(
+    assert_response(
         InvalidRequest::ImpossibleJobId.into(),
         404,
         r#"{"error":"no such job"}"#,
     );
-    assert_bytes(
+    assert_response(
         InvalidRequest::Malformed(crate::protocol::users::Malformed::Missing { field: "Cores" })
             .into(),
         400,
         r#"{"error":"field Cores is missing","field":"Cores"}"#,
     );
-    assert_bytes(
+    assert_response(
         InvalidRequest::Malformed(crate::protocol::users::Malformed::NotAnObject).into(),
         400,
         r#"{"error":"the body is not a JSON object","field":null}"#,
     );
-    assert_bytes(
+    assert_response(
         UserResponse::store_unavailable(),
         503,
         r#"{"error":"the state service does not answer"}"#,
--- a/src/coordination/requests/routing.rs
+++ b/src/coordination/requests/routing.rs
@@ -1,7 +1,8 @@
-//! Which controller answers a request: this one, a peer, or whichever is first.
+//! Decides which controller answers a user request: this one, a peer, or whichever is first.
 //!
-//! A request is hedged: if the key-value store hasn't answered this controller for a while, peers
-//! are asked as well. Every request is idempotent, so that it may be carried out twice.
+//! Requests are hedged: if the key-value store hasn't answered this controller within the hedge
+//! delay, the request is also forwarded to peers. This is safe because every request is
+//! idempotent and so may be carried out twice.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,26 +17,27 @@
 use crate::storage::job_index::FinalState;
 use crate::storage::kv_client::KvError;
 
-/// How long a submission or cancellation waits for the store before a peer is asked as well.
+/// Time from the start of a submission or cancellation until it is also forwarded to peers.
 const WRITE_HEDGE_DELAY: Duration = Duration::from_millis(80);
-/// The same for a status query, which shares a catch-up read with many others.
+/// Time from the start of a status query until it is also forwarded to peers. It is longer because
+/// a status query shares a catch-up read with many others.
 const POLL_HEDGE_DELAY: Duration = Duration::from_millis(600);
-/// Pause between two checks whether this controller's writes for users still queue.
-const WRITE_QUEUE_CHECK: Duration = WRITE_HEDGE_DELAY;
+/// Pause between two checks whether user writes of this controller are still queued.
+const WRITE_QUEUE_CHECK_INTERVAL: Duration = WRITE_HEDGE_DELAY;
 
 /// How a user's request is answered.
 enum Route {
-    /// At once, with what is known here.
+    /// Immediately, from what this controller knows.
     Immediate(UserResponse),
-    /// By a peer that the key-value store serves.
+    /// By a peer that can reach the key-value store.
     Peers,
-    /// From the key-value store, hedged by the peers.
+    /// From the key-value store, hedged by forwarding to peers.
     Store,
 }
 
 /// Answers a user's request.
 pub async fn answer(node: &Arc<Node>, request: UserRequest, origin: RequestOrigin) -> UserResponse {
-    // What is invalid in itself is refused wherever it arrives.
+    // An invalid request is refused by whichever controller receives it.
     let operation = match request.validate() {
         Ok(operation) => operation,
         Err(invalid) => return invalid.into(),
@@ -43,7 +45,7 @@
     match origin {
         RequestOrigin::Peer => execute(node, operation)
             .await
-            .unwrap_or_else(|error| store_failed(&error)),
+            .unwrap_or_else(|error| store_failure_response(&error)),
         RequestOrigin::User => match route(node, &operation) {
             Route::Immediate(response) => response,
             Route::Peers => forward_to_peers(node, &request)
@@ -72,7 +74,7 @@
     }
 }
 
-/// Carries out a request on the key-value store.
+/// Carries out a request through this controller's own client of the key-value store.
 async fn execute(node: &Arc<Node>, operation: Operation) -> Result<UserResponse, KvError> {
     match operation {
         Operation::Submit { id, spec } => submission::submit(node, &id, *spec).await,
@@ -86,7 +88,7 @@
     request: &UserRequest,
     operation: Operation,
 ) -> UserResponse {
-    let hedge = hedge(node, request, hedge_delay(&operation));
+    let hedge = forward_after_delay(node, request, hedge_delay(&operation));
     let local = execute(node, operation);
     tokio::pin!(local, hedge);
     tokio::select! {
@@ -94,11 +96,11 @@
             Ok(response) => response,
             Err(error) => forward_to_peers(node, request)
                 .await
-                .unwrap_or_else(|| store_failed(&error)),
+                .unwrap_or_else(|| store_failure_response(&error)),
         },
         response = &mut hedge => match response {
             Some(response) => response,
-            None => local.await.unwrap_or_else(|error| store_failed(&error)),
+            None => local.await.unwrap_or_else(|error| store_failure_response(&error)),
         },
     }
 }
@@ -110,17 +112,22 @@
     }
 }
 
-/// Forwards a request once this controller's own try has taken long.
-async fn hedge(node: &Arc<Node>, request: &UserRequest, delay: Duration) -> Option<UserResponse> {
+/// Forwards a request to peers after the hedge delay and once no user writes are queued here.
+async fn forward_after_delay(
+    node: &Arc<Node>,
+    request: &UserRequest,
+    delay: Duration,
+) -> Option<UserResponse> {
     tokio::time::sleep(delay).await;
-    // While writes queue here, the peers are as busy: the request's turn comes first here.
+    // While user writes are queued here, the peers are equally busy, so that the request's
+    // turn comes first here.
     while node.admission.user_writes.delay(node.now()) > Duration::ZERO {
-        tokio::time::sleep(WRITE_QUEUE_CHECK).await;
+        tokio::time::sleep(WRITE_QUEUE_CHECK_INTERVAL).await;
     }
     forward_to_peers(node, request).await
 }
 
-fn store_failed(error: &KvError) -> UserResponse {
-    debug!(%error, "user request not answered by the key-value store");
+fn store_failure_response(error: &KvError) -> UserResponse {
+    debug!(%error, "the key-value store did not answer a user request");
     UserResponse::store_unavailable()
 }
--- a/src/coordination/requests/status_query.rs
+++ b/src/coordination/requests/status_query.rs
@@ -1,4 +1,4 @@
-//! Querying a job's state.
+//! Queries of a job's state.
 
 use std::sync::Arc;
 
@@ -11,8 +11,8 @@
 
 /// Answers with a job's state.
 ///
-/// The unfinished jobs are searched first: a job's record moves from there to its final record
-/// and never back, so that a job found in neither was never accepted.
+/// The unfinished jobs are searched before the final records. A finished job's record is replaced
+/// by a final record and never comes back, so a job found in neither was never accepted.
 pub(super) async fn poll(node: &Arc<Node>, id: &str) -> Result<UserResponse, KvError> {
     retry_rate_limited(|| node.catch_up()).await?;
     match node.job_index.status(id) {
@@ -27,13 +27,13 @@
     }
 }
 
-/// The counts of an unfinished job's tasks: from the shard if this controller leads it, otherwise
-/// from the leader's last heartbeat.
+/// Returns the task counts of an unfinished job, from the shard if this controller leads it,
+/// otherwise from the leader's last heartbeat. Counts that are unknown are 0.
 fn task_counts(node: &Node, id: &str) -> TaskCounts {
-    let inner = node.lock();
-    let counts = match &inner.leadership {
-        Some(own) => own.shard.view(id),
-        None => inner.peers.progress.get(id).copied(),
+    let state = node.lock();
+    let counts = match &state.leadership {
+        Some(leadership) => leadership.shard.view(id),
+        None => state.peers.progress.get(id).copied(),
     };
     counts.unwrap_or_default()
 }
--- a/src/coordination/requests/submission.rs
+++ b/src/coordination/requests/submission.rs
@@ -1,9 +1,10 @@
-//! Submitting a job: admission, and the durable write before the user gets a confirmation.
+//! Submission of a job, which passes admission control and is written to the store before the
+//! user gets a confirmation.
 
 use std::sync::Arc;
 
 use super::admission::{self, Inadmissible};
-use super::kv_access::write_in_turn;
+use super::kv_access::write_within_rate_share;
 use super::response::UserResponse;
 use super::status_query;
 use crate::coordination::node::Node;
@@ -13,7 +14,7 @@
 use crate::storage::kv_client::{KvError, TransactionOutcome};
 use crate::storage::records::{FORMAT_VERSION, JobRecord};
 
-/// Accepts a job, or answers with its state if its id has been submitted before.
+/// Accepts a job. If a job with this id has already been accepted, answers with that job's state.
 pub(super) async fn submit(
     node: &Arc<Node>,
     id: &str,
@@ -38,7 +39,7 @@
     if value.to_string().len() > node.value_bytes() {
         return answer_too_large(node, id).await;
     }
-    match write_in_turn(node, &creation(id, value)).await? {
+    match write_within_rate_share(node, &create_job_transaction(id, value)).await? {
         TransactionOutcome::Committed { revision } => {
             notify_shard(node, id, revision, record);
             Ok(UserResponse::accepted(id))
@@ -47,8 +48,8 @@
     }
 }
 
-/// A record that the store can't hold is refused, unless the job was accepted while the store's
-/// limits were larger.
+/// Answers a submission whose record exceeds the store's limit. It is refused, unless the job was
+/// already accepted while the limit was higher: then the answer is that job's state.
 async fn answer_too_large(node: &Arc<Node>, id: &str) -> Result<UserResponse, KvError> {
     let state = status_query::poll(node, id).await?;
     if state.is_not_found() {
@@ -57,16 +58,17 @@
     Ok(state)
 }
 
-/// Writes the job's record, on condition that its id is neither open nor finished.
-fn creation(id: &str, record: serde_json::Value) -> Transaction {
+/// Builds the transaction that writes a new job's record, on condition that no unfinished or
+/// finished job has this id.
+fn create_job_transaction(id: &str, record: serde_json::Value) -> Transaction {
     Transaction::default()
         .guard(keys::job(id), 0)
         .guard(keys::final_job(id), 0)
         .change(Mutation::put(keys::job(id), record))
 }
 
-/// Hands the job to the shard, if this controller leads it; any other leader reads of it by its
-/// watch.
+/// Notifies the shard of the accepted job if this controller leads it. If another controller leads,
+/// it learns of the job from its watch of the store.
 fn notify_shard(node: &Arc<Node>, id: &str, revision: u64, record: JobRecord) {
     let Some(lease) = node.lease() else {
         return;
--- a/src/coordination/retry.rs
+++ b/src/coordination/retry.rs
@@ -1,32 +1,32 @@
-//! Waiting between attempts at one request.
+//! Backoff between attempts of an operation that is retried.
 
 use crate::storage::kv_client::backoff;
 
-/// Counts the consecutive failures of one operation and waits longer after each, with
-/// jitter and a bound (see [`backoff`]).
+/// Counts the consecutive failures of an operation and waits longer after each, with jitter and
+/// up to a bound (see [`backoff`]).
 #[derive(Debug, Default)]
 pub(super) struct Backoff {
     failures: u32,
-    /// Failures that each wait is reckoned to have had before.
-    offset: u32,
+    /// Number of failures added to the actual ones when a wait is computed.
+    extra_failures: u32,
 }
 
 impl Backoff {
-    /// Waits as if so many failures had gone before the first.
-    pub(super) fn starting_after(offset: u32) -> Self {
+    /// Creates a backoff whose waits are as long as if this many more failures had occurred.
+    pub(super) fn with_extra_failures(extra_failures: u32) -> Self {
         Self {
             failures: 0,
-            offset,
+            extra_failures,
         }
     }
 
-    /// Notes a failure and waits until the next attempt may be made.
+    /// Records a failure and waits until the next attempt may be made.
     pub(super) async fn wait(&mut self) {
         self.failures += 1;
-        tokio::time::sleep(backoff(self.failures + self.offset)).await;
+        tokio::time::sleep(backoff(self.failures + self.extra_failures)).await;
     }
 
-    /// Notes a success: the next failure counts as the first.
+    /// Records a success, so that the next failure counts as the first.
     pub(super) fn reset(&mut self) {
         self.failures = 0;
     }
--- a/src/coordination/shard_events.rs
+++ b/src/coordination/shard_events.rs
@@ -1,10 +1,10 @@
-//! Events for the shard that this node leads.
+//! Delivery of events to the shard that this node leads.
 //!
-//! These are methods of [`Node`] because every source of events (the user API, workers'
-//! heartbeats, peers, the store, the cloud, the executor itself) has the node at hand and
-//! nothing else in common, and because an event needs the node's lock and, for the actions
-//! that follow from it, the node's clients. They stand outside of [`super::node`], which
-//! imports nothing that acts.
+//! These are methods of [`Node`] for two reasons. The node is the only thing that all sources of
+//! events have access to: the user API, workers' heartbeats, peers, the store, the cloud and the
+//! executor. And an event needs the node's lock and, for the resulting actions, the node's
+//! clients. The methods are defined here rather than in [`super::node`] because that module
+//! imports nothing that carries out actions.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -18,11 +18,13 @@
 use crate::storage::records::JobRecord;
 
 impl Node {
-    /// Gives the shard of this lease an event, and executes the actions that follow from
-    /// it at once. Decisions that can wait are left to the next pass of the leader's
-    /// loop, which makes them for many events together. None if the lease has ended.
+    /// Applies an event to the shard that this node leads under `lease`, and spawns the actions
+    /// that result from it immediately. Decisions that can wait are left to the next pass of the
+    /// leader's loop, which makes them for many events together. Returns `None` without applying
+    /// the event if the lease has ended or is not the node's current one.
     ///
-    /// `activity` names what the time is spent on, for the log and the status page.
+    /// `activity` is the name under which the log and the status page account for the time that
+    /// the event took.
     pub fn with_shard<T>(
         self: &Arc<Self>,
         lease: &Arc<ShardLease>,
@@ -35,7 +37,7 @@
             let leadership = state
                 .leadership
                 .as_mut()
-                .filter(|own| Arc::ptr_eq(&own.lease, lease) && !lease.has_ended())?;
+                .filter(|leadership| Arc::ptr_eq(&leadership.lease, lease) && !lease.has_ended())?;
             let result = event(&mut leadership.shard, now);
             let took = self.clock.now().saturating_duration_since(now);
             leadership.activities.note(activity, took);
@@ -45,27 +47,27 @@
             (result, leadership.shard.take_actions())
         };
         for action in actions {
-            // Each task ends with its action: after one attempt, or once the lease has
-            // ended. The shard bounds how many are outstanding.
+            // Each spawned task ends with its action: after one attempt, or at the latest once
+            // the lease has ended. The shard limits the number of outstanding actions.
             tokio::spawn(executor::execute(self.clone(), lease.clone(), action));
         }
         Some(result)
     }
 
-    /// Brings the job index up to date with a linearizable read: what it says afterwards
-    /// was true at some moment after this call.
+    /// Brings the job index up to date by a linearizable read of the store. The index then
+    /// reflects the store's state at some moment after the start of this call.
     pub async fn catch_up(self: &Arc<Self>) -> Result<(), KvError> {
-        let sent = self
+        let sent_at = self
             .job_index
             .catch_up(&self.clients.kv, &*self.clock)
             .await?;
         self.notify_finished_jobs();
-        self.lock().cancellations.record_catch_up(sent);
+        self.lock().cancellations.record_catch_up(sent_at);
         Ok(())
     }
 
-    /// Notifies the shard, if this node leads it, of jobs that the job index knows to be
-    /// finished: the leader has to act on whatever its node knows.
+    /// If this node leads the shard, notifies the shard of the jobs that are finished according to
+    /// the job index: the leader has to act on everything that its node knows.
     pub fn notify_finished_jobs(self: &Arc<Self>) {
         let Some(lease) = self.lease_to_notify() else {
             return;
@@ -78,25 +80,27 @@
         });
     }
 
-    /// The lease of the shard, if the job index knows of more finished jobs than when the
-    /// shard was last notified; counts as notified from now on.
+    /// Returns the lease of the shard if the job index has changed since the shard was last
+    /// notified of finished jobs, and marks the shard as notified of the index's current state.
     fn lease_to_notify(&self) -> Option<Arc<ShardLease>> {
-        let finished = self.job_index.change_count();
+        let change_count = self.job_index.change_count();
         let mut state = self.lock();
-        let own = state.leadership.as_mut()?;
-        let notified = own.notified_change_count.replace(finished) == Some(finished);
-        (!notified).then(|| own.lease.clone())
+        let leadership = state.leadership.as_mut()?;
+        let is_notified =
+            leadership.notified_change_count.replace(change_count) == Some(change_count);
+        (!is_notified).then(|| leadership.lease.clone())
     }
 
     fn finished_jobs_unknown_to(&self, shard: &Shard) -> Vec<JobId> {
-        let finished = |job: &&Job| {
+        let is_newly_finished = |job: &&Job| {
             job.final_stage.is_none() && self.job_index.has_ended(&job.id, job.mod_revision)
         };
-        let jobs = shard.jobs().values().filter(finished);
+        let jobs = shard.jobs().values().filter(is_newly_finished);
         jobs.map(|job| job.id.clone()).collect()
     }
 
-    /// Notifies the shard of an accepted job, unless it is known to have finished since.
+    /// Notifies the shard of an accepted job, unless the job index shows that the job has
+    /// finished since.
     pub fn notify_job_accepted(
         &self,
         shard: &mut Shard,
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,8 +1,9 @@
-//! The cloud's interface: machine types, rentals (scale-out) and the list of machines.
+//! Messages of the cloud's HTTP interface: machine types, rentals (scale-out), deletions and the
+//! list of rented machines.
 
 use serde::{Deserialize, Serialize};
 
-/// A machine type.
+/// A machine type that the cloud rents out.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
     /// The type's name.
@@ -17,22 +18,22 @@
     /// Memory of one machine, in GB.
     #[serde(rename = "MemGb")]
     pub mem_gb: f64,
-    /// Space for images of one machine, in GB.
+    /// Space for cached images on one machine, in GB.
     #[serde(rename = "CacheGb", default)]
     pub cache_gb: f64,
-    /// How fast images are fetched, in GB per second.
+    /// Rate at which one machine fetches images, in GB per second.
     #[serde(rename = "FetchGbPerS", default)]
     pub fetch_gb_per_s: f64,
     /// Price per hour of an on-demand machine.
     #[serde(rename = "Price")]
     pub price: f64,
-    /// Price per hour of a spot machine, if there are any.
+    /// Price per hour of a spot machine; `None` if the cloud rents no spot machines of this type.
     #[serde(rename = "LowPrice", default)]
     pub spot_price: Option<f64>,
-    /// Seconds that a machine usually takes to start.
+    /// Time that a machine usually takes to start, in seconds.
     #[serde(rename = "StartupS", default)]
     pub startup_s: f64,
-    /// The zones that have machines of this type.
+    /// The zones in which the cloud rents machines of this type.
     #[serde(rename = "Halls")]
     pub zones: Vec<String>,
 }
@@ -40,16 +41,16 @@
 /// The answer to `/machine_types`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineTypes {
-    /// All types.
+    /// All machine types.
     #[serde(rename = "Instruments")]
     pub types: Vec<MachineType>,
 }
 
-/// A scale-out request.
+/// A scale-out request: rents machines of one type in one zone.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Rental {
-    /// The request's name. A repeated request with the same name rents no more machines, and a
-    /// name is never used again for another.
+    /// The idempotency key of the request. Sending a request again with the same key rents no more
+    /// machines, and a key is never reused for another request.
     #[serde(rename = "Booking")]
     pub request: String,
     /// The machine type.
@@ -61,15 +62,15 @@
     /// Whether spot machines are requested.
     #[serde(rename = "Borrowed")]
     pub spot: bool,
-    /// Most machines to rent.
+    /// Maximum number of machines to rent.
     #[serde(rename = "Count")]
     pub count: u32,
 }
 
-/// Machines by name: the answer to a rental, the body of a deletion.
+/// A list of machines by name: the answer to a rental, and the body of a deletion.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// Their names.
+    /// The names of the machines.
     #[serde(rename = "Stands")]
     pub machines: Vec<String>,
 }
@@ -78,11 +79,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineState {
-    /// Not up yet.
+    /// The machine is not up yet.
     Starting,
-    /// Up.
+    /// The machine is up.
     Running,
-    /// Stopped without having been deleted.
+    /// The machine stopped without having been deleted.
     Failed,
     /// A state that this version doesn't know.
     #[serde(other)]
@@ -95,7 +96,7 @@
     /// The machine's name.
     #[serde(rename = "NameId")]
     pub id: String,
-    /// Its worker's address.
+    /// The address of its worker.
     #[serde(rename = "Addr", default)]
     pub addr: String,
     /// Its type.
@@ -110,7 +111,7 @@
     /// Its state.
     #[serde(rename = "Stage")]
     pub state: MachineState,
-    /// Seconds since its rental was requested.
+    /// Time since its rental was requested, in seconds.
     #[serde(rename = "HeldS", default)]
     pub age_s: f64,
 }
@@ -118,10 +119,10 @@
 /// A page of the machine list.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachinePage {
-    /// The page's machines.
+    /// The machines on this page.
     #[serde(rename = "Stands")]
     pub machines: Vec<ListedMachine>,
-    /// Whether more follow.
+    /// Whether another page follows.
     #[serde(rename = "HasNext", default)]
     pub more: bool,
 }
--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -1,17 +1,18 @@
-//! The key-value store's interface.
+//! Messages of the key-value store's HTTP interface.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Most keys of a page of a list.
+/// Maximum number of keys requested for one page of a list.
 const LIST_PAGE_KEYS: usize = 500;
 
-/// What the body of a 400 says if a transaction attaches a key to a lease that has ended.
+/// Text in the body of a 400 that answers a transaction which attaches a key to a lease that has
+/// ended.
 pub const NO_SUCH_LEASE: &str = "no such lease";
 
-/// A request to the store; bodies are apart.
+/// A request to the store, without its body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KvRequest {
     /// Reads one key.
@@ -23,12 +24,12 @@
     List {
         /// The prefix.
         prefix: String,
-        /// The last key of the page before, or nothing.
+        /// The last key of the previous page; empty for the first page.
         after: String,
     },
-    /// Runs a [`Transaction`].
+    /// Runs a transaction; the body is a [`Transaction`].
     Transaction,
-    /// Requests a lease by a [`LeaseRequest`].
+    /// Requests a new lease; the body is a [`LeaseRequest`].
     GrantLease,
     /// Renews a lease.
     RenewLease {
@@ -40,19 +41,19 @@
         /// The lease's id.
         lease: u64,
     },
-    /// Reads the changes of keys with a prefix, waiting for the first if there are none yet.
+    /// Reads the changes of keys with a prefix, and waits for the first change if there are none.
     Watch {
         /// The prefix.
         prefix: String,
-        /// The revision after which changes are read.
+        /// The revision after which changes are returned.
         after: u64,
-        /// How long the store waits, in milliseconds.
+        /// How long the store waits for a first change, in milliseconds.
         hold_ms: u128,
     },
 }
 
 impl KvRequest {
-    /// The request's path and query.
+    /// Returns the request's path and query string.
     pub fn path(&self) -> String {
         match self {
             Self::Get { key } => format!("/store/{key}"),
@@ -72,7 +73,7 @@
     }
 }
 
-/// Names the request and what it is about, for messages.
+/// Describes the request for log and error messages.
 impl fmt::Display for KvRequest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -89,7 +90,7 @@
     }
 }
 
-/// A stored key.
+/// A key in the store, with its value.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct KeyValue {
     /// The key.
@@ -101,18 +102,18 @@
     /// The revision of its last change.
     #[serde(rename = "Mark")]
     pub mod_revision: u64,
-    /// The lease that it is attached to: the key is deleted when the lease ends.
+    /// The lease that the key is attached to: the key is deleted when the lease ends.
     #[serde(rename = "Tenure", default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<u64>,
 }
 
-/// A page of keys.
+/// A page of a list of keys.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct KeyPage {
     /// The keys on this page, in order.
     #[serde(rename = "Pairs")]
     pub items: Vec<KeyValue>,
-    /// Whether more follow.
+    /// Whether another page follows.
     #[serde(rename = "HasNext", default)]
     pub more: bool,
     /// The revision at which the page was read.
@@ -120,14 +121,14 @@
     pub revision: u64,
 }
 
-/// A transaction's condition: the key was last changed at this revision. 0 means that it must not
-/// exist.
+/// A condition of a transaction: the key was last changed at this revision. Revision 0 means that
+/// the key must not exist.
 #[derive(Debug, Clone, Deserialize, Serialize, PartialEq)]
 pub struct Precondition {
     /// The key.
     #[serde(rename = "Path")]
     pub key: String,
-    /// The revision of its last change.
+    /// The required revision of its last change.
     #[serde(rename = "Mark")]
     pub mod_revision: u64,
 }
@@ -144,7 +145,7 @@
         /// Its new value.
         #[serde(rename = "V")]
         value: Value,
-        /// The lease to attach it to.
+        /// The lease to attach the key to, if any.
         #[serde(rename = "Tenure", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
@@ -157,7 +158,7 @@
 }
 
 impl Mutation {
-    /// A write of a key without a lease.
+    /// Creates a write of a key that is not attached to a lease.
     pub fn put(key: impl Into<String>, value: Value) -> Self {
         Self::Put {
             key: key.into(),
@@ -166,26 +167,26 @@
         }
     }
 
-    /// A deletion.
+    /// Creates a deletion of a key.
     pub fn delete(key: impl Into<String>) -> Self {
         Self::Delete { key: key.into() }
     }
 }
 
-/// A compare-and-swap transaction: all mutations are applied if all preconditions are met, else
-/// none is.
+/// A compare-and-swap transaction: if all preconditions are met, all mutations are applied;
+/// otherwise none is.
 #[derive(Debug, Clone, Default, Deserialize, Serialize, PartialEq)]
 pub struct Transaction {
-    /// Its conditions.
+    /// The conditions under which the mutations are applied.
     #[serde(rename = "Guards")]
     pub preconditions: Vec<Precondition>,
-    /// Its changes, which share one revision.
+    /// The changes, which all get the same revision.
     #[serde(rename = "Apply", default, skip_serializing_if = "Vec::is_empty")]
     pub mutations: Vec<Mutation>,
 }
 
 impl Transaction {
-    /// Adds the condition that a key was last changed at this revision.
+    /// Adds the condition that a key was last changed at this revision; 0 if it must not exist.
     pub fn guard(mut self, key: impl Into<String>, mod_revision: u64) -> Self {
         self.preconditions.push(Precondition {
             key: key.into(),
@@ -194,22 +195,22 @@
         self
     }
 
-    /// Adds a change.
-    pub fn change(mut self, change: Mutation) -> Self {
-        self.mutations.push(change);
+    /// Adds a mutation.
+    pub fn change(mut self, mutation: Mutation) -> Self {
+        self.mutations.push(mutation);
         self
     }
 }
 
-/// The revision in a transaction's answer.
+/// The answer to a transaction that was applied.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Committed {
-    /// The revision of its mutations.
+    /// The revision of the transaction's mutations.
     #[serde(rename = "Edition")]
     pub revision: u64,
 }
 
-/// The answer to a new lease.
+/// The answer to a [`LeaseRequest`].
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct LeaseGranted {
     /// The lease's id.
@@ -220,12 +221,12 @@
 /// A request for a lease.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct LeaseRequest {
-    /// Time to live in milliseconds.
+    /// The lease's time to live, in milliseconds.
     #[serde(rename = "TtlMs")]
     pub ttl_ms: u64,
 }
 
-/// A change that a watch has observed.
+/// A change of a key that a watch returned.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 #[serde(untagged)]
 pub enum WatchEvent {
@@ -234,10 +235,10 @@
         /// The key.
         #[serde(rename = "Write")]
         key: String,
-        /// Its value.
+        /// Its new value.
         #[serde(rename = "V")]
         value: Value,
-        /// The revision.
+        /// The revision of the write.
         #[serde(rename = "Mark")]
         mod_revision: u64,
     },
@@ -246,19 +247,19 @@
         /// The key.
         #[serde(rename = "Drop")]
         key: String,
-        /// The revision.
+        /// The revision of the deletion.
         #[serde(rename = "Mark")]
         mod_revision: u64,
     },
 }
 
-/// A watch's answer.
+/// The answer to a watch request.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct WatchPage {
-    /// The revision up to which the changes are complete.
+    /// The revision up to which `events` contains all changes.
     #[serde(rename = "Edition")]
     pub revision: u64,
-    /// The changes, in order.
+    /// The changes, in order of their revisions.
     #[serde(rename = "News", default)]
     pub events: Vec<WatchEvent>,
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,32 +1,33 @@
-//! The published interfaces: types, parsing and validation.
+//! The messages of the published interfaces: their types, parsing and validation.
 //!
-//! The interfaces' own names appear only in this layer, as serde renames and constants; stored
-//! records' names are in [`crate::storage::records`]. All of them, by interface:
+//! The names that the interfaces use on the wire appear only in this layer, as serde renames and
+//! constants. The names in stored records are in [`crate::storage::records`]. The following table
+//! lists the names on the wire by interface:
 //!
 //! | on the wire | in the code | meaning |
 //! | --- | --- | --- |
 //! | **key-value store** | | |
-//! | `Path`, `Write`, `Drop` | `key` | a key; of a write, of a deletion |
-//! | `V` | `value` | the value |
+//! | `Path`, `Write`, `Drop` | `key` | a key; `Write` for the key of a write, `Drop` for that of a deletion |
+//! | `V` | `value` | a key's value |
 //! | `Mark` | `mod_revision` | the revision of a key's last change |
-//! | `Edition` | `revision` | the store's revision |
+//! | `Edition` | `revision` | a revision of the store |
 //! | `Pairs` | `items` | the keys of a page |
-//! | `HasNext` | `more` | whether another page follows (also of the cloud's list) |
+//! | `HasNext` | `more` | whether another page follows (also in the cloud's machine list) |
 //! | `Guards` | `preconditions` | a transaction's conditions |
 //! | `Apply` | `mutations` | a transaction's changes |
 //! | `Tenure`, `/holds` | `lease` | a lease of the store |
 //! | `TtlMs` | `ttl_ms` | a lease's time to live |
-//! | `/follow`, `HoldMs`, `News` | `watch`, `hold_ms`, `events` | a watch, how long it waits, and its changes |
-//! | `Prefix`, `After`, `Most` | `prefix`, `after`, page size | queries of lists and watches |
+//! | `/follow`, `HoldMs`, `News` | `watch`, `hold_ms`, `events` | a watch, how long it waits for a change, and the changes that it returns |
+//! | `Prefix`, `After`, `Most` | `prefix`, `after`, page size | query parameters of lists and watches |
 //! | **cloud** | | |
-//! | `Instrument`, `Instruments` | `machine_type`, `types` | a machine type, or all |
+//! | `Instrument`, `Instruments` | `machine_type`, `types` | a machine type, or all of them |
 //! | `Name` | `name` | a machine type's name |
 //! | `Cores`, `Accelerators`, `MemGb` | `cores`, `accelerators`, `mem_gb` | a machine's resources |
-//! | `CacheGb`, `FetchGbPerS` | `cache_gb`, `fetch_gb_per_s` | space for images, and how fast they are fetched |
-//! | `Price`, `LowPrice` | `price`, `spot_price` | price per hour, on demand and spot |
-//! | `StartupS` | `startup_s` | time to start a machine |
+//! | `CacheGb`, `FetchGbPerS` | `cache_gb`, `fetch_gb_per_s` | space for cached images, and the rate at which images are fetched |
+//! | `Price`, `LowPrice` | `price`, `spot_price` | price per hour of an on-demand and of a spot machine |
+//! | `StartupS` | `startup_s` | usual time that a machine takes to start |
 //! | `Hall`, `Halls` | `zone`, `zones` | a zone |
-//! | `Booking` | `request` | a scale-out request's name |
+//! | `Booking` | `request` | the idempotency key of a scale-out request |
 //! | `Borrowed` | `spot` | a spot machine, or that one may be used |
 //! | `Count` | `count` | how many machines |
 //! | `Stand`, `Stands` | `machine`, `machines` | a machine's name |
@@ -38,13 +39,13 @@
 //! | `Rehearsal` | `agent_epoch` | counts the expiries of a worker's lease |
 //! | `Bar` | `sequence` | orders a worker's messages within an agent epoch |
 //! | `Baton` | `fencing_token` | see [`FencingToken`] |
-//! | `CueS` | `preemption_notice_s` | time until the cloud takes a spot machine away |
-//! | `Voices`, `Voice` | `tasks`, `task` | tasks; their number in a submission |
+//! | `CueS` | `preemption_notice_s` | time until the cloud preempts a spot machine |
+//! | `Voices`, `Voice` | `tasks`, `task` | tasks; in a submission, the number of tasks |
 //! | `Take` | `attempt` | an attempt's number |
-//! | `Stage` | `state` | an attempt's state; `flushing` is `Saving` |
+//! | `Stage` | `state` | an attempt's state; `flushing` is `TaskState::Saving` |
 //! | `Coda` | `outcome` | why an attempt ended: `halted` is `Stopped`, `full` `NoRoom`, `in_use` `Busy`, `peers` `GangPeerLost`, `alone` `GangIncomplete` |
 //! | `Cues`, `CueKind` | `commands`, the variants of `Command` | commands to a worker |
-//! | `RestS` | `grace_s` | time to save a checkpoint after a stop command |
+//! | `RestS` | `grace_s` | time that a task gets to save a checkpoint after a stop command |
 //! | `Conductor` | `leader` | the leader's node id |
 //! | **users** | | |
 //! | `NameId` | `id` | a job's id |
@@ -54,13 +55,13 @@
 //! | `Tempo` | `priority` | the priority |
 //! | `Score`, `ImageGb` | `image`, `image_gb` | the image and its size |
 //! | `Instruments` | `machine_types` | the machine types that may be used |
-//! | `OneZone`, `Scatter` | `one_zone`, `scatter` | placement in one zone, or at most half in one |
+//! | `OneZone`, `Scatter` | `one_zone`, `scatter` | placement of all tasks in one zone, or of at most half of them in any one zone |
 //! | `DurationS` | `duration_s` | estimated run time of a task |
 //! | `BreathS` | `checkpoint_s` | time between two checkpoints |
-//! | `FermataS` | `save_s` | time to save a checkpoint at a stop |
-//! | `CurtainS` | `deadline_s` | time until the job should be done |
+//! | `FermataS` | `save_s` | time that a task needs to save a checkpoint when it is stopped |
+//! | `CurtainS` | `deadline_s` | time from the submission until the job should be done |
 //! | `Stage` | `stage` | a job's state |
-//! | `done`, `running` | the same | counts of tasks |
+//! | `done`, `running` | the same names | numbers of a job's tasks that are done or running |
 
 pub mod cloud;
 pub mod frame;
@@ -82,12 +83,13 @@
 /// A machine's name, given by the cloud.
 pub type MachineId = Arc<str>;
 
-/// Identifies one term of a shard's leadership; a later leader's is larger.
+/// Identifies one term of a shard's leadership. A later term has a larger token.
 ///
-/// It is the store revision at which the leader's record was written, so that it rises with
-/// every election. It fences commands to workers, which drop those with a lower token than the
-/// highest they have seen, and writes to the store, which require that the leader's record still
-/// has this revision. On the wire to workers it is `Baton` (PROTOCOL, "Tokens").
+/// The token is the store revision at which the leader's record was written, so it rises with
+/// every election. It fences commands to workers: a worker drops commands with a lower token than
+/// the highest that it has seen. It also fences writes to the store, which require that the
+/// leader's record still has this revision. On the wire to workers its name is `Baton` (PROTOCOL,
+/// "Tokens").
 #[derive(
     Debug,
     Clone,
@@ -108,12 +110,12 @@
 pub struct FencingToken(u64);
 
 impl FencingToken {
-    /// The token of the leader whose record was written at this store revision.
+    /// Creates the token of the leader whose record was written at this store revision.
     pub const fn new(revision: u64) -> Self {
         Self(revision)
     }
 
-    /// The store revision at which the leader's record was written.
+    /// Returns the store revision at which the leader's record was written.
     pub const fn revision(self) -> u64 {
         self.0
     }
@@ -125,17 +127,17 @@
     }
 }
 
-/// One task of a job.
+/// Identifies one task of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId {
-    /// The job that it belongs to.
+    /// The job that the task belongs to.
     pub job: JobId,
-    /// Its number in the job, from 0.
+    /// The index of the task in the job, from 0.
     pub index: u32,
 }
 
 impl TaskId {
-    /// Parses `JOB/INDEX`; None if the text is not that.
+    /// Parses a text of the form `JOB/INDEX`. Returns `None` if the text has another form.
     pub fn parse(text: &str) -> Option<Self> {
         let (job, index) = text.rsplit_once('/')?;
         if job.is_empty() || index.is_empty() || !index.bytes().all(|b| b.is_ascii_digit()) {
@@ -154,13 +156,13 @@
     }
 }
 
-/// One attempt to run a task.
+/// Identifies one attempt to run a task.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId {
     /// The task.
     pub task: TaskId,
-    /// The attempt's number. It never repeats for a task, whatever a leader that failed had
-    /// started. All tasks of one attempt of a gang carry the same.
+    /// The attempt's number. It is never reused for the same task, even if a leader failed after
+    /// it started attempts. In one attempt of a gang, all tasks have the same number.
     pub number: u64,
 }
 
--- a/src/protocol/peer_messages.rs
+++ b/src/protocol/peer_messages.rs
@@ -1,9 +1,9 @@
-//! Versioned frames between controllers, beside those of [`super::peers`].
+//! Versioned frames between controllers, in addition to those of [`super::peers`].
 //!
-//! An archived frame has no space for another field, and a version reads only frames of its own
-//! layout: while controllers are replaced one by one, a frame's layout can't change. So a new
-//! kind of request has a path of its own with a version at its end, which controllers that don't
-//! know it answer with 404.
+//! An rkyv archive can't be extended by a field, and a controller can only decode frames of the
+//! layout that its own version was built with. During a rolling upgrade several versions run side
+//! by side, so the layout of a frame can't change. A new kind of request therefore gets a path of
+//! its own that ends with a version number. Controllers that don't know the path answer with 404.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
@@ -16,17 +16,17 @@
 /// Requests the cancellations that the receiver has confirmed to users since a revision.
 #[derive(Debug, Clone, Archive, Serialize, Deserialize)]
 pub struct CancellationsRequest {
-    /// The store revision.
+    /// The store revision after which cancellations are requested.
     pub after: u64,
 }
 
-/// The cancellations that a controller has confirmed to users, in this incarnation of its
-/// process.
+/// The answer to [`CancellationsRequest`]: the cancellations that a controller has confirmed to
+/// users since its process started.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct ConfirmedCancellations {
-    /// How long this incarnation has been up, in milliseconds.
+    /// Time since the controller's process started, in milliseconds.
     pub up_ms: u64,
-    /// All of them; None if it has forgotten some.
+    /// All such cancellations; `None` if the controller no longer remembers all of them.
     pub jobs: Option<Vec<CancelledJob>>,
 }
 
@@ -45,23 +45,23 @@
 /// Requests a vote to revive the sender's lease.
 ///
 /// The lease may have expired before the key-value store became unavailable to all controllers.
-/// Whoever grants the vote abstains from elections for this time, and says that it knows of no
-/// later leader.
+/// A controller that grants the vote abstains from elections for `millis` and asserts that it
+/// knows of no later leader.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct ReviveLease {
-    /// The fencing token of the lease.
+    /// The fencing token of the lease to revive.
     pub fencing_token: FencingToken,
-    /// How long the receiver is to abstain, in milliseconds.
+    /// How long the receiver has to abstain from elections, in milliseconds.
     pub millis: u64,
 }
 
 /// The answer to [`ReviveLease`].
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct RevivalVote {
-    /// Whether this incarnation has acquired no later fencing token, and will seek none for so
-    /// long.
+    /// Whether the vote is granted: this process has acquired no later fencing token since it
+    /// started, and will not try to acquire one for the requested time.
     pub granted: bool,
-    /// How long this incarnation has been up, in milliseconds.
+    /// Time since the controller's process started, in milliseconds.
     pub up_ms: u64,
 }
 
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -1,6 +1,7 @@
-//! Frames between controllers, exchanged at `/peer`.
+//! The frames that controllers exchange at `/peer`.
 //!
-//! Their layout is fixed: see [`super::peer_messages`] for those that came later.
+//! The layout of these frames is fixed. Frames that were added later are in
+//! [`super::peer_messages`], which explains why.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
@@ -13,60 +14,61 @@
 /// A request from one controller to another.
 #[derive(Debug, Clone, Archive, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// The sender's heartbeat, to be answered by the receiver's; sent about once a second.
+    /// The sender's heartbeat, which the receiver answers with its own. Sent about once a second.
     Heartbeat(PeerHeartbeat),
-    /// Requests a vote for a lease extension: the sender leads, and can't reach the key-value
-    /// store to renew its lease.
+    /// Requests a vote for a lease extension: the sender leads but can't renew its lease because
+    /// it can't reach the key-value store.
     ExtendLease {
-        /// How long the receiver is to abstain from elections, in milliseconds.
+        /// How long the receiver has to abstain from elections, in milliseconds.
         millis: u64,
     },
     /// A user's request, forwarded because the sender can't reach the key-value store.
     Forward {
-        /// The request's method.
+        /// The HTTP method of the user's request.
         method: String,
-        /// Its path.
+        /// The path of the user's request.
         path: String,
-        /// Its body.
+        /// The body of the user's request.
         body: Vec<u8>,
     },
 }
 
-/// A controller's heartbeat: its state and what it observes.
+/// A controller's heartbeat to its peers: its own state and what it observes of the others.
 #[derive(Debug, Clone, Default, PartialEq, Archive, Serialize, Deserialize)]
 pub struct PeerHeartbeat {
-    /// Its node id.
+    /// The sender's node id.
     pub node_id: String,
-    /// Its zone.
+    /// The sender's zone.
     pub zone: String,
-    /// Whether the key-value store has served it recently.
+    /// Whether the key-value store has answered the sender recently.
     pub kv_served: bool,
-    /// How many workers have sent heartbeats to it recently, whoever answered them.
+    /// Number of workers that have recently sent heartbeats to the sender, however the sender
+    /// answered them.
     pub reachable_workers: u32,
-    /// Seconds since it started.
+    /// Time since the sender's process started, in seconds.
     pub up_s: u64,
-    /// Its fencing token, if it leads the shard.
+    /// The sender's fencing token, if it leads the shard.
     pub fencing_token: Option<FencingToken>,
-    /// The zone with most of the machines, as the leader's last heartbeat named it.
+    /// The zone with most of the machines, according to the leader's last heartbeat.
     pub main_zone: Option<String>,
-    /// From the leader: the progress of its open jobs.
+    /// The progress of the unfinished jobs; empty unless the sender leads.
     pub progress: Vec<Progress>,
-    /// Whether it is ineligible for leadership: it resigned recently since too few workers
-    /// reached it.
+    /// Whether the sender is ineligible for leadership because it resigned recently, after too few
+    /// workers could reach it.
     pub ineligible: bool,
-    /// How long ago it may last have renewed workers' leases under an advance delegation, in
-    /// milliseconds.
+    /// Time since the sender may last have renewed workers' leases under an advance delegation,
+    /// in milliseconds.
     pub answered_by_advance_delegation_ago_ms: u64,
 }
 
-/// How many of a job's tasks are done and running, for display.
+/// The numbers of a job's tasks that are done and running, for display.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct Progress {
     /// The job's id.
     pub job: String,
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     pub done: u32,
-    /// Tasks that are running.
+    /// Number of tasks that are running.
     pub running: u32,
 }
 
@@ -75,16 +77,17 @@
 pub enum PeerAnswer {
     /// The receiver's own heartbeat.
     Heartbeat(PeerHeartbeat),
-    /// The vote on a lease extension.
+    /// The receiver's vote on a lease extension.
     LeaseExtension {
-        /// Whether the receiver abstains from elections for so long.
+        /// Whether the vote is granted: the receiver abstains from elections for the requested
+        /// time.
         granted: bool,
     },
-    /// The answer to a forwarded request.
+    /// The response to a forwarded user request.
     Answer {
-        /// The HTTP status.
+        /// The HTTP status of the response.
         status: u16,
-        /// Its body.
+        /// The body of the response.
         body: Vec<u8>,
     },
     /// The receiver could not decode the frame.
--- a/src/protocol/peers/tests.rs
+++ b/src/protocol/peers/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn frames_survive_a_round_trip_and_rubbish_is_refused() {
+fn frames_round_trip_and_invalid_bytes_are_rejected() {
     let request = PeerRequest::Forward {
         method: "GET".into(),
         path: "/v1/jobs/run-1".into(),
@@ -12,7 +12,7 @@
         PeerRequest::decode(&bytes),
         Ok(PeerRequest::Forward { path, .. }) if path == "/v1/jobs/run-1"
     ));
-    let error = PeerRequest::decode(b"rubbish").expect_err("no frame");
+    let error = PeerRequest::decode(b"rubbish").expect_err("not a frame");
     assert_eq!(
         error.to_string(),
         "cannot decode 7 bytes as a PeerRequest frame"
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -1,4 +1,5 @@
-//! The user API: submissions, and the answers to submissions, polls and cancellations.
+//! Messages of the user API: submissions of jobs, and the answers to submissions, status queries
+//! and cancellations.
 
 use std::time::Duration;
 
@@ -8,49 +9,49 @@
 
 mod submission;
 
-/// Most tasks of a job.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u64 = 100_000;
-/// Longest time to save that is taken as meant, in seconds.
+/// Upper bound in seconds on the time to save a checkpoint; larger values are treated as this one.
 const MAX_SAVE_S: f64 = 1e6;
-/// Longest duration that is taken as meant, in seconds.
+/// Upper bound in seconds on the estimated run time; larger values are treated as this one.
 const MAX_DURATION_S: f64 = 1e9;
-/// What every job id begins with.
+/// The prefix of every job id.
 const JOB_ID_PREFIX: &str = "run-";
-/// Most digits of a job id.
+/// Maximum number of digits after the prefix of a job id.
 const MAX_JOB_ID_DIGITS: usize = 20;
 
-/// How a job's tasks run. Each variant's stored name is its serde name; the wire's is in
-/// `submission`.
+/// How a job's tasks run. The serde names of the variants are those in stored records. The names
+/// on the wire are parsed in `submission`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobKind {
-    /// Independent tasks, each of which runs to its end.
+    /// Independent tasks, each of which runs until it is done.
     Batch,
     /// Replicas that run until the job is cancelled.
     #[serde(rename = "standing")]
     Service,
-    /// Gang scheduling: all tasks run at the same time or none does.
+    /// Gang scheduling: all tasks run at the same time, or none runs.
     Gang,
 }
 
-/// Priorities, lowest first.
+/// The priority of a job. The variants are ordered from the lowest priority to the highest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
-    /// Work without any time by which it is needed.
+    /// Work that is not needed by any particular time.
     BestEffort,
     /// Ordinary work.
     Standard,
-    /// Work that precedes ordinary work.
+    /// Work that takes precedence over ordinary work.
     High,
-    /// Work that serves people at this moment.
+    /// Work that is serving people right now.
     Prod,
 }
 
-/// A job's description, validated. Its field names are those of stored records.
+/// The validated description of a job. The field names are also those in stored records.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The class of jobs that service-level objectives are set for.
+    /// The class that the job belongs to. Service-level objectives are set for each class.
     pub class: String,
     /// The team whose quota and quota limit apply.
     pub team: String,
@@ -58,7 +59,7 @@
     pub kind: JobKind,
     /// Its priority.
     pub priority: Priority,
-    /// How many tasks it has.
+    /// Number of tasks.
     pub tasks: u32,
     /// Cores of each task.
     pub cores: f64,
@@ -70,9 +71,9 @@
     pub image: String,
     /// The image's size, in GB.
     pub image_gb: f64,
-    /// The machine types that its tasks may use; None for any.
+    /// The machine types that its tasks may use; `None` for any.
     pub machine_types: Option<Vec<String>>,
-    /// The only zone that its tasks may use; None for any.
+    /// The only zone that its tasks may use; `None` for any.
     pub zone: Option<String>,
     /// Whether all its tasks have to be in the same zone.
     pub one_zone: bool,
@@ -91,7 +92,8 @@
 }
 
 impl JobSpec {
-    /// How long a task needs to save a checkpoint when it is stopped; zero if it makes none.
+    /// Returns the time that a task needs to save a checkpoint when it is stopped; zero if the job
+    /// makes no checkpoints.
     pub fn save_time(&self) -> Duration {
         if self.checkpoint_s > 0.0 {
             Duration::from_secs_f64(self.save_s.min(MAX_SAVE_S))
@@ -100,19 +102,19 @@
         }
     }
 
-    /// Whether its tasks are scheduled as a gang.
+    /// Whether the job's tasks are scheduled as a gang.
     pub fn is_gang(&self) -> bool {
         self.kind == JobKind::Gang
     }
 
-    /// The submitter's estimate of a task's run time.
+    /// Returns the submitter's estimate of a task's run time.
     pub fn duration(&self) -> Duration {
         Duration::from_secs_f64(self.duration_s.min(MAX_DURATION_S))
     }
 }
 
-/// Whether a text has the form of a job id.
-pub fn valid_job_id(id: &str) -> bool {
+/// Whether a text has the form of a job id: a fixed prefix and a number.
+pub fn is_valid_job_id(id: &str) -> bool {
     id.strip_prefix(JOB_ID_PREFIX).is_some_and(|number| {
         (1..=MAX_JOB_ID_DIGITS).contains(&number.len())
             && number.bytes().all(|byte| byte.is_ascii_digit())
@@ -129,7 +131,7 @@
     Running,
     /// All tasks are done.
     Done,
-    /// A user has cancelled it.
+    /// A user has cancelled the job.
     Cancelled,
 }
 
@@ -142,10 +144,10 @@
     /// Its state.
     #[serde(rename = "Stage")]
     pub stage: JobStage,
-    /// How many of its tasks are done.
+    /// Number of its tasks that are done; `None` if the answer carries no counts.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub done: Option<u32>,
-    /// How many of its tasks are running.
+    /// Number of its tasks that are running; `None` if the answer carries no counts.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub running: Option<u32>,
 }
--- a/src/protocol/users/submission.rs
+++ b/src/protocol/users/submission.rs
@@ -1,23 +1,23 @@
 //! Parsing and validation of a submission's body.
 //!
-//! Fields are read one by one, so that an error names the field as the submitter wrote it.
-//! Fields that the interface doesn't know are ignored.
+//! Fields are read one by one, so that an error can name the invalid field by its name on the wire.
+//! Unknown fields are ignored.
 
 use serde_json::{Map, Value};
 use thiserror::Error;
 
-use super::{JobKind, JobSpec, MAX_TASKS, Priority, valid_job_id};
+use super::{JobKind, JobSpec, MAX_TASKS, Priority, is_valid_job_id};
 
-/// Largest amount or duration that is taken as meant.
+/// Largest accepted amount or duration; larger values are treated as mistakes and rejected.
 const MAX_AMOUNT: f64 = 1e12;
-/// Longest text, in bytes.
+/// Maximum length of a text field, in bytes.
 const MAX_TEXT_BYTES: usize = 200;
 
-/// The wire's names of a submission's fields.
+/// The names of a submission's fields on the wire.
 pub mod field {
     /// The job's id.
     pub const JOB_ID: &str = "NameId";
-    /// The class of jobs.
+    /// The class that the job belongs to.
     pub const CLASS: &str = "Repertoire";
     /// The team.
     pub const TEAM: &str = "Section";
@@ -27,37 +27,37 @@
     pub const PRIORITY: &str = "Tempo";
     /// The number of tasks.
     pub const TASKS: &str = "Voices";
-    /// Cores of each task.
+    /// Number of cores of each task.
     pub const CORES: &str = "Cores";
-    /// Accelerators of each task.
+    /// Number of accelerators of each task.
     pub const ACCELERATORS: &str = "Accelerators";
-    /// Memory of each task.
+    /// Memory of each task, in GB.
     pub const MEMORY: &str = "MemGb";
-    /// The image.
+    /// The image that the tasks run.
     pub const IMAGE: &str = "Score";
-    /// The image's size.
+    /// The image's size, in GB.
     pub const IMAGE_SIZE: &str = "ImageGb";
     /// The machine types that may be used.
     pub const MACHINE_TYPES: &str = "Instruments";
     /// The only zone that may be used.
     pub const ZONE: &str = "Hall";
-    /// All tasks in one zone.
+    /// Whether all tasks have to be in one zone.
     pub const ONE_ZONE: &str = "OneZone";
-    /// At most half of the tasks in one zone.
+    /// Whether at most half of the tasks may be in any one zone.
     pub const SCATTER: &str = "Scatter";
-    /// Spot machines may be used.
+    /// Whether spot machines may be used.
     pub const SPOT: &str = "Borrowed";
-    /// The estimated run time of a task.
+    /// The estimated run time of a task, in seconds.
     pub const DURATION: &str = "DurationS";
-    /// The time between two checkpoints.
+    /// The time between two checkpoints of a task, in seconds.
     pub const CHECKPOINT: &str = "BreathS";
-    /// The time to save a checkpoint when a task is stopped.
+    /// The time that a task needs to save a checkpoint when it is stopped, in seconds.
     pub const SAVE: &str = "FermataS";
-    /// The time until the job should be done.
+    /// The time from the submission until the job should be done, in seconds.
     pub const DEADLINE: &str = "CurtainS";
 }
 
-/// Why a submission is malformed. The message is part of the HTTP answer.
+/// Why a submission is malformed. The message is part of the HTTP response.
 #[derive(Debug, Error, PartialEq)]
 pub enum Malformed {
     /// The body is not a JSON object.
@@ -84,7 +84,8 @@
         Self::Invalid { field, reason }
     }
 
-    /// The wire's name of the field at fault, if it is one field's.
+    /// Returns the name on the wire of the missing or invalid field; `None` if the body as a whole
+    /// is malformed.
     pub fn field(&self) -> Option<&'static str> {
         match self {
             Self::NotAnObject => None,
@@ -93,10 +94,10 @@
     }
 }
 
-/// A job as it was submitted.
+/// A parsed and validated submission of a job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Submission {
-    /// The job's id, chosen by its submitter: a repeated submission has the same.
+    /// The job's id, chosen by its submitter. A repeated submission of the job has the same id.
     pub id: String,
     /// The job's description.
     pub spec: JobSpec,
@@ -108,7 +109,7 @@
     let Value::Object(map) = value else {
         return Err(Malformed::NotAnObject);
     };
-    // Of several wrong fields, the first in this order is reported.
+    // If several fields are invalid, the first in this order is reported.
     let fields = Fields(map);
     let id = fields.job_id()?;
     let kind = fields.kind()?;
@@ -126,26 +127,26 @@
         mem_gb: fields.amount(field::MEMORY)?,
         image: fields.text(field::IMAGE)?,
         image_gb: fields.amount(field::IMAGE_SIZE)?,
-        machine_types: fields.texts_or_null(field::MACHINE_TYPES)?,
-        zone: fields.text_or_null(field::ZONE)?,
+        machine_types: fields.optional_text_list(field::MACHINE_TYPES)?,
+        zone: fields.optional_text(field::ZONE)?,
         one_zone: fields.flag(field::ONE_ZONE)?,
         scatter: fields.flag(field::SCATTER)?,
         spot: fields.flag(field::SPOT)?,
         duration_s: fields.amount(field::DURATION)?,
         checkpoint_s: fields.amount(field::CHECKPOINT)?,
         save_s: fields.amount(field::SAVE)?,
-        deadline_s: fields.amount_or_null(field::DEADLINE)?,
+        deadline_s: fields.optional_amount(field::DEADLINE)?,
     };
     Ok(Submission { id, spec })
 }
 
-/// A submission's fields by their names on the wire.
+/// The fields of a submission, by their names on the wire.
 struct Fields(Map<String, Value>);
 
 impl Fields {
     fn job_id(&self) -> Result<String, Malformed> {
         let id = self.text(field::JOB_ID)?;
-        if !valid_job_id(&id) {
+        if !is_valid_job_id(&id) {
             return Err(Malformed::invalid(field::JOB_ID, "not a job id"));
         }
         Ok(id)
@@ -186,61 +187,61 @@
         Ok(cores)
     }
 
-    fn get(&self, field: &'static str) -> Result<&Value, Malformed> {
+    fn required(&self, field: &'static str) -> Result<&Value, Malformed> {
         self.0.get(field).ok_or(Malformed::Missing { field })
     }
 
-    fn or_null(&self, field: &'static str) -> Option<&Value> {
+    fn get_non_null(&self, field: &'static str) -> Option<&Value> {
         self.0.get(field).filter(|value| !value.is_null())
     }
 
     fn text(&self, field: &'static str) -> Result<String, Malformed> {
-        as_text(field, self.get(field)?)
+        parse_text(field, self.required(field)?)
     }
 
-    fn text_or_null(&self, field: &'static str) -> Result<Option<String>, Malformed> {
-        self.or_null(field)
-            .map(|value| as_text(field, value))
+    fn optional_text(&self, field: &'static str) -> Result<Option<String>, Malformed> {
+        self.get_non_null(field)
+            .map(|value| parse_text(field, value))
             .transpose()
     }
 
-    fn texts_or_null(&self, field: &'static str) -> Result<Option<Vec<String>>, Malformed> {
-        let Some(value) = self.or_null(field) else {
+    fn optional_text_list(&self, field: &'static str) -> Result<Option<Vec<String>>, Malformed> {
+        let Some(value) = self.get_non_null(field) else {
             return Ok(None);
         };
         let list = value
             .as_array()
             .ok_or(Malformed::invalid(field, "must be a list or null"))?;
         list.iter()
-            .map(|value| as_text(field, value))
+            .map(|value| parse_text(field, value))
             .collect::<Result<_, _>>()
             .map(Some)
     }
 
     fn count(&self, field: &'static str) -> Result<u64, Malformed> {
-        self.get(field)?
+        self.required(field)?
             .as_u64()
             .ok_or(Malformed::invalid(field, "must be a whole number"))
     }
 
     fn amount(&self, field: &'static str) -> Result<f64, Malformed> {
-        as_amount(field, self.get(field)?)
+        parse_amount(field, self.required(field)?)
     }
 
-    fn amount_or_null(&self, field: &'static str) -> Result<Option<f64>, Malformed> {
-        self.or_null(field)
-            .map(|value| as_amount(field, value))
+    fn optional_amount(&self, field: &'static str) -> Result<Option<f64>, Malformed> {
+        self.get_non_null(field)
+            .map(|value| parse_amount(field, value))
             .transpose()
     }
 
     fn flag(&self, field: &'static str) -> Result<bool, Malformed> {
-        self.get(field)?
+        self.required(field)?
             .as_bool()
             .ok_or(Malformed::invalid(field, "must be true or false"))
     }
 }
 
-fn as_text(field: &'static str, value: &Value) -> Result<String, Malformed> {
+fn parse_text(field: &'static str, value: &Value) -> Result<String, Malformed> {
     match value.as_str() {
         Some(text) if !text.is_empty() && text.len() <= MAX_TEXT_BYTES => Ok(text.to_owned()),
         Some(_) => Err(Malformed::invalid(field, "must be 1 to 200 bytes")),
@@ -248,7 +249,7 @@
     }
 }
 
-fn as_amount(field: &'static str, value: &Value) -> Result<f64, Malformed> {
+fn parse_amount(field: &'static str, value: &Value) -> Result<f64, Malformed> {
     match value.as_f64() {
         Some(amount) if amount.is_finite() && (0.0..=MAX_AMOUNT).contains(&amount) => Ok(amount),
         Some(_) => Err(Malformed::invalid(field, "out of range")),
--- a/src/protocol/users/tests.rs
+++ b/src/protocol/users/tests.rs
@@ -1,14 +1,15 @@
 use super::*;
 
-const GOOD: &str = r#"{"NameId":"run-000412","Repertoire":"train","Section":"vision",
+const VALID_SUBMISSION: &str = r#"{"NameId":"run-000412","Repertoire":"train","Section":"vision",
     "Form":"batch","Tempo":"high","Voices":16,"Cores":8.0,"Accelerators":1.0,"MemGb":64.0,
     "Score":"img-07","ImageGb":6.2,"Instruments":["g8"],"OneZone":true,
     "Scatter":false,"Borrowed":true,"DurationS":240.0,"BreathS":30.0,"FermataS":4.0,
     "CurtainS":900.0,"Extra":1}"#;
 
 #[test]
-fn a_submission_with_an_absent_null_and_an_unknown_field_is_read() {
-    let Submission { id, spec } = parse_submission(GOOD.as_bytes()).expect("valid");
+fn a_submission_without_an_optional_field_and_with_an_unknown_one_is_parsed() {
+    let Submission { id, spec } =
+        parse_submission(VALID_SUBMISSION.as_bytes()).expect("a valid submission");
     assert_eq!(id, "run-000412");
     assert_eq!(spec.zone, None);
     assert_eq!(spec.tasks, 16);
@@ -16,8 +17,8 @@
 }
 
 #[test]
-fn wrong_values_name_their_field() {
-    for (from, to, field) in [
+fn an_invalid_or_missing_field_is_named_in_the_error() {
+    for (valid, invalid, field) in [
         (r#""Voices":16"#, r#""Voices":0"#, "Voices"),
         (
             r#""Voices":16"#,
@@ -34,9 +35,9 @@
         ),
         (r#""Section":"vision","#, "", "Section"),
     ] {
-        let body = GOOD.replace(from, to);
-        let error = parse_submission(body.as_bytes()).expect_err(to);
-        assert_eq!(error.field(), Some(field), "{to}");
+        let body = VALID_SUBMISSION.replace(valid, invalid);
+        let error = parse_submission(body.as_bytes()).expect_err(invalid);
+        assert_eq!(error.field(), Some(field), "{invalid}");
         assert!(
             error.to_string().starts_with(&format!("field {field} is ")),
             "{error}"
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,24 +1,24 @@
-//! The interface between workers and controllers: heartbeats, their responses, and commands.
+//! Messages between workers and controllers: heartbeats, the responses to them, and commands.
 
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 use super::{AttemptId, FencingToken, TaskId};
 
-/// A task's state on a machine.
+/// The state of a task's attempt on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskState {
-    /// Waiting for its image to be fetched.
+    /// The attempt waits for its image to be fetched.
     Fetching,
-    /// Waiting for the other tasks of its gang's attempt.
+    /// The attempt waits for the other tasks of the same gang attempt.
     Waiting,
-    /// Running.
+    /// The attempt is running.
     Running,
-    /// Commanded to stop, and saving a checkpoint.
+    /// The attempt was commanded to stop and is saving a checkpoint.
     #[serde(rename = "flushing")]
     Saving,
-    /// Ended, with an [`AttemptOutcome`].
+    /// The attempt has ended, with an [`AttemptOutcome`].
     Ended,
 }
 
@@ -28,23 +28,23 @@
 pub enum AttemptOutcome {
     /// The task is done.
     Done,
-    /// It was stopped by a command.
+    /// The attempt was stopped by a command.
     #[serde(rename = "halted")]
     Stopped,
-    /// It failed.
+    /// The attempt failed.
     Error,
-    /// Its start was refused: the machine lacks capacity.
+    /// The worker refused to start the attempt: the machine lacks capacity.
     #[serde(rename = "full")]
     NoRoom,
-    /// Its start was refused: the machine has another attempt of the task.
+    /// The worker refused to start the attempt: the machine has another attempt of the task.
     #[serde(rename = "in_use")]
     Busy,
-    /// Its start was refused: the job or task doesn't exist.
+    /// The worker refused to start the attempt: the job or task doesn't exist.
     Unknown,
-    /// Another task of its gang's attempt has ended.
+    /// Another task of the same gang attempt has ended.
     #[serde(rename = "peers")]
     GangPeerLost,
-    /// The other tasks of its gang's attempt did not start in time.
+    /// The other tasks of the same gang attempt did not start in time.
     #[serde(rename = "alone")]
     GangIncomplete,
     /// An outcome that this version doesn't know.
@@ -52,25 +52,25 @@
     Other,
 }
 
-/// The state of one task in a heartbeat.
+/// The status of one task in a heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TaskStatus {
     /// The task.
     #[serde(rename = "Voice", with = "task_id")]
     pub task: TaskId,
-    /// The number of its attempt.
+    /// The number of the task's attempt.
     #[serde(rename = "Take")]
     pub attempt: u64,
     /// The attempt's state.
     #[serde(rename = "Stage")]
     pub state: TaskState,
-    /// Why the attempt ended, if it has.
+    /// Why the attempt ended; `None` if it has not ended.
     #[serde(rename = "Coda", default, skip_serializing_if = "Option::is_none")]
     pub outcome: Option<AttemptOutcome>,
 }
 
 impl TaskStatus {
-    /// The attempt.
+    /// Returns the id of the attempt that this status is about.
     pub fn attempt_id(&self) -> AttemptId {
         AttemptId {
             task: self.task.clone(),
@@ -97,19 +97,21 @@
     /// Whether it is a spot machine.
     #[serde(rename = "Borrowed")]
     pub spot: bool,
-    /// The worker's agent epoch: it rises each time the worker's lease expires.
+    /// The worker's agent epoch, which rises each time the worker's lease expires.
     #[serde(rename = "Rehearsal")]
     pub agent_epoch: u64,
-    /// Rises with every heartbeat and every answer to commands within an agent epoch.
+    /// The sequence number of this message. Within an agent epoch it rises with every heartbeat
+    /// and every answer to commands.
     #[serde(rename = "Bar")]
     pub sequence: u64,
-    /// The highest fencing token that it has seen.
+    /// The highest fencing token that the worker has seen.
     #[serde(rename = "Baton")]
     pub fencing_token: FencingToken,
-    /// The cloud's preemption notice for a spot machine: seconds until it is taken away.
+    /// The cloud's preemption notice for a spot machine: seconds until the cloud reclaims the
+    /// machine.
     #[serde(rename = "CueS", default)]
     pub preemption_notice_s: Option<f64>,
-    /// All tasks on the machine, ended ones until they are cleared.
+    /// All tasks on the machine. Tasks that have ended are included until they are cleared.
     #[serde(rename = "Voices")]
     pub tasks: Vec<TaskStatus>,
 }
@@ -135,7 +137,7 @@
         /// The number of the attempt.
         #[serde(rename = "Take")]
         attempt: u64,
-        /// Seconds that the task has to save a checkpoint.
+        /// Seconds that the task gets to save a checkpoint.
         #[serde(rename = "RestS")]
         grace_s: f64,
     },
@@ -151,7 +153,7 @@
 }
 
 impl Command {
-    /// The attempt that is commanded.
+    /// Returns the id of the attempt that the command applies to.
     pub fn attempt_id(&self) -> AttemptId {
         let (Self::Launch { task, attempt }
         | Self::Stop { task, attempt, .. }
@@ -169,7 +171,7 @@
     /// The leader's fencing token.
     #[serde(rename = "Baton")]
     pub fencing_token: FencingToken,
-    /// What the worker has to do.
+    /// The commands that the worker has to execute.
     #[serde(rename = "Cues")]
     pub commands: Vec<Command>,
 }
@@ -180,15 +182,16 @@
     /// The leader's fencing token.
     #[serde(rename = "Baton")]
     pub fencing_token: FencingToken,
-    /// The agent epoch that the commands are for.
+    /// The worker's agent epoch that the commands are meant for.
     #[serde(rename = "Rehearsal")]
     pub agent_epoch: u64,
-    /// What the worker has to do.
+    /// The commands that the worker has to execute.
     #[serde(rename = "Cues")]
     pub commands: Vec<Command>,
 }
 
-/// The answer of a controller that doesn't lead: where to send heartbeats instead.
+/// The answer of a controller that may not renew the worker's lease: names the controller to send
+/// heartbeats to instead.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Redirect {
     /// The leader's node id, if it is known.
@@ -196,7 +199,7 @@
     pub leader: Option<String>,
 }
 
-/// A task id as text, `JOB/INDEX`.
+/// Serializes a task id as a text of the form `JOB/INDEX`.
 mod task_id {
     use super::*;
 
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -1,4 +1,4 @@
-//! An HTTP client with a deadline for each call and pooled connections.
+//! An HTTP client with pooled connections and a deadline for each call.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,31 +12,32 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use thiserror::Error;
 
-/// Largest answer that is accepted, in bytes.
+/// Maximum size of the body of an answer, in bytes.
 pub const MAX_ANSWER_BYTES: usize = 4 << 20;
-/// How long an unused connection is kept, unless the caller says otherwise.
+/// Default time for which an unused connection is kept in the pool.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Largest number of unused connections that are kept for one host.
+/// Maximum number of unused connections that are kept in the pool for one host.
 const MAX_IDLE_PER_HOST: usize = 4;
-/// Longest time until a connection is established.
+/// Maximum time to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a call has no answer.
+/// Why a call failed without a usable answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum CallError {
-    /// No connection was established: the request was surely not carried out.
+    /// The request was not sent, for instance because no connection was established. It is certain
+    /// that the request was not carried out.
     #[error("not sent")]
     NotSent,
-    /// The request was sent, in part at least, and not answered before the deadline: it may have
-    /// been carried out, or may still be.
+    /// The request may have been sent, wholly or in part, and no complete answer arrived before
+    /// the deadline. The request may have been carried out, or may still be.
     #[error("no answer")]
     NoAnswer,
-    /// The request was carried out, and its answer exceeds [`MAX_ANSWER_BYTES`].
+    /// The request was carried out, but its answer exceeds [`MAX_ANSWER_BYTES`].
     #[error("answer too large")]
     TooLarge,
 }
 
-/// An answer, of whatever status.
+/// The answer to a call, with any HTTP status.
 #[derive(Debug, Clone)]
 pub struct Answer {
     /// The HTTP status.
@@ -45,19 +46,20 @@
     pub body: Bytes,
 }
 
-/// The client; clones share their pool of connections.
+/// An HTTP client. Clones share one connection pool.
 #[derive(Clone)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl HttpClient {
-    /// A client that keeps unused connections for a default time.
+    /// Creates a client that keeps unused connections for the default time.
     pub fn new() -> Self {
         Self::with_idle_timeout(DEFAULT_IDLE_TIMEOUT)
     }
 
-    /// A client that keeps unused connections for this time, or none if it is zero.
+    /// Creates a client that keeps unused connections for `idle_timeout`. If it is zero, no unused
+    /// connection is kept.
     pub fn with_idle_timeout(idle_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -75,7 +77,8 @@
         Self { client }
     }
 
-    /// Sends a request and waits for its answer until the deadline.
+    /// Sends a request and returns its answer. `deadline` is the maximum time from the start of the
+    /// call until the whole answer has been received.
     pub async fn call(
         &self,
         method: Method,
@@ -90,12 +93,12 @@
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::new(body.into()))
             .map_err(|_| CallError::NotSent)?;
-        tokio::time::timeout(deadline, self.exchange(request))
+        tokio::time::timeout(deadline, self.send(request))
             .await
             .unwrap_or(Err(CallError::NoAnswer))
     }
 
-    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<Answer, CallError> {
+    async fn send(&self, request: Request<Full<Bytes>>) -> Result<Answer, CallError> {
         let response = self.client.request(request).await.map_err(|error| {
             if error.is_connect() {
                 CallError::NotSent
--- a/src/transport/connection_limit.rs
+++ b/src/transport/connection_limit.rs
@@ -1,8 +1,9 @@
-//! A listener that limits its connections, so that a server keeps within its share of the
-//! process's sockets.
+//! A listener that limits the number of its open connections, so that a server stays within its
+//! share of the process's sockets.
 //!
-//! At the limit it doesn't accept, and the load balancer tries the next controller. A connection
-//! on which nothing is received for long is closed: a deleted machine doesn't close its own.
+//! While the limit is reached, the listener accepts no connection, and the load balancer tries the
+//! next controller. A connection on which nothing is received for the idle timeout is closed,
+//! because a machine that is deleted doesn't close its connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,35 +18,36 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::Sleep;
 
-/// Percentage of a limit above which its connections run short.
+/// Percentage of the limit above which the number of open connections is near capacity.
 const NEAR_CAPACITY_PERCENT: usize = 70;
 
-/// A limit on a server's connections; clones share it.
+/// A limit on the number of a server's open connections. Clones share the same limit.
 #[derive(Debug, Clone)]
 pub struct ConnectionLimit {
-    free: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
     max: usize,
 }
 
 impl ConnectionLimit {
-    /// A limit of `max` connections, or of one if `max` is 0.
+    /// Creates a limit of `max` connections, or of one connection if `max` is 0.
     pub fn new(max: usize) -> Self {
         let max = max.max(1);
         Self {
-            free: Arc::new(Semaphore::new(max)),
+            permits: Arc::new(Semaphore::new(max)),
             max,
         }
     }
 
-    /// Whether clients that reconnect anyway should close their connections. There may be more
-    /// workers than sockets, and users and the load balancer need some as well.
-    pub fn near_capacity(&self) -> bool {
-        let open = self.max - self.free.available_permits();
-        open * 100 > self.max * NEAR_CAPACITY_PERCENT
+    /// Whether so many connections are open that clients which reconnect anyway should close
+    /// theirs. There may be more workers than sockets, and users and the load balancer need
+    /// sockets as well.
+    pub fn is_near_capacity(&self) -> bool {
+        let open_connections = self.max - self.permits.available_permits();
+        open_connections * 100 > self.max * NEAR_CAPACITY_PERCENT
     }
 }
 
-/// A listener that accepts connections within a limit.
+/// A listener that accepts a connection only while the limit is not reached.
 pub struct LimitedListener {
     listener: TcpListener,
     limit: ConnectionLimit,
@@ -53,7 +55,8 @@
 }
 
 impl LimitedListener {
-    /// Closes each connection on which nothing has been received for `idle_timeout`.
+    /// Creates a listener that closes a connection once nothing has been received on it for
+    /// `idle_timeout`.
     pub fn new(listener: TcpListener, limit: ConnectionLimit, idle_timeout: Duration) -> Self {
         Self {
             listener,
@@ -68,10 +71,11 @@
     type Addr = SocketAddr;
 
     async fn accept(&mut self) -> (Self::Io, Self::Addr) {
-        // The semaphore is never closed; without a permit a connection would only go uncounted.
-        let permit = self.limit.free.clone().acquire_owned().await.ok();
+        // The semaphore is never closed, so there always is a permit. Without one the connection
+        // would merely not be counted.
+        let permit = self.limit.permits.clone().acquire_owned().await.ok();
         let (stream, addr) = Listener::accept(&mut self.listener).await;
-        // Without Nagle's algorithm a small answer is sent at once.
+        // Disables Nagle's algorithm, so that small answers are sent without delay.
         let _ = stream.set_nodelay(true);
         let connection = LimitedConnection {
             stream,
@@ -92,9 +96,9 @@
 pub struct LimitedConnection {
     stream: TcpStream,
     idle_timeout: Duration,
-    /// When bytes were last received.
+    /// When bytes were last received on the connection.
     last_read: Instant,
-    /// Expires when the time since `last_read` has to be compared with `idle_timeout`.
+    /// The timer for the next comparison of the time since `last_read` with `idle_timeout`.
     idle_check: Pin<Box<Sleep>>,
     _permit: Option<OwnedSemaphorePermit>,
 }
@@ -111,11 +115,11 @@
         }
         loop {
             ready!(self.idle_check.as_mut().poll(cx));
-            let left = self.idle_timeout.saturating_sub(self.last_read.elapsed());
-            if left.is_zero() {
+            let remaining = self.idle_timeout.saturating_sub(self.last_read.elapsed());
+            if remaining.is_zero() {
                 return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
             }
-            self.idle_check.set(tokio::time::sleep(left));
+            self.idle_check.set(tokio::time::sleep(remaining));
         }
     }
 }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,8 +1,8 @@
-//! Sockets and HTTP exchanges: listeners with connection limits, and the HTTP client.
+//! HTTP transport: a listener with a connection limit, and the HTTP client.
 //!
-//! The lowest layer: it imports no other module of this crate. The key-value store's client, the
-//! controllers' coordination and the servers are built on it. It knows neither the messages that
-//! it carries nor their routes.
+//! This is the lowest layer, which imports no other module of this crate. The client of the
+//! key-value store, the coordination layer and the servers use it. It is independent of the
+//! messages that it carries and of their routes.
 
 pub mod client;
 pub mod connection_limit;
