--- a/src/coordination/executor/fencing.rs
+++ b/src/coordination/executor/fencing.rs
@@ -14,7 +14,7 @@
     match node.clients.kv.get(&keys::leader(), KV_DEADLINE).await {
         Ok(Some(item)) if item.mod_revision == lease.fencing_token.revision() => true,
         Ok(_) => {
-            warn!(fencing_token = %lease.fencing_token, "lease ended: the leader record is missing or belongs to another term");
+            warn!(fencing_token = %lease.fencing_token, "lease superseded: the leader record is missing or belongs to another term");
             lease.end();
             false
         }
--- a/src/coordination/executor/jobs.rs
+++ b/src/coordination/executor/jobs.rs
@@ -22,7 +22,7 @@
     /// The attempt must not be repeated: the job's record cannot be parsed, the final record
     /// cannot be encoded, or another controller leads.
     GiveUp,
-    /// The attempt has to be repeated: the store didn't carry the request out or didn't answer,
+    /// The attempt has to be repeated: a request to the store failed or was not answered,
     /// or the job's record has changed.
     Retry,
 }
--- a/src/coordination/executor/shard_write.rs
+++ b/src/coordination/executor/shard_write.rs
@@ -138,7 +138,7 @@
         Err(_) => return WriteAttempt::Retry,
     };
     if mod_revision != sequence.mod_revision {
-        warn!(fencing_token = %lease.fencing_token, "lease ended: another controller wrote the shard's sequence record");
+        warn!(fencing_token = %lease.fencing_token, "lease superseded: another controller wrote the shard's sequence record");
         lease.end();
         return WriteAttempt::Superseded;
     }
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -25,8 +25,8 @@
     pub lease_margin_s: f64,
     /// Time between two snapshots of a changed shard, in seconds.
     pub snapshot_s: f64,
-    /// If changes of the shard have been missing from the snapshot for this long, no task is
-    /// started until they are written, in seconds.
+    /// How long changes of the shard may be missing from the snapshot before no more tasks are
+    /// started, in seconds.
     pub staleness_s: f64,
     /// Share of the key-value store's write rate that snapshots may use.
     pub snapshot_write_share: f64,
