--- a/src/server.rs
+++ b/src/server.rs
@@ -50,12 +50,12 @@
 pub async fn run(settings: Settings) -> Result<(), RunError> {
     let node = Node::new(settings, Arc::new(SteadyClock));
     let platform = &node.settings.platform;
-    let public_listener = listen(platform.front).await?;
+    let public_listener = listen(platform.public_addr).await?;
     let internal_listener = listen(platform.internal_addr).await?;
     info!(
         node_id = node.node_id(),
         zone = platform.zone,
-        public_address = %platform.front,
+        public_address = %platform.public_addr,
         "controller started"
     );
     spawn_background_loops(&node);
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -241,7 +241,7 @@
     pub zone: String,
     /// The address for users, workers and the load balancer.
     #[serde(rename = "front")]
-    pub front: SocketAddr,
+    pub public_addr: SocketAddr,
     /// The address for the other controllers.
     pub internal_addr: SocketAddr,
     /// The other controllers.
