--- a/src/clock.rs
+++ b/src/clock.rs
@@ -15,9 +15,9 @@
 
 /// The operating system's clocks.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct SteadyClock;
+pub struct SystemClock;
 
-impl Clock for SteadyClock {
+impl Clock for SystemClock {
     fn now(&self) -> Instant {
         Instant::now()
     }
--- a/src/server.rs
+++ b/src/server.rs
@@ -12,7 +12,7 @@
 use tracing::info;
 
 use crate::api;
-use crate::clock::SteadyClock;
+use crate::clock::SystemClock;
 use crate::coordination::cloud::polling;
 use crate::coordination::leadership::election;
 use crate::coordination::node::Node;
@@ -48,7 +48,7 @@
 
 /// Runs a controller until the process is killed or a server fails.
 pub async fn run(settings: Settings) -> Result<(), RunError> {
-    let node = Node::new(settings, Arc::new(SteadyClock));
+    let node = Node::new(settings, Arc::new(SystemClock));
     let platform = &node.settings.platform;
     let public_listener = listen(platform.public_addr).await?;
     let internal_listener = listen(platform.internal_addr).await?;
--- a/src/storage/kv_client/tests.rs
+++ b/src/storage/kv_client/tests.rs
@@ -2,7 +2,7 @@
 use tokio::net::TcpListener;
 
 use super::*;
-use crate::clock::SteadyClock;
+use crate::clock::SystemClock;
 use crate::transport::client::MAX_ANSWER_BYTES;
 
 /// A watch that has missed more than an answer may hold would ask for the same
@@ -21,7 +21,7 @@
         let _ = stream.write_all(head.as_bytes()).await;
         let _ = stream.write_all(&vec![b' '; MAX_ANSWER_BYTES + 1]).await;
     });
-    let client = KvClient::new(addr, Arc::new(SteadyClock));
+    let client = KvClient::new(addr, Arc::new(SystemClock));
     let looked = client.catch_up("j/", 0, Duration::from_secs(5)).await;
     assert!(
         matches!(looked, Err(KvError::Compacted { .. })),
--- a/tests/trial/nodes.rs
+++ b/tests/trial/nodes.rs
@@ -8,7 +8,7 @@
 use crate::settings::{ControllerSettings, Peer};
 use crate::support::kv::{KvStore, routes};
 use serde_json::{Value, json};
-use valegap::clock::SteadyClock;
+use valegap::clock::SystemClock;
 use valegap::coordination::node::Node;
 use valegap::coordination::requests::{RequestOrigin, UserRequest, UserResponse, answer};
 use valegap::protocol::cloud::MachineType;
@@ -39,7 +39,7 @@
         platform: Platform::parse("test", &settings.to_json().to_string()).expect("valid settings"),
         operator: Operator::default(),
     };
-    let node = Node::new(settings, Arc::new(SteadyClock));
+    let node = Node::new(settings, Arc::new(SystemClock));
     node.lock().machine_types = Some(vec![MachineType {
         name: "m8".into(),
         cores: 8.0,
