--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -22,7 +22,7 @@
 
 use crate::coordination::node::Node;
 use crate::coordination::requests::UserResponse;
-use crate::protocol::peer_messages::{CANCELLATIONS, REVIVE_LEASE};
+use crate::protocol::peer_messages::{CANCELLATIONS_PATH, REVIVE_LEASE_PATH};
 use crate::transport::connection_limit::ConnectionLimit;
 
 /// Maximum size of a request body from a user or a worker, in bytes.
@@ -69,8 +69,8 @@
 pub fn internal_router(node: Arc<Node>) -> Router {
     Router::new()
         .route("/peer", post(peer::exchange))
-        .route(CANCELLATIONS, post(peer::cancellations))
-        .route(REVIVE_LEASE, post(peer::vote_on_revival))
+        .route(CANCELLATIONS_PATH, post(peer::cancellations))
+        .route(REVIVE_LEASE_PATH, post(peer::vote_on_revival))
         .route("/status", get(operator::status))
         .layer(DefaultBodyLimit::max(MAX_PEER_FRAME_BYTES))
         .with_state(node)
--- a/src/coordination/peering/cancellations.rs
+++ b/src/coordination/peering/cancellations.rs
@@ -14,7 +14,9 @@
 use super::client::post_frame;
 use crate::coordination::clock_drift;
 use crate::coordination::node::Node;
-use crate::protocol::peer_messages::{CANCELLATIONS, CancellationsRequest, ConfirmedCancellations};
+use crate::protocol::peer_messages::{
+    CANCELLATIONS_PATH, CancellationsRequest, ConfirmedCancellations,
+};
 use crate::settings::platform::Peer;
 
 /// Age of the last catch-up read of the jobs from which on the peers are queried.
@@ -95,7 +97,8 @@
 pub async fn query_cancellations(node: Arc<Node>, peer: Peer, after: u64) {
     let sent = node.now();
     let frame = CancellationsRequest { after }.encode();
-    let Ok(answer) = post_frame(&node, &peer, CANCELLATIONS, frame, ROUND_DEADLINE).await else {
+    let Ok(answer) = post_frame(&node, &peer, CANCELLATIONS_PATH, frame, ROUND_DEADLINE).await
+    else {
         return;
     };
     let confirmed = ConfirmedCancellations::decode(&answer.body).ok();
--- a/src/coordination/peering/client.rs
+++ b/src/coordination/peering/client.rs
@@ -5,7 +5,7 @@
 use hyper::Method;
 
 use crate::coordination::node::Node;
-use crate::protocol::peers::{PEER, PeerAnswer, PeerRequest};
+use crate::protocol::peers::{PEER_PATH, PeerAnswer, PeerRequest};
 use crate::settings::platform::Peer;
 use crate::transport::client::{Answer, CallError};
 
@@ -18,7 +18,9 @@
     deadline: Duration,
 ) -> Option<PeerAnswer> {
     let frame = request.encode();
-    let answer = post_frame(node, peer, PEER, frame, deadline).await.ok()?;
+    let answer = post_frame(node, peer, PEER_PATH, frame, deadline)
+        .await
+        .ok()?;
     PeerAnswer::decode(&answer.body).ok()
 }
 
--- a/src/coordination/peering/lease_votes.rs
+++ b/src/coordination/peering/lease_votes.rs
@@ -15,7 +15,7 @@
 use crate::coordination::node::Node;
 use crate::coordination::node::state::NodeState;
 use crate::protocol::FencingToken;
-use crate::protocol::peer_messages::{REVIVE_LEASE, RevivalVote, ReviveLease};
+use crate::protocol::peer_messages::{REVIVE_LEASE_PATH, RevivalVote, ReviveLease};
 use crate::protocol::peers::{PeerAnswer, PeerRequest};
 use crate::settings::platform::Peer;
 
@@ -109,7 +109,7 @@
     all_peers_grant(node, move |node, peer| {
         let frame = frame.clone();
         async move {
-            let answer = post_frame(&node, &peer, REVIVE_LEASE, frame, ROUND_DEADLINE).await;
+            let answer = post_frame(&node, &peer, REVIVE_LEASE_PATH, frame, ROUND_DEADLINE).await;
             let vote = answer.ok().and_then(|a| RevivalVote::decode(&a.body).ok());
             vote.is_some_and(|vote| proves_no_successor(&vote, node.now(), renewed))
         }
--- a/src/protocol/peer_messages.rs
+++ b/src/protocol/peer_messages.rs
@@ -11,7 +11,7 @@
 use super::frame::frames;
 
 /// The path at which controllers answer [`CancellationsRequest`].
-pub const CANCELLATIONS: &str = "/peer/cancellations/1";
+pub const CANCELLATIONS_PATH: &str = "/peer/cancellations/1";
 
 /// Requests the cancellations that the receiver has confirmed to users since a revision.
 #[derive(Debug, Clone, Archive, Serialize, Deserialize)]
@@ -40,7 +40,7 @@
 }
 
 /// The path at which controllers vote on [`ReviveLease`].
-pub const REVIVE_LEASE: &str = "/peer/stand-aside/1";
+pub const REVIVE_LEASE_PATH: &str = "/peer/stand-aside/1";
 
 /// Requests a vote to revive the sender's lease.
 ///
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -9,7 +9,7 @@
 use super::frame::frames;
 
 /// The path at which controllers answer [`PeerRequest`].
-pub const PEER: &str = "/peer";
+pub const PEER_PATH: &str = "/peer";
 
 /// A request from one controller to another.
 #[derive(Debug, Clone, Archive, Serialize, Deserialize)]
--- a/tests/upgrade/frames.rs
+++ b/tests/upgrade/frames.rs
@@ -6,8 +6,8 @@
 use valegap::protocol::FencingToken;
 use valegap::protocol::kv::Mutation;
 use valegap::protocol::peer_messages::{
-    CANCELLATIONS, CancellationsRequest, CancelledJob, ConfirmedCancellations, REVIVE_LEASE,
-    RevivalVote, ReviveLease,
+    CANCELLATIONS_PATH, CancellationsRequest, CancelledJob, ConfirmedCancellations,
+    REVIVE_LEASE_PATH, RevivalVote, ReviveLease,
 };
 use valegap::protocol::users::JobKind;
 use valegap::protocol::workers::{AttemptOutcome, TaskState};
@@ -32,8 +32,8 @@
 
 #[test]
 fn numbered_frames_are_those_of_the_version_in_production() {
-    assert_eq!(CANCELLATIONS, "/peer/cancellations/1");
-    assert_eq!(REVIVE_LEASE, "/peer/stand-aside/1");
+    assert_eq!(CANCELLATIONS_PATH, "/peer/cancellations/1");
+    assert_eq!(REVIVE_LEASE_PATH, "/peer/stand-aside/1");
 
     let request = CancellationsRequest { after: 4711 };
     assert_eq!(request.encode(), decode_hex(CANCELLATIONS_REQUEST));
