--- a/src/coordination/cloud/client.rs
+++ b/src/coordination/cloud/client.rs
@@ -74,7 +74,7 @@
             let after = machines.last().map_or("", |machine| machine.id.as_str());
             let path = format!("/rentals?After={after}&Most={LIST_PAGE_ENTRIES}");
             let page: MachinePage = self.get(&path).await?;
-            let has_next_page = page.more && !page.machines.is_empty();
+            let has_next_page = page.has_more && !page.machines.is_empty();
             machines.extend(page.machines);
             if !has_next_page {
                 return Ok(machines);
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -124,5 +124,5 @@
     pub machines: Vec<ListedMachine>,
     /// Whether another page follows.
     #[serde(rename = "HasNext", default)]
-    pub more: bool,
+    pub has_more: bool,
 }
--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -115,7 +115,7 @@
     pub items: Vec<KeyValue>,
     /// Whether another page follows.
     #[serde(rename = "HasNext", default)]
-    pub more: bool,
+    pub has_more: bool,
     /// The revision at which the page was read.
     #[serde(rename = "Edition")]
     pub revision: u64,
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -12,7 +12,7 @@
 //! | `Mark` | `mod_revision` | the revision of a key's last change |
 //! | `Edition` | `revision` | a revision of the store |
 //! | `Pairs` | `items` | the keys of a page |
-//! | `HasNext` | `more` | whether another page follows (also in the cloud's machine list) |
+//! | `HasNext` | `has_more` | whether another page follows (also in the cloud's machine list) |
 //! | `Guards` | `preconditions` | a transaction's conditions |
 //! | `Apply` | `mutations` | a transaction's changes |
 //! | `Tenure`, `/holds` | `lease` | a lease of the store |
--- a/src/storage/kv_client.rs
+++ b/src/storage/kv_client.rs
@@ -131,7 +131,7 @@
             let last = page.items.last().map(|item| item.key.clone());
             items.extend(page.items);
             match last {
-                Some(last) if page.more => after = last,
+                Some(last) if page.has_more => after = last,
                 _ => return Ok(KeyList { items, revision }),
             }
         }
