--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -112,7 +112,7 @@
     }
 
     /// Returns the longest time between two heartbeats of a worker.
-    pub fn latest_heartbeat(&self) -> Duration {
+    pub fn max_heartbeat_interval(&self) -> Duration {
         Duration::from_secs_f64(self.heartbeat_interval_s * MAX_HEARTBEAT_INTERVAL_FACTOR)
     }
 
