--- a/src/coordination/shard_events.rs
+++ b/src/coordination/shard_events.rs
@@ -40,7 +40,7 @@
                 .filter(|leadership| Arc::ptr_eq(&leadership.lease, lease) && !lease.has_ended())?;
             let result = event(&mut leadership.shard, now);
             let took = self.clock.now().saturating_duration_since(now);
-            leadership.activities.note(activity, took);
+            leadership.activities.record(activity, took);
             if leadership.shard.needs_pass() {
                 lease.work_notify.notify_one();
             }
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -45,7 +45,7 @@
 
 impl Activities {
     /// Adds one execution of an activity and the time that it took.
-    pub fn note(&mut self, activity: &'static str, elapsed: Duration) {
+    pub fn record(&mut self, activity: &'static str, elapsed: Duration) {
         let total = self.0.entry(activity).or_default();
         total.count += 1;
         total.total_time += elapsed;
