--- a/src/coordination/leadership/acquisition.rs
+++ b/src/coordination/leadership/acquisition.rs
@@ -44,7 +44,7 @@
 
 async fn try_acquire(node: &Arc<Node>) -> Acquisition {
     let sent = node.now();
-    let time_to_live = node.settings.operator.lease();
+    let time_to_live = node.settings.operator.lease_ttl();
     let Ok(lease_id) = node.clients.kv.grant_lease(time_to_live, KV_DEADLINE).await else {
         // If the store granted the lease all the same, no record is attached to the lease, and it
         // expires unused.
--- a/src/coordination/leadership/lease.rs
+++ b/src/coordination/leadership/lease.rs
@@ -57,7 +57,7 @@
 /// counts the lease from a later moment, but its clock may run faster than the leader's.
 pub fn deadline(operator: &Operator, sent: Instant) -> Instant {
     let margin = Duration::from_secs_f64(operator.lease_margin_s);
-    sent + clock_drift::min_elapsed(operator.lease()).saturating_sub(margin)
+    sent + clock_drift::min_elapsed(operator.lease_ttl()).saturating_sub(margin)
 }
 
 impl ShardLease {
--- a/src/coordination/leadership/lease/tests.rs
+++ b/src/coordination/leadership/lease/tests.rs
@@ -7,7 +7,7 @@
     let sent = Instant::now();
     let until = deadline(&operator, sent);
     let margin = Duration::from_secs_f64(operator.lease_margin_s);
-    assert!(until < sent + operator.lease() - margin);
+    assert!(until < sent + operator.lease_ttl() - margin);
     let lease = ShardLease::new(1, FencingToken::new(10), sent, until, sent);
     assert!(lease.is_live(until - Duration::from_millis(1)));
     assert!(!lease.is_live(until));
--- a/src/coordination/leadership/renewal.rs
+++ b/src/coordination/leadership/renewal.rs
@@ -36,9 +36,9 @@
     /// failing renewals to count as timely again, the last success must be more recent than for
     /// timely renewals to stay so.
     fn next(self, since_renewal: Duration, operator: &Operator) -> Self {
-        let is_failing = since_renewal > operator.lease().mul_f64(FAILING_AFTER_LEASE_SHARE);
-        let has_not_recovered =
-            self == Self::Failing && since_renewal > operator.renew() * RECOVERED_WITHIN_INTERVALS;
+        let is_failing = since_renewal > operator.lease_ttl().mul_f64(FAILING_AFTER_LEASE_SHARE);
+        let has_not_recovered = self == Self::Failing
+            && since_renewal > operator.renewal_interval() * RECOVERED_WITHIN_INTERVALS;
         if is_failing || has_not_recovered {
             Self::Failing
         } else {
@@ -62,7 +62,7 @@
         if in_flight.len() < max_in_flight {
             in_flight.spawn(renew_once(node.clone(), lease.clone()));
         }
-        let refused = await_answers(&mut in_flight, &lease, operator.renew()).await;
+        let refused = await_answers(&mut in_flight, &lease, operator.renewal_interval()).await;
         let previous = health;
         health = previous.next(lease.since_last_renewal(node.now()), operator);
         log_health_change(&lease, previous, health, refused);
@@ -121,7 +121,7 @@
     let result = node
         .clients
         .kv
-        .renew_lease(lease.id, operator.lease())
+        .renew_lease(lease.id, operator.lease_ttl())
         .await;
     match &result {
         Ok(()) => lease.record_renewal(sent, lease::deadline(operator, sent)),
--- a/src/coordination/leadership/renewal/tests.rs
+++ b/src/coordination/leadership/renewal/tests.rs
@@ -3,8 +3,8 @@
 #[test]
 fn late_renewals_count_as_failing_until_a_recent_success() {
     let operator = Operator::default();
-    let failing_after = operator.lease().mul_f64(FAILING_AFTER_LEASE_SHARE);
-    let recovered_within = operator.renew() * RECOVERED_WITHIN_INTERVALS;
+    let failing_after = operator.lease_ttl().mul_f64(FAILING_AFTER_LEASE_SHARE);
+    let recovered_within = operator.renewal_interval() * RECOVERED_WITHIN_INTERVALS;
     let one_ms = Duration::from_millis(1);
     let timely = RenewalHealth::Timely;
     assert_eq!(timely.next(failing_after, &operator), RenewalHealth::Timely);
--- a/src/coordination/tests/cancellation_freshness.rs
+++ b/src/coordination/tests/cancellation_freshness.rs
@@ -182,7 +182,7 @@
     let mut outage = Outage::new().await;
     let bound = staleness_bound(&outage.leader.settings);
     let workers = &outage.leader.settings.platform.settings.workers;
-    let latest = outage.leader.now() + workers.cancel() - workers.lease();
+    let latest = outage.leader.now() + workers.max_cancellation_time() - workers.lease_duration();
     outage.peer_cancels();
     outage.advance(bound - second(1));
     assert!(outage.heartbeat().is_some());
--- a/src/coordination/tests/peering.rs
+++ b/src/coordination/tests/peering.rs
@@ -160,7 +160,9 @@
     assert_eq!(node.delegated_fencing_token(&heartbeat), leader_token);
     let workers = &node.settings.platform.settings.workers;
     clock.advance(
-        workers.cancel() - workers.lease() - advance_delegation::LEADER_UNREACHABLE_AFTER * 2,
+        workers.max_cancellation_time()
+            - workers.lease_duration()
+            - advance_delegation::LEADER_UNREACHABLE_AFTER * 2,
     );
     assert_eq!(
         node.delegated_fencing_token(&heartbeat),
--- a/src/coordination/worker_leases/advance_delegation.rs
+++ b/src/coordination/worker_leases/advance_delegation.rs
@@ -39,8 +39,8 @@
 /// duration of a worker's lease.
 pub fn cancel_time_beyond_lease(settings: &Settings) -> Duration {
     let workers = &settings.platform.settings.workers;
-    let lease = clock_drift::max_elapsed(workers.lease()) + SCHEDULING_MARGIN;
-    workers.cancel().saturating_sub(lease)
+    let lease = clock_drift::max_elapsed(workers.lease_duration()) + SCHEDULING_MARGIN;
+    workers.max_cancellation_time().saturating_sub(lease)
 }
 
 /// The right, granted by the leader's answer to a heartbeat, to renew workers' leases later.
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -143,17 +143,17 @@
     }
 
     /// Returns the time to live of a shard leader's lease.
-    pub fn lease(&self) -> Duration {
+    pub fn lease_ttl(&self) -> Duration {
         Duration::from_secs_f64(self.lease_s)
     }
 
     /// Returns the time between two renewals of the lease.
-    pub fn renew(&self) -> Duration {
+    pub fn renewal_interval(&self) -> Duration {
         Duration::from_secs_f64(self.renew_s)
     }
 
     /// Returns the time between two snapshots of a changed shard.
-    pub fn snapshot(&self) -> Duration {
+    pub fn snapshot_interval(&self) -> Duration {
         Duration::from_secs_f64(self.snapshot_s)
     }
 
@@ -175,7 +175,7 @@
     }
 
     /// Returns how long a machine may be idle before it is deleted by a scale-in.
-    pub fn idle(&self) -> Duration {
+    pub fn max_idle_time(&self) -> Duration {
         Duration::from_secs_f64(self.idle_s)
     }
 
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -117,7 +117,7 @@
     }
 
     /// Returns how long a worker's lease lasts.
-    pub fn lease(&self) -> Duration {
+    pub fn lease_duration(&self) -> Duration {
         Duration::from_secs_f64(self.lease_s)
     }
 
@@ -127,7 +127,7 @@
     }
 
     /// Returns the time from the cancellation of a job until none of its tasks may run any more.
-    pub fn cancel(&self) -> Duration {
+    pub fn max_cancellation_time(&self) -> Duration {
         Duration::from_secs_f64(self.cancel_s)
     }
 }
