--- a/src/coordination/shard/action.rs
+++ b/src/coordination/shard/action.rs
@@ -1,61 +1,70 @@
-//! Actions that the shard requests from the action executor.
+//! The actions that [`super::Shard`] requests from the action executor, and the outcome of a
+//! batch of commands.
+//!
+//! The shard itself performs no I/O: it queues actions, the executor carries them out.
 
 use super::ShardWrite;
 use crate::protocol::cloud::Rental;
 use crate::protocol::workers::{Command, WorkerHeartbeat};
 use crate::protocol::{FencingToken, JobId, MachineId};
 
-/// A request to the action executor. The executor returns the outcome of each through the
-/// method of [`super::Shard`] that the variant names.
+/// A request to the action executor. After carrying out an action, the executor reports the
+/// outcome to the method of [`super::Shard`] that the variant's documentation names.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send `/commands` to a worker; answered by [`super::Shard::command_answered`].
+    /// Send a batch of commands to a worker (`/commands`). The outcome goes to
+    /// [`super::Shard::command_answered`].
     Command {
-        /// The machine that they are for.
+        /// The machine on which the worker runs.
         machine: MachineId,
-        /// Its worker's address.
+        /// The worker's address.
         addr: String,
-        /// The agent epoch in which the worker is to execute them.
+        /// The agent epoch in which the worker is to execute the commands.
         agent_epoch: u64,
-        /// Tells this batch from others of the machine.
+        /// Identifies this batch among all batches sent to the machine.
         number: u64,
-        /// The commands; an empty batch is a probe, which only asks for a heartbeat.
+        /// The commands. An empty batch is a probe, which only asks the worker for a heartbeat.
         commands: Vec<Command>,
     },
-    /// Write to the shard's keys; answered by [`super::Shard::write_applied`].
+    /// Write to the shard's keys in the key-value store. The outcome goes to
+    /// [`super::Shard::write_applied`].
     Write(ShardWrite),
-    /// Record that a job is done; answered by [`super::Shard::job_finished`].
+    /// Replace the record of a job whose tasks have all completed by its final record. The
+    /// outcome goes to [`super::Shard::job_finished`].
     Finish {
-        /// The job.
+        /// The job's id.
         job: JobId,
-        /// The revision at which its record was last modified.
+        /// The store revision at which the job's record was last modified.
         mod_revision: u64,
     },
-    /// Read a finished job's record; answered by [`super::Shard::orphan_job_resolved`].
+    /// Read a finished job's final record. The outcome goes to
+    /// [`super::Shard::orphan_job_resolved`].
     ReadFinal {
-        /// The job.
+        /// The job's id.
         job: JobId,
     },
-    /// Rent machines; answered by [`super::Shard::rental_answered`].
+    /// Rent machines from the cloud. The outcome goes to [`super::Shard::rental_answered`].
     Rent(Rental),
-    /// Delete machines; answered by [`super::Shard::deletion_answered`].
+    /// Delete machines in the cloud. The outcome goes to [`super::Shard::deletion_answered`].
     Delete(Vec<MachineId>),
-    /// A worker has seen a higher fencing token: another controller may lead the shard.
+    /// Report that a worker has seen a higher fencing token than this leader's: another
+    /// controller may lead the shard by now.
     Fenced {
-        /// That fencing token.
+        /// The higher fencing token.
         seen: FencingToken,
     },
 }
 
-/// The outcome of a batch of commands.
+/// The outcome of sending a batch of commands to a worker.
 #[derive(Debug, Clone)]
 pub enum CommandOutcome {
-    /// 200: executed; with the heartbeat that shows the worker's tasks after it.
+    /// The worker executed the batch and answered 200, with a heartbeat that lists its tasks
+    /// after the execution.
     Executed(WorkerHeartbeat),
-    /// 409: not executed; with the worker's heartbeat.
+    /// The worker did not execute the batch and answered 409, with its heartbeat.
     Refused(WorkerHeartbeat),
-    /// It surely never left this controller.
+    /// The batch was certainly not sent: the worker can't execute it.
     NotSent,
-    /// It may have been executed, or may still be.
+    /// No answer arrived: the worker may have executed the batch, or may still do so.
     NoAnswer,
 }
--- a/src/coordination/shard/jobs/lifecycle.rs
+++ b/src/coordination/shard/jobs/lifecycle.rs
@@ -1,4 +1,5 @@
-//! Acceptance, completion and cancellation of jobs.
+//! Acceptance, completion and cancellation of jobs: the events by which jobs enter and leave
+//! the shard. The job watch, the user API and the action executor report them.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,7 +12,8 @@
 use crate::storage::records::{FinalRecord, JobRecord};
 
 impl Shard {
-    /// A job was accepted, or its record was read again: a known job stays as it is.
+    /// Adds a job that was accepted. If the shard knows the job already, because its record was
+    /// read again, nothing changes.
     pub fn job_accepted(&mut self, id: &str, mod_revision: u64, record: JobRecord, now: Instant) {
         if self.jobs.contains_key(id) {
             return;
@@ -32,8 +34,9 @@
         self.needs_pass = true;
     }
 
-    /// Applies a full read of the unfinished jobs at a revision, after a watch lost events.
-    /// A job that the read lacks is finished, unless it was accepted after that revision.
+    /// Applies a full read of the unfinished jobs at a store revision, after the job watch lost
+    /// events. A known job that the read lacks has finished, unless its record was modified
+    /// after that revision.
     pub fn resync_jobs(&mut self, jobs: Vec<UnfinishedJob>, revision: u64, now: Instant) {
         let present: BTreeSet<String> = jobs.iter().map(|job| job.id.clone()).collect();
         let missing: Vec<JobId> = self
@@ -50,8 +53,9 @@
         }
     }
 
-    /// A job's record was deleted: the job is done or cancelled. A watch reports only the
-    /// deletion (`None`); a controller that moved the record itself knows the stage.
+    /// Marks a job as finished, because its record was deleted from the unfinished jobs: the job
+    /// is done or cancelled. The job watch reports only the deletion, so `stage` is `None`. A
+    /// controller that wrote the final record itself knows the stage.
     pub fn job_finished(&mut self, id: &str, stage: Option<JobStage>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -72,15 +76,15 @@
         }
         let id = job.id.clone();
         self.withdraw_evidence(&id);
-        self.close_attempts_of(&id);
+        self.end_attempts_of_finished_job(&id);
         self.needs_pass = true;
         self.drop_job_if_empty(&id);
     }
 
-    /// Stops the attempts of a finished job, and lets workers forget those that have ended:
-    /// no snapshot needs to record them. Launches that were not sent are withdrawn in the
-    /// next pass.
-    fn close_attempts_of(&mut self, id: &JobId) {
+    /// Stops the running attempts of a finished job, and allows workers to forget its ended
+    /// attempts, since no snapshot needs to record their outcomes. The next reconciliation pass
+    /// withdraws launches that were not sent.
+    fn end_attempts_of_finished_job(&mut self, id: &JobId) {
         for machine in self.machines.ids(|m| m.attempts_of(id).next().is_some()) {
             let Some(machine) = self.machines.get_mut(&machine) else {
                 continue;
@@ -95,12 +99,13 @@
         }
     }
 
-    /// Answers [`Action::ReadFinal`]: what a machine's attempts of a job that finished under an
-    /// earlier leader use.
+    /// Takes the outcome of [`Action::ReadFinal`]: the final record of a job that finished under
+    /// an earlier leader while workers still report attempts of it. The record's description
+    /// says which resources those attempts use. `None` means that the store has no such record.
     pub fn orphan_job_resolved(&mut self, id: &str, record: Option<FinalRecord>) {
         let Some(record) = record else {
-            // Neither unfinished nor finished: no controller ever accepted it. Its attempts
-            // are stopped, and their machine gets no new tasks while they last.
+            // The job is neither unfinished nor finished, so no controller ever accepted it.
+            // Its attempts are stopped, and their machines get no new tasks until they end.
             tracing::error!(job = id, "worker holds tasks of an unknown job");
             return;
         };
@@ -120,7 +125,7 @@
         self.needs_pass = true;
     }
 
-    /// Removes a finished job once no attempt of it may exist.
+    /// Removes a job from the shard if it is finished and no attempt of it may exist any more.
     pub(in crate::coordination::shard) fn drop_job_if_empty(&mut self, id: &str) {
         if self
             .jobs
@@ -131,13 +136,13 @@
         }
     }
 
-    /// Requests the write of the final record once all tasks have completed.
+    /// Requests the write of a job's final record, once, if all its tasks have completed.
     pub(in crate::coordination::shard) fn finish_if_done(&mut self, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if job.final_stage.is_none() && job.all_done() && !job.finish_sent {
-            job.finish_sent = true;
+        if job.final_stage.is_none() && job.all_done() && !job.is_finish_requested {
+            job.is_finish_requested = true;
             self.out.push(Action::Finish {
                 job: job.id.clone(),
                 mod_revision: job.mod_revision,
--- a/src/coordination/shard/jobs/mod.rs
+++ b/src/coordination/shard/jobs/mod.rs
@@ -1,9 +1,9 @@
 //! Jobs and the progress of their tasks.
 //!
-//! This module owns which tasks of a job are completed, which may exist on a machine, and
-//! which wait. The scheduler reads it, the reconciler updates it from heartbeats, and the
-//! leader loop and the user API bring accepted and finished jobs. It never starts or stops
-//! anything itself.
+//! For each job, this module owns which tasks are completed, which may have an attempt on a
+//! machine, and which wait for one. The scheduler reads this state, the reconciler updates it
+//! from heartbeats, and the leader loop and the user API report accepted and finished jobs.
+//! The module never decides to start a task; it stops only the attempts of finished jobs.
 
 mod lifecycle;
 mod progress;
@@ -26,47 +26,49 @@
 
 /// A job and the progress of its tasks.
 ///
-/// Invariant: a task in `live` may have an attempt on that machine and on no other that is
-/// known, and a task in `unplaced` is neither completed nor live.
+/// Invariant: a task in `live` may have an attempt on the machine recorded there and on no other
+/// machine that this leader knows of. A task in `unplaced` is neither completed nor live.
 #[derive(Debug)]
 pub struct Job {
     /// The job's id.
     pub id: JobId,
-    /// Its description.
+    /// The description that its user submitted.
     pub spec: Arc<JobSpec>,
-    /// The revision at which its record was last modified in the key-value store.
+    /// The store revision at which its record was last modified.
     pub mod_revision: u64,
-    /// When it was accepted, in milliseconds since the Unix epoch.
+    /// When the job was accepted, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// Completed tasks.
+    /// The completed tasks.
     done: TaskSet,
-    /// Tasks of which an attempt that has not ended may exist, with its machine.
+    /// The live tasks: those of which an attempt that has not ended may exist, each with the
+    /// machine of that attempt.
     live: HashMap<u32, MachineId>,
-    /// Tasks that were on a machine under this leader and surely are on none now.
+    /// The waiting tasks that were on a machine under this leader and certainly are on none now.
     unplaced: BTreeSet<u32>,
-    /// How many tasks are completed and live: another attempt may still exist.
-    both: u32,
-    /// Its failed attempts since its last success.
+    /// How many tasks are both completed and live: another attempt of them may still exist.
+    done_and_live: u32,
+    /// The failed attempts since the job's last success.
     pub failures: FailureHistory,
-    /// None of its tasks is started before this moment.
+    /// No task of the job is started before this moment: the end of a retry backoff.
     pub not_before: Option<Instant>,
-    /// Run times of its completed tasks, to find machines that are slower.
+    /// The run times of its completed tasks, by which slow machines are found.
     pub run_times: RunTimes,
-    /// Its final stage, once it is finished.
+    /// The stage in which the job finished; `None` while it is unfinished.
     pub final_stage: Option<JobStage>,
-    /// Whether the write of its final record was requested.
-    pub finish_sent: bool,
-    /// Some of its tasks would start too late on low-cost machines: they may also use those
-    /// that cost extra.
+    /// Whether the write of its final record was requested (`Action::Finish`).
+    pub is_finish_requested: bool,
+    /// Whether the job's tasks may also use machines that cost extra, because some of them would
+    /// start too late if they waited for low-cost machines.
     pub accepts_extra_cost: bool,
-    /// The present attempt of a gang.
+    /// The current attempt of a gang; unused by other jobs.
     pub gang: GangAttempt,
-    /// Where the search for the next waiting task begins: a hint that saves time.
-    cursor: u32,
+    /// The task index at which [`Job::next_waiting`] begins its search, so that it need not go
+    /// through the tasks before it each time.
+    search_start: u32,
 }
 
 impl Job {
-    /// A job without any attempt.
+    /// Creates a job without completed or live tasks.
     pub fn new(id: JobId, mod_revision: u64, record: JobRecord) -> Self {
         Self {
             id,
@@ -76,40 +78,44 @@
             done: TaskSet::default(),
             live: HashMap::new(),
             unplaced: BTreeSet::new(),
-            both: 0,
+            done_and_live: 0,
             failures: FailureHistory::default(),
             not_before: None,
             run_times: RunTimes::default(),
             final_stage: None,
-            finish_sent: false,
+            is_finish_requested: false,
             accepts_extra_cost: false,
             gang: GangAttempt::default(),
-            cursor: 0,
+            search_start: 0,
         }
     }
 
-    /// How many tasks wait: they are neither completed nor live.
+    /// The number of waiting tasks: those neither completed nor live. 0 once the job has
+    /// finished.
     pub fn waiting(&self) -> u32 {
         if self.final_stage.is_some() {
             return 0;
         }
-        (self.spec.tasks + self.both).saturating_sub(self.done.len() + self.live.len() as u32)
+        (self.spec.tasks + self.done_and_live)
+            .saturating_sub(self.done.len() + self.live.len() as u32)
     }
 
-    /// Waiting tasks that surely have no attempt, even while machines are unreconciled.
-    pub fn known_unplaced(&self) -> u32 {
+    /// The number of waiting tasks that certainly have no attempt, even while machines are
+    /// unreconciled.
+    pub fn known_unplaced_tasks(&self) -> u32 {
         match self.final_stage {
             Some(_) => 0,
             None => self.unplaced.len() as u32,
         }
     }
 
-    /// Waiting tasks that an earlier leader may have started on an unreconciled machine.
+    /// The number of waiting tasks that an earlier leader may have started on an unreconciled
+    /// machine.
     pub fn unreconciled_tasks(&self) -> u32 {
-        self.waiting().saturating_sub(self.known_unplaced())
+        self.waiting().saturating_sub(self.known_unplaced_tasks())
     }
 
-    /// The waiting tasks, counted one by one, to check [`Job::waiting`].
+    /// The number of waiting tasks, counted one by one. Tests check [`Job::waiting`] by it.
     #[cfg(test)]
     pub fn recount_waiting(&self) -> u32 {
         let waits = |n: &u32| !self.done.contains(*n) && !self.live.contains_key(n);
@@ -124,40 +130,42 @@
         &self.done
     }
 
-    /// The tasks of which an attempt may exist, with its machine.
+    /// The tasks of which an attempt that has not ended may exist, each with its machine.
     pub fn live(&self) -> &HashMap<u32, MachineId> {
         &self.live
     }
 
-    /// Whether a task needs an attempt: it is not completed, and none may exist.
+    /// Whether a task needs an attempt: the job is unfinished, the task is not completed, and no
+    /// attempt of it may exist.
     pub fn needs_attempt(&self, index: u32) -> bool {
         self.final_stage.is_none() && !self.done.contains(index) && !self.live.contains_key(&index)
     }
 
-    /// A task has completed.
+    /// Marks a task as completed.
     pub fn complete(&mut self, index: u32) {
         self.unplaced.remove(&index);
         if self.done.insert(index) && self.live.contains_key(&index) {
-            self.both += 1;
+            self.done_and_live += 1;
         }
     }
 
-    /// A task may be on a machine from now on. If it may be on another already, that one
-    /// stays on record.
+    /// Records that an attempt of a task may exist on a machine. If one may exist on another
+    /// machine already, that machine stays recorded instead.
     pub fn add_placement(&mut self, index: u32, machine: &MachineId) {
-        if let std::collections::hash_map::Entry::Vacant(free) = self.live.entry(index) {
-            free.insert(machine.clone());
+        if let std::collections::hash_map::Entry::Vacant(entry) = self.live.entry(index) {
+            entry.insert(machine.clone());
             self.unplaced.remove(&index);
-            self.both += u32::from(self.done.contains(index));
+            self.done_and_live += u32::from(self.done.contains(index));
         }
     }
 
-    /// A task has no attempt on a machine any more.
+    /// Records that no attempt of a task exists on a machine any more. Without any live task, a
+    /// gang has no current attempt.
     pub fn remove_placement(&mut self, index: u32, machine: &MachineId) {
         if self.live.get(&index) == Some(machine) {
             self.live.remove(&index);
             if self.done.contains(index) {
-                self.both -= 1;
+                self.done_and_live -= 1;
             } else {
                 self.unplaced.insert(index);
             }
@@ -167,28 +175,29 @@
         }
     }
 
-    /// The next waiting task that surely has no attempt. `all` says that this holds for
-    /// every waiting task, as it does once every machine is reconciled.
-    pub fn next_waiting(&mut self, all: bool) -> Option<u32> {
-        if !all {
+    /// The next waiting task that certainly has no attempt. `all_reconciled` says that no
+    /// waiting task can have one, as is the case once every machine is reconciled; otherwise
+    /// only the tasks in `unplaced` are considered.
+    pub fn next_waiting(&mut self, all_reconciled: bool) -> Option<u32> {
+        if !all_reconciled {
             return self.unplaced.first().copied();
         }
-        // Tasks before the cursor wait only if they were lifted since it passed them.
-        let free = |n: &u32| !self.done.contains(*n) && !self.live.contains_key(n);
-        let next = (self.cursor..self.spec.tasks)
-            .find(free)
-            .or_else(|| (0..self.cursor.min(self.spec.tasks)).find(free));
-        self.cursor = next.unwrap_or(0);
+        // A task before `search_start` waits only if its attempt ended after the search passed it.
+        let waits = |n: &u32| !self.done.contains(*n) && !self.live.contains_key(n);
+        let next = (self.search_start..self.spec.tasks)
+            .find(waits)
+            .or_else(|| (0..self.search_start.min(self.spec.tasks)).find(waits));
+        self.search_start = next.unwrap_or(0);
         next
     }
 
-    /// Whether every task has completed; tasks of a service never do.
+    /// Whether every task has completed. Always false for a service, whose tasks never complete.
     pub fn all_done(&self) -> bool {
         self.spec.kind != JobKind::Service && self.done.len() >= self.spec.tasks
     }
 
-    /// Its deadline in milliseconds since the Unix epoch; the latest time if it has none.
-    pub fn due_ms(&self) -> u64 {
+    /// The job's deadline in milliseconds since the Unix epoch; `u64::MAX` if it has none.
+    pub fn deadline_ms(&self) -> u64 {
         match self.spec.deadline_s {
             Some(s) => self.at_ms.saturating_add((s * 1000.0) as u64),
             None => u64::MAX,
--- a/src/coordination/shard/jobs/progress.rs
+++ b/src/coordination/shard/jobs/progress.rs
@@ -1,4 +1,5 @@
-//! How many tasks of each job are completed and running, for display.
+//! How many tasks of each job are completed and running, for the answers to users.
+//! Other controllers receive the counts in the leader's heartbeats and answer from them too.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -7,19 +8,20 @@
 use crate::coordination::shard::{Machines, Phase, Shard};
 use crate::protocol::{AttemptId, JobId, MachineId};
 
-/// Pause between two counts of the running tasks: each goes through all attempts.
-const RECOUNT_PAUSE: Duration = Duration::from_secs(1);
+/// The shortest time between two counts of the running tasks, since each count goes through all
+/// attempts.
+const RECOUNT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How many of a job's tasks are completed and running.
+/// How many of a job's tasks are completed, and how many are running.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TaskCounts {
-    /// Tasks that have completed.
+    /// The number of completed tasks.
     pub done: u32,
-    /// Tasks that are running.
+    /// The number of running tasks.
     pub running: u32,
 }
 
-/// The running tasks by job, as last counted.
+/// The number of running tasks of each job, as of the last count.
 #[derive(Debug, Default)]
 pub(crate) struct RunningTasks {
     by_job: HashMap<JobId, u32>,
@@ -27,16 +29,17 @@
 }
 
 impl RunningTasks {
-    /// Running tasks of a job at the last count.
-    pub(crate) fn of(&self, job: &JobId) -> u32 {
+    /// The number of a job's running tasks at the last count.
+    pub(crate) fn count(&self, job: &JobId) -> u32 {
         self.by_job.get(job).copied().unwrap_or(0)
     }
 
-    /// Counts again if the last count is old enough; returns whether it did.
+    /// Counts the running tasks again if [`RECOUNT_INTERVAL`] has passed since the last count.
+    /// Returns whether it counted.
     pub(crate) fn recount_if_due(&mut self, machines: &Machines, now: Instant) -> bool {
         let is_due = self
             .counted_at
-            .is_none_or(|at| now.saturating_duration_since(at) >= RECOUNT_PAUSE);
+            .is_none_or(|at| now.saturating_duration_since(at) >= RECOUNT_INTERVAL);
         if is_due {
             self.counted_at = Some(now);
             self.recount(machines);
@@ -64,30 +67,31 @@
 }
 
 impl Shard {
-    /// All unfinished jobs with their task counts, as of the last count.
+    /// All unfinished jobs with their task counts. The running tasks are as of the last count.
     pub fn progress(&self) -> impl Iterator<Item = (&JobId, TaskCounts)> {
         self.jobs
             .values()
             .filter(|job| job.final_stage.is_none())
             .map(|job| {
-                let running = self.running.of(&job.id);
+                let running = self.running.count(&job.id);
                 let done = job.done().len();
                 (&job.id, TaskCounts { done, running })
             })
     }
 
-    /// The present task counts of an unfinished job, for its user.
+    /// The present task counts of one unfinished job, for the answer to its user. Counts the
+    /// running tasks anew.
     pub fn view(&self, id: &str) -> Option<TaskCounts> {
         let job = self.jobs.get(id).filter(|job| job.final_stage.is_none())?;
         let live = job.live().iter();
-        let running = live.filter(|(index, machine)| self.runs_on(job, **index, machine));
+        let running = live.filter(|(index, machine)| self.is_running_on(job, **index, machine));
         Some(TaskCounts {
             done: job.done().len(),
             running: running.count() as u32,
         })
     }
 
-    fn runs_on(&self, job: &Job, index: u32, machine: &MachineId) -> bool {
+    fn is_running_on(&self, job: &Job, index: u32, machine: &MachineId) -> bool {
         let Some(machine) = self.machines.get(machine) else {
             return false;
         };
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -1,18 +1,20 @@
-//! The state machine of a shard's leader: a pure function of (state, event, now).
+//! The state machine of a shard's leader: its decisions depend only on its state, the event and
+//! the time that the caller passes.
 //!
-//! [`Shard`] owns what the leader knows and decides about its machines and jobs. Its
-//! components own their parts: `jobs` and `machines` the state, `reconciler` what
-//! heartbeats say, `scheduler` placement and preemption, `dispatch` the commands to
-//! workers, `autoscaler` renting and deleting machines, `persistence` the shard's
-//! writes, `delegations` lease renewals by other controllers, `health` failing jobs and
-//! faulty machines.
+//! [`Shard`] owns what the leader knows and decides about its machines and jobs. Each component
+//! is responsible for one part: `jobs` and `machines` for the state, `reconciler` for applying
+//! heartbeats to it, `scheduler` for placement and preemption, `dispatch` for the commands to
+//! workers, `autoscaler` for renting and deleting machines, `persistence` for the shard's writes
+//! to the key-value store, `delegations` for lease renewals by other controllers, and `health`
+//! for failing jobs and faulty machines.
 //!
 //! Events arrive through `Node::with_shard`: from the leader loop (ticks, job changes, machine
-//! lists), the handlers of workers' heartbeats and of users' requests, the peering code
-//! (delegations), and the action executor (outcomes). After each event it spawns the executor
-//! for what [`Shard::take_actions`] returns, and wakes the leader loop if
-//! [`Shard::needs_pass`] says so, which then calls [`Shard::reconcile`]. Nothing here waits,
-//! sends or reads a clock.
+//! lists), from the handlers of workers' heartbeats and of users' requests, from the peering code
+//! (delegations), and from the action executor (outcomes). After each event, `Node::with_shard`
+//! spawns the executor for the actions that [`Shard::take_actions`] returns. If
+//! [`Shard::needs_pass`] is true, it also wakes the leader loop, which then calls
+//! [`Shard::reconcile`] for a reconciliation pass. Nothing in this module waits, sends messages
+//! or reads a clock.
 
 mod action;
 mod autoscaler;
@@ -48,65 +50,69 @@
 use machines::DeletedMachines;
 use reconciler::UnreconciledMachines;
 
-/// How many machines a leader receives heartbeats from.
+/// From how many of its machines a leader receives heartbeats.
 #[derive(Debug, Clone, Copy)]
 pub struct ReachableMachines {
-    /// Machines whose last heartbeat is recent.
+    /// The number of machines whose last heartbeat is recent.
     pub reachable: usize,
-    /// All machines that are expected to send heartbeats.
+    /// The number of all machines that are expected to send heartbeats.
     pub expected: usize,
 }
 
 /// A machine counts as reachable if its last heartbeat is younger than this multiple of the
-/// heartbeat interval: one heartbeat may be late, but none missing.
+/// heartbeat interval: one heartbeat may be late, but none may be missing.
 const REACHABLE_WITHIN_INTERVALS: f64 = 1.6;
 
-/// One shard as its leader sees it.
+/// One shard's state as its leader knows it, with the decisions that are not carried out yet.
 pub struct Shard {
-    /// The settings that its decisions depend on.
+    /// The settings that the shard's decisions depend on.
     pub policy: Policy,
-    /// The fencing token of this leadership: it is on every command and write.
+    /// The fencing token of this leader's term, which every command and write carries.
     pub fencing_token: FencingToken,
-    /// When this leadership began.
+    /// When this leader's term began, by the monotonic clock.
     acquired: Instant,
-    /// The time of day at that moment, in milliseconds since the Unix epoch.
+    /// The wall-clock time at which the term began, in milliseconds since the Unix epoch.
     acquired_wall_ms: u64,
+    /// The machine types that the cloud offers, by name.
     types: BTreeMap<String, Arc<MachineType>>,
     jobs: BTreeMap<JobId, Job>,
     machines: Machines,
     deleted_machines: DeletedMachines,
     unreconciled: UnreconciledMachines,
     autoscaler: autoscaler::Autoscaler,
-    /// What is not durable yet in the key-value store.
+    /// Changes that are not yet durable in the key-value store.
     writes: persistence::WriteQueue,
     /// Which other controllers may renew workers' leases.
     delegations: delegations::Delegations,
-    /// The number of the newest attempt. It never repeats, whatever a controller lost:
-    /// numbers begin with the fencing token.
+    /// The number of the newest attempt. Attempt numbers begin with the fencing token, so that
+    /// none repeats, whatever state a controller has lost.
     last_attempt_number: u64,
-    /// The number of the newest batch of commands; it is unique within this leadership.
+    /// The number of the newest batch of commands; unique within this leader's term.
     last_batch_number: u64,
-    /// The zone in which the leader had better run: that of most machines, as the handover of
-    /// leadership judges it. Services are safest there, since its controller receives their
-    /// heartbeats whatever the partition between zones.
+    /// The zone in which the leader should run: the one with most machines, as determined by the
+    /// code that hands over leadership. Services are safest there, since a controller in their
+    /// own zone receives their heartbeats during any partition between zones.
     pub main_zone: Option<String>,
-    /// Whether something changed that may allow or require new decisions.
+    /// Whether something changed since the last reconciliation pass that may allow or require
+    /// new decisions.
     needs_pass: bool,
-    /// Tasks that heartbeats list as running, recounted at intervals.
+    /// How many tasks of each job heartbeats list as running, recounted at intervals.
     running: RunningTasks,
-    /// Actions decided since the last [`Shard::take_actions`], in order. Each pass bounds
-    /// what it adds: by the number of machines, and by the scheduler's limits.
+    /// The actions decided since the last [`Shard::take_actions`], in the order of the decisions.
+    /// The number of machines and the scheduler's limits bound how many one pass adds.
     out: Vec<Action>,
 }
 
 impl Shard {
-    /// The actions decided since the last call, in the order in which they were decided.
+    /// Returns the actions decided since the last call, in the order in which they were decided,
+    /// and removes them from the shard.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.out)
     }
 
-    /// Periodic work: ends delegations and leases, probes, scales, and makes a pass. The
-    /// leader loop calls it several times a second.
+    /// Does the periodic work: ends expired delegations and worker leases, counts running tasks,
+    /// finds slow machines, probes workers, scales out and in, and makes a reconciliation pass.
+    /// The leader loop calls it several times a second.
     pub fn tick(&mut self, now: Instant) {
         self.machines.refresh();
         self.remove_ended_delegations(now);
@@ -121,12 +127,13 @@
         self.reconcile(now);
     }
 
-    /// Makes a pass if something changed: decides what to start and stop, and emits the
-    /// commands and writes that follow.
+    /// Makes a reconciliation pass if something changed: decides which tasks to start and stop,
+    /// and queues the resulting commands. Queues due writes in any case.
     pub fn reconcile(&mut self, now: Instant) {
         if std::mem::take(&mut self.needs_pass) {
-            // A stop of one gang task stops the gang: before placement, so that it sees
-            // what is released, and after it, for what preemption stopped.
+            // A stop of one gang task stops the whole gang. That is applied before placement, so
+            // that placement sees the resources that are released, and again after it, for the
+            // tasks that preemption stopped.
             self.reconcile_gangs(now);
             self.withdraw_launches(now);
             self.schedule(now);
@@ -137,11 +144,12 @@
         self.flush_writes(now);
     }
 
-    /// The time of day in milliseconds, by the monotonic clock since the leadership began:
-    /// steps of the wall clock don't reach the shard's decisions.
+    /// The wall-clock time in milliseconds since the Unix epoch. It is read once, when the
+    /// leader's term begins, and advanced by the monotonic clock, so that steps of the wall
+    /// clock don't affect the shard's decisions.
     fn wall_ms(&self, now: Instant) -> u64 {
-        let passed = now.saturating_duration_since(self.acquired).as_millis() as u64;
-        self.acquired_wall_ms + passed
+        let elapsed = now.saturating_duration_since(self.acquired).as_millis() as u64;
+        self.acquired_wall_ms + elapsed
     }
 
     fn new_attempt_number(&mut self) -> u64 {
@@ -158,16 +166,16 @@
         self.needs_pass = true;
     }
 
-    /// How many machines this leader receives heartbeats from.
+    /// From how many of its machines this leader receives heartbeats.
     pub fn reachability(&self, now: Instant) -> ReachableMachines {
         let expected = self.machines.values().filter(|m| m.expects_heartbeats());
-        let recent = self
+        let max_age = self
             .policy
             .heartbeat_interval
             .mul_f64(REACHABLE_WITHIN_INTERVALS);
         let reachable = expected
             .clone()
-            .filter(|m| m.since_last_contact(now) < recent)
+            .filter(|m| m.since_last_contact(now) < max_age)
             .count();
         ReachableMachines {
             reachable,
@@ -175,13 +183,14 @@
         }
     }
 
-    /// Whether tasks wait that may be placed, or machines are unreconciled.
+    /// Whether machines are unreconciled, or tasks wait that a pass may place. Tasks of
+    /// crash-looping jobs don't count.
     pub fn is_busy(&self) -> bool {
         let waits = |job: &Job| job.waiting() > 0 && !job.is_crash_looping();
         !self.unreconciled.is_empty() || self.jobs.values().any(waits)
     }
 
-    /// Whether something changed since decisions were last made.
+    /// Whether something changed since the last reconciliation pass, so that another is needed.
     pub fn needs_pass(&self) -> bool {
         self.needs_pass
     }
--- a/src/coordination/shard/policy.rs
+++ b/src/coordination/shard/policy.rs
@@ -1,4 +1,5 @@
-//! The policy of a shard: the settings in the form that its decisions use.
+//! The policy of a shard: the settings on which its decisions depend, in the form and units that
+//! the decisions use.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -8,115 +9,122 @@
 use crate::settings::Settings;
 use crate::settings::platform::{ServiceLevelObjective, Team};
 
-/// Share of the store's writes that the shard's own records (roster, rentals) may use; the
-/// records of jobs need the rest.
+/// The share of the key-value store's write rate that the shard's own records (roster, rentals)
+/// may use; the records of jobs need the rest.
 const RECORD_WRITE_SHARE: f64 = 0.3;
 
-/// Lower bound of a team's fair share, in cores or accelerators.
+/// The lower bound of a team's fair share, in cores or accelerators.
 const MIN_FAIR_SHARE: f64 = 1.0;
 
-/// Added to a worker's lease for an answer that reaches the worker later than it was sent.
+/// Added to the time after which a worker's lease has certainly expired: the lease starts when
+/// the answer reaches the worker, which is later than the controller sent it.
 const LEASE_MARGIN: Duration = Duration::from_millis(300);
 
-/// Objectives with a longer time than this, in seconds, are ignored.
+/// Service-level objectives with a time of this many seconds or more are ignored.
 const MAX_OBJECTIVE_S: f64 = 1e9;
 
-/// The least multiple of a deadline that an objective may name, and the first that is too
-/// large.
+/// The smallest multiple of a deadline that a service-level objective may name.
 const MIN_DEADLINE_MULTIPLE: f64 = 0.1;
+/// Service-level objectives that name this multiple of a deadline or a larger one are ignored.
 const MAX_DEADLINE_MULTIPLE: f64 = 1e3;
 
 /// A team's guaranteed quota and its quota limit; 0 means none.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TeamPolicy {
-    /// Guaranteed cores.
+    /// The guaranteed number of cores.
     pub cores: f64,
-    /// Most cores that its tasks may use at once.
+    /// The most cores that the team's tasks may use at once.
     pub cores_max: f64,
-    /// Guaranteed accelerators.
+    /// The guaranteed number of accelerators.
     pub accelerators: f64,
-    /// Most accelerators that its tasks may use at once.
+    /// The most accelerators that the team's tasks may use at once.
     pub accelerators_max: f64,
 }
 
 impl TeamPolicy {
-    /// The guaranteed quota as one number, by which teams are compared.
+    /// The guaranteed quota as one number, by which teams are compared: the larger of its cores
+    /// and its accelerators.
     fn guaranteed(&self) -> f64 {
         self.cores.max(self.accelerators)
     }
 }
 
-/// What the shard's decisions depend on besides its state.
+/// The settings that a shard's decisions depend on.
 #[derive(Debug, Clone)]
 pub struct Policy {
     /// This controller's node id.
     pub node_id: String,
-    /// The teams by name.
+    /// The quotas of each team, by team name.
     pub teams: BTreeMap<String, TeamPolicy>,
-    /// Service-level objective for the wait until a start, by job class.
+    /// The service-level objective for the time from a job's acceptance to its start, by job
+    /// class.
     pub wait_within: HashMap<String, Duration>,
-    /// Service-level objective for the time until the end, by job class.
+    /// The service-level objective for the time from a job's acceptance to its end, by job class.
     pub finish_within: HashMap<String, Duration>,
-    /// The multiples of their deadlines within which jobs of a class are to end, rising.
+    /// By job class, the multiples of their deadlines within which jobs are to end, in rising
+    /// order.
     pub deadline_times: HashMap<String, Vec<f64>>,
-    /// The usual pause between two heartbeats of a worker.
+    /// The usual time between two heartbeats of a worker.
     pub heartbeat_interval: Duration,
-    /// How long a worker's lease lasts.
+    /// The duration of a worker's lease.
     pub worker_lease: Duration,
-    /// How long a gang's task waits for the others.
+    /// How long a gang's task waits for the gang's other tasks to be ready.
     pub gang_wait: Duration,
-    /// How long another controller may renew workers' leases by advance delegation.
+    /// The longest time for which another controller may renew workers' leases by advance
+    /// delegation.
     pub advance_delegation: Duration,
-    /// Most mutations in one transaction.
+    /// The most mutations in one transaction of the key-value store.
     pub txn_ops: usize,
-    /// Most bytes in one value of the store.
+    /// The most bytes in one value of the key-value store.
     pub value_bytes: usize,
-    /// How often a changed shard is snapshotted.
+    /// The shortest time between the starts of two rounds of snapshots of a changed shard.
     pub snapshot: Duration,
-    /// Age of unsnapshotted changes beyond which no task is started.
+    /// The age of changes without a durable snapshot beyond which no task is started.
     pub staleness: Duration,
-    /// Mutations per second for snapshots.
+    /// The most mutations per second for snapshots.
     pub snapshot_writes_per_s: f64,
-    /// Mutations per second for the shard's own records.
+    /// The most mutations per second for the shard's own records (roster, rentals).
     pub record_writes_per_s: f64,
-    /// Time without contact after which a machine gets no new tasks.
+    /// The time without contact after which a machine gets no new tasks.
     pub suspect_after: Duration,
-    /// Time without contact after which a machine is declared dead.
+    /// The time without contact after which a machine is declared dead.
     pub dead_after: Duration,
-    /// Free capacity to hold, as a multiple of what runs.
+    /// The tasks of each job class for which free capacity is kept, as a multiple of the class's
+    /// running tasks.
     pub headroom: f64,
-    /// How long a machine may stay idle before it is deleted.
+    /// How long a machine has to be idle before it is deleted.
     pub idle: Duration,
-    /// How long unused quota stays reserved after its team's last job.
+    /// How long a team's unused quota stays reserved after the team last had work.
     pub quota_hold: Duration,
-    /// Pause before a kind of machine is requested again of which the cloud had too few.
+    /// The backoff before the autoscaler again requests a kind of machine of which the cloud had
+    /// too few.
     pub scale_out_retry: Duration,
 }
 
 impl Policy {
-    /// The policy that the settings ask for.
+    /// Derives the policy from the settings.
     pub fn new(settings: &Settings) -> Self {
-        let given = &settings.platform.settings;
-        let state = given.kv.planned();
+        let platform = &settings.platform.settings;
+        let kv_limits = platform.kv.planned();
         let operator = &settings.operator;
         Self {
             node_id: settings.platform.node_id.clone(),
-            teams: teams(&given.teams),
-            wait_within: within(&given.objectives, "wait"),
-            finish_within: within(&given.objectives, "finished"),
-            deadline_times: deadline_times(&given.objectives),
-            heartbeat_interval: given.workers.heartbeat_interval(),
-            worker_lease: given.workers.lease_duration(),
-            gang_wait: given.workers.gang_wait(),
+            teams: team_policies(&platform.teams),
+            wait_within: objectives_of_kind(&platform.objectives, "wait"),
+            finish_within: objectives_of_kind(&platform.objectives, "finished"),
+            deadline_times: deadline_multiples(&platform.objectives),
+            heartbeat_interval: platform.workers.heartbeat_interval(),
+            worker_lease: platform.workers.lease_duration(),
+            gang_wait: platform.workers.gang_wait(),
             advance_delegation: advance_delegation::max_duration(settings),
-            txn_ops: state.txn_ops,
-            value_bytes: state.value_bytes(),
+            txn_ops: kv_limits.txn_ops,
+            value_bytes: kv_limits.value_bytes(),
             snapshot: operator.snapshot_interval(),
             staleness: operator.staleness(),
-            snapshot_writes_per_s: state.write_rps * operator.snapshot_write_share,
-            record_writes_per_s: state.write_rps * RECORD_WRITE_SHARE,
-            suspect_after: given.workers.max_heartbeat_interval() + operator.suspect_late(),
-            dead_after: given.workers.max_heartbeat_interval() + operator.declare_dead_late(),
+            snapshot_writes_per_s: kv_limits.write_rps * operator.snapshot_write_share,
+            record_writes_per_s: kv_limits.write_rps * RECORD_WRITE_SHARE,
+            suspect_after: platform.workers.max_heartbeat_interval() + operator.suspect_late(),
+            dead_after: platform.workers.max_heartbeat_interval() + operator.declare_dead_late(),
             headroom: operator.headroom,
             idle: operator.max_idle_time(),
             quota_hold: operator.quota_hold(),
@@ -124,13 +132,14 @@
         }
     }
 
-    /// Whether machines are held for guaranteed quota whatever runs on them.
+    /// Whether some team has guaranteed cores. Machines for them are then kept even while nothing
+    /// runs on them.
     pub fn holds_capacity(&self) -> bool {
         self.teams.values().any(|team| team.cores > 0.0)
     }
 
-    /// A team's fair share of the capacity beyond all guaranteed quota: its own quota, or the
-    /// smallest of the other teams' if it has none.
+    /// A team's weight in fair sharing of the capacity beyond all guaranteed quota: its own
+    /// guaranteed quota, or the smallest guaranteed quota of any other team if it has none.
     pub fn fair_share(&self, team: &str) -> f64 {
         let own = self.teams.get(team).map_or(0.0, TeamPolicy::guaranteed);
         if own > 0.0 {
@@ -141,21 +150,22 @@
         smallest.unwrap_or(MIN_FAIR_SHARE).max(MIN_FAIR_SHARE)
     }
 
-    /// How long a worker that answers may go without a heartbeat of its own. One whose leader
-    /// has just changed takes a while to find the next.
+    /// How long a worker that still answers commands may go without sending a heartbeat by itself
+    /// before its machine gets no new tasks. A worker whose leader has just changed takes a while
+    /// to find the new one.
     pub fn heartbeat_overdue(&self) -> Duration {
         self.suspect_after.max(self.worker_lease / 2)
     }
 
-    /// How long after this controller's last answer a worker's lease has certainly expired:
-    /// the worker's clock may run slow, and this controller's fast.
+    /// How long after this controller last answered a worker's heartbeat the worker's lease has
+    /// certainly expired, although the worker's clock may run slow and this controller's fast.
     pub fn worker_lease_bound(&self) -> Duration {
         clock_drift::max_elapsed(self.worker_lease) + LEASE_MARGIN
     }
 }
 
-/// The teams by name.
-fn teams(teams: &[Team]) -> BTreeMap<String, TeamPolicy> {
+/// The quotas of each team, by team name.
+fn team_policies(teams: &[Team]) -> BTreeMap<String, TeamPolicy> {
     teams
         .iter()
         .map(|team| {
@@ -170,8 +180,11 @@
         .collect()
 }
 
-/// The times of the objectives of one kind, by job class.
-fn within(objectives: &[ServiceLevelObjective], kind: &str) -> HashMap<String, Duration> {
+/// The times of the service-level objectives of one kind, by job class.
+fn objectives_of_kind(
+    objectives: &[ServiceLevelObjective],
+    kind: &str,
+) -> HashMap<String, Duration> {
     objectives
         .iter()
         .filter(|objective| objective.kind == kind)
@@ -183,20 +196,20 @@
         .collect()
 }
 
-/// The multiples of deadlines that objectives name, by job class.
-fn deadline_times(objectives: &[ServiceLevelObjective]) -> HashMap<String, Vec<f64>> {
-    let mut times: HashMap<String, Vec<f64>> = HashMap::new();
-    let valid = MIN_DEADLINE_MULTIPLE..MAX_DEADLINE_MULTIPLE;
+/// The multiples of deadlines that service-level objectives name, by job class, in rising order.
+fn deadline_multiples(objectives: &[ServiceLevelObjective]) -> HashMap<String, Vec<f64>> {
+    let mut by_class: HashMap<String, Vec<f64>> = HashMap::new();
+    let valid_multiples = MIN_DEADLINE_MULTIPLE..MAX_DEADLINE_MULTIPLE;
     for objective in objectives.iter().filter(|o| o.kind == "deadline") {
         let multiple = objective.deadline_multiple.unwrap_or(1.0);
         if let Some(class) = &objective.class
-            && valid.contains(&multiple)
+            && valid_multiples.contains(&multiple)
         {
-            times.entry(class.clone()).or_default().push(multiple);
+            by_class.entry(class.clone()).or_default().push(multiple);
         }
     }
-    for multiples in times.values_mut() {
+    for multiples in by_class.values_mut() {
         multiples.sort_by(f64::total_cmp);
     }
-    times
+    by_class
 }
--- a/src/coordination/shard/scheduler/candidates.rs
+++ b/src/coordination/shard/scheduler/candidates.rs
@@ -1,4 +1,5 @@
-//! The candidate machines of one scheduling pass, and what the pass has used of them.
+//! The candidate machines of one scheduling pass, and the working state in which the pass keeps
+//! account of the resources and quotas that it has used.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,43 +13,45 @@
 use crate::protocol::MachineId;
 use crate::protocol::users::{JobKind, JobSpec};
 
-/// A machine that may get tasks in this pass.
+/// A machine that may get tasks in the current pass.
 #[derive(Debug, Clone)]
 pub(super) struct Candidate {
     pub(super) id: MachineId,
     pub(super) machine_type: Arc<str>,
     pub(super) zone: Arc<str>,
-    pub(super) spot: bool,
-    /// An on-demand machine that scale-in can release once its batch work ends: a
-    /// service placed on it would keep it.
-    pub(super) releasable: bool,
-    /// Releasable, and past the time that is charged for in any case: batch work that
-    /// may run on spot instances does not extend its life.
+    pub(super) is_spot: bool,
+    /// Whether it is an on-demand machine that scale-in can release once its batch work ends. A
+    /// service placed on it would prevent that.
+    pub(super) is_releasable: bool,
+    /// Whether it is releasable and past the time that the cloud charges for in any case. Batch
+    /// work that may run on spot instances is then not placed on it, so that it can be released.
     pub(super) costs_extra: bool,
-    /// Resources that no task uses, less what this pass has placed.
+    /// The resources that no task uses, less those of the tasks placed in this pass.
     pub(super) free: Resources,
     /// The part of the free resources that is reserved for services being drained from
     /// other machines.
     pub(super) reserved_for_services: Resources,
-    /// Closed to batch work in this pass: reserved for a starving job or a waiting gang.
-    pub(super) reserved: bool,
+    /// Whether it is reserved for a starving job or a waiting gang, and so gets no other batch
+    /// work in this pass.
+    pub(super) is_reserved: bool,
 }
 
 impl Candidate {
-    /// Whether a job's machine types, zone and spot setting allow this machine.
+    /// Whether a job's constraints on machine type, zone and spot instances allow this machine.
     pub(super) fn allows(&self, spec: &JobSpec) -> bool {
-        allowed(spec, &self.machine_type, &self.zone, self.spot)
+        allowed(spec, &self.machine_type, &self.zone, self.is_spot)
     }
 
-    /// Whether one more task of a job fits.
+    /// Whether one more task of a job fits into the free resources. Batch jobs and gangs may use
+    /// neither a reserved machine nor resources reserved for services.
     pub(super) fn fits(&self, spec: &JobSpec) -> bool {
         if spec.kind == JobKind::Service {
             return self.free.fits_task(spec);
         }
-        !self.reserved && self.free.minus(&self.reserved_for_services).fits_task(spec)
+        !self.is_reserved && self.free.minus(&self.reserved_for_services).fits_task(spec)
     }
 
-    /// How many more tasks of a batch job or gang fit.
+    /// How many more tasks of a batch job or gang fit into the free resources.
     pub(super) fn fitting_tasks(&self, spec: &JobSpec) -> u32 {
         if self.fits(spec) {
             self.free
@@ -59,9 +62,10 @@
         }
     }
 
-    /// Whether a job may use a machine that scale-in would otherwise release: work that
-    /// may run on spot instances waits for those while its deadline allows.
-    pub(super) fn cost_acceptable(&self, job: &Job) -> bool {
+    /// Whether the machine's cost is acceptable for a job. Batch jobs and gangs that may run on
+    /// spot instances don't use a machine that costs extra, but wait for a spot instance while
+    /// their due times allow.
+    pub(super) fn is_cost_acceptable(&self, job: &Job) -> bool {
         !self.costs_extra
             || !job.spec.spot
             || job.spec.kind == JobKind::Service
@@ -69,7 +73,7 @@
     }
 }
 
-/// Whether a job may run on a machine of this type, zone and pricing.
+/// Whether a job's constraints allow a machine of this type, zone and pricing (spot or on-demand).
 pub(in crate::coordination::shard) fn allowed(
     spec: &JobSpec,
     machine_type: &str,
@@ -81,24 +85,27 @@
             .machine_types
             .as_ref()
             .is_none_or(|types| types.iter().any(|t| t == machine_type))
-        && spec.zone.as_ref().is_none_or(|only| only == zone)
+        && spec.zone.as_ref().is_none_or(|required| required == zone)
 }
 
-/// How far a machine is with an image; later states are better.
+/// Whether a machine has an image. The states are ordered from worst to best.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ImageState {
+    /// The machine does not have the image, and no task on it uses the image.
     Absent,
-    /// A task that uses it is on the machine: it is pulled, or about to be.
+    /// A task that uses the image is on the machine, which is pulling it or about to do so.
     Pulling,
+    /// The machine has the image.
     Cached,
 }
 
-/// The working state of one scheduling pass: what is left of the candidates and quotas
-/// after what the pass has placed and reserved.
+/// The working state of one scheduling pass: the candidates with the resources that are still
+/// free, and the teams' usage, after the tasks that the pass has placed and the resources that it
+/// has reserved.
 pub(super) struct SchedulingPass {
     candidates: Vec<Candidate>,
     usage: Usage,
-    /// By image, its state on each candidate.
+    /// For each image, its state on each candidate, by the candidate's index.
     image_states: HashMap<String, Vec<ImageState>>,
 }
 
@@ -111,18 +118,19 @@
         }
     }
 
-    /// The candidates in the order of their ids; an index stays valid for the pass.
+    /// The candidates in the order of their ids. The index of a candidate stays the same for the
+    /// whole pass.
     pub(super) fn candidates(&self) -> &[Candidate] {
         &self.candidates
     }
 
-    /// What the teams use, with the tasks placed in this pass.
+    /// What the teams use, including the tasks placed in this pass.
     pub(super) fn usage(&self) -> &Usage {
         &self.usage
     }
 
-    /// Notes the state of an image on each candidate, once a pass. Needed before the
-    /// image's jobs are placed.
+    /// Determines the state of an image on each candidate, unless this pass has done so before.
+    /// Has to be called before a job that uses the image is placed.
     pub(super) fn load_image_states(&mut self, image: &str, view: SchedulerView) {
         if self.image_states.contains_key(image) {
             return;
@@ -136,21 +144,24 @@
         self.image_states.insert(image.to_owned(), states);
     }
 
-    /// The state of a job's image on each candidate; empty if it was not loaded.
+    /// The state of a job's image on each candidate, by index; empty if the image's states were
+    /// not loaded.
     pub(super) fn image_states(&self, spec: &JobSpec) -> &[ImageState] {
         self.image_states
             .get(&spec.image)
             .map_or(&[], Vec::as_slice)
     }
 
-    /// The state of a job's image on one candidate; absent if it was not loaded.
+    /// The state of a job's image on one candidate; [`ImageState::Absent`] if the image's states
+    /// were not loaded.
     pub(super) fn image_state(&self, spec: &JobSpec, index: usize) -> ImageState {
         let state = self.image_states(spec).get(index).copied();
         state.unwrap_or(ImageState::Absent)
     }
 
-    /// Accounts for a task that was placed on a candidate.
-    pub(super) fn place_task(&mut self, index: usize, spec: &JobSpec) {
+    /// Subtracts a task that is placed on a candidate from the free resources, and adds it to its
+    /// team's usage.
+    pub(super) fn record_placement(&mut self, index: usize, spec: &JobSpec) {
         self.candidates[index].free.subtract_task(spec);
         self.usage.add(spec, 1);
         if let Some(states) = self.image_states.get_mut(&spec.image) {
@@ -158,21 +169,21 @@
         }
     }
 
-    /// Sets resources on a candidate aside for a task that is not placed yet.
-    pub(super) fn set_aside(&mut self, index: usize, spec: &JobSpec) {
+    /// Reserves resources on a candidate for one task that is not placed yet.
+    pub(super) fn reserve_resources(&mut self, index: usize, spec: &JobSpec) {
         self.candidates[index].free.subtract_task(spec);
     }
 
-    /// Closes a candidate to batch work for the rest of the pass.
+    /// Reserves a whole candidate: it gets no batch work in the rest of the pass.
     pub(super) fn reserve_machine(&mut self, index: usize) {
-        self.candidates[index].reserved = true;
+        self.candidates[index].is_reserved = true;
     }
 }
 
 impl Shard {
     /// The machines that accept new tasks now.
     pub(super) fn candidates(&self, now: Instant) -> Vec<Candidate> {
-        let reserved = self.autoscaler_view().reserved_for_moves();
+        let reserved_for_services = self.autoscaler_view().reserved_for_moves();
         self.machines
             .values()
             .filter(|machine| machine.is_schedulable(now, &self.policy))
@@ -182,19 +193,22 @@
                     id: machine.id.clone(),
                     machine_type: machine.machine_type.clone(),
                     zone: machine.zone.clone(),
-                    spot: machine.spot,
-                    releasable: is_releasable(machine, &self.policy),
+                    is_spot: machine.spot,
+                    is_releasable: is_releasable(machine, &self.policy),
                     costs_extra: costs_extra(machine, &self.policy, now),
                     free: machine.free(machine_type),
-                    reserved_for_services: reserved.get(&machine.id).copied().unwrap_or_default(),
-                    reserved: false,
+                    reserved_for_services: reserved_for_services
+                        .get(&machine.id)
+                        .copied()
+                        .unwrap_or_default(),
+                    is_reserved: false,
                 })
             })
             .collect()
     }
 }
 
-/// Whether a task on a machine uses an image, so that the machine pulls it.
+/// Whether a task on a machine uses an image, in which case the machine pulls the image.
 fn uses_image(machine: &Machine, image: &str) -> bool {
     let mut tasks = machine.load.tasks.iter();
     tasks.any(|(spec, _)| spec.image == image)
--- a/src/coordination/shard/scheduler/gang/mod.rs
+++ b/src/coordination/shard/scheduler/gang/mod.rs
@@ -1,10 +1,9 @@
 //! Gang scheduling: all tasks of a job run at the same time, or none does.
 //!
-//! All tasks of one gang attempt carry one attempt number, by which they find one another.
-//! A gang is launched whole, on machines found for all its tasks at once, and only when no
-//! task of an earlier attempt can exist ([`placement`]). What happens to one task decides
-//! for all ([`reconciliation`]), so that a stop of one task, for whatever reason,
-//! stops the gang.
+//! All tasks of one gang attempt carry the same attempt number, by which they find one another.
+//! A gang is launched as a whole, on machines found for all its tasks at once, and only when no
+//! task of an earlier attempt can exist ([`placement`]). If one task stops, for whatever reason,
+//! the whole gang is stopped ([`reconciliation`]).
 
 mod placement;
 mod reconciliation;
@@ -15,20 +14,21 @@
 use crate::coordination::shard::Shard;
 use crate::protocol::JobId;
 
-/// Pause after a gang attempt whose tasks never all waited at the same time.
+/// The backoff after a gang attempt that ended before all its tasks were ready at the same time.
 const GANG_RETRY_DELAY: Duration = Duration::from_secs(3);
 
 /// The state of a gang's current attempt.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct GangAttempt {
-    /// The number that all its tasks carry; 0 if there is no attempt.
+    /// The attempt number that all its tasks carry; 0 if the gang has no current attempt.
     pub attempt_number: u64,
-    /// Its tasks have run: from then on, the loss of a task ends the attempt.
+    /// Whether a task of the attempt has run. Once that is so, the loss of a task ends the
+    /// attempt; before, a lost task may be replaced.
     pub started: bool,
 }
 
 impl Shard {
-    /// A task of a gang completed: all its tasks have.
+    /// Marks all tasks of a gang as completed, because one of them has completed.
     pub(in crate::coordination::shard) fn gang_task_done(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             for index in 0..job.spec.tasks {
@@ -37,7 +37,8 @@
         }
     }
 
-    /// A gang attempt ended before all its tasks were ready: the next one is delayed.
+    /// Delays the next attempt of a gang, because its last attempt ended before all its tasks were
+    /// ready.
     pub(in crate::coordination::shard) fn gang_came_apart(&mut self, id: &JobId, now: Instant) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.not_before = Some(now + GANG_RETRY_DELAY);
@@ -46,9 +47,9 @@
 }
 
 impl SchedulerView<'_> {
-    /// Whether every machine of a gang is reachable, so that all its tasks can save a
-    /// checkpoint and stop at the same time.
-    pub(super) fn gang_reachable(&self, id: &JobId, now: Instant) -> bool {
+    /// Whether all machines of a gang's live tasks are reachable, so that all the tasks can save
+    /// a checkpoint and stop at the same time.
+    pub(super) fn is_gang_reachable(&self, id: &JobId, now: Instant) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
--- a/src/coordination/shard/scheduler/gang/placement.rs
+++ b/src/coordination/shard/scheduler/gang/placement.rs
@@ -1,4 +1,5 @@
-//! Placement of gangs: machines for all tasks at once, or reservations until there are.
+//! Placement of gangs: finds machines for all tasks of a gang at once, or reserves machines until
+//! there are enough.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -11,13 +12,15 @@
 use crate::protocol::users::JobSpec;
 use crate::protocol::{JobId, MachineId};
 
-/// Age at which a waiting gang gets machines reserved.
+/// The time since its acceptance after which a gang that could not be placed gets machines
+/// reserved.
 const GANG_RESERVATION_DELAY: Duration = Duration::from_secs(3);
 
-/// A zone in which a gang may be placed.
+/// The zone or zones in which a gang may be placed.
 enum ZoneChoice {
     /// The gang's tasks need not be in one zone.
     Any,
+    /// All tasks have to be in this zone.
     Only(Arc<str>),
 }
 
@@ -30,28 +33,29 @@
     }
 }
 
-/// Free capacity for a gang in one zone.
+/// The free capacity for a gang in one zone.
 #[derive(Default)]
 struct ZoneCapacity {
     fitting_tasks: u32,
     free_cores: f64,
 }
 
-/// A candidate for a gang's tasks; the least is best. The fields stand in the order of their
-/// weight: machines with the image, so that the tasks are ready at the same time, and few
-/// machines, since losing one loses the gang.
+/// The rank of a candidate for a gang's tasks; the smallest is the best. The fields are in the
+/// order of their weight. Machines with the image come first, so that the tasks are ready at the
+/// same time. Machines for many tasks are preferred, so that the gang uses few: the loss of one
+/// machine stops the whole gang.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct GangCandidate {
     lacks_image: bool,
     costs_extra: bool,
     on_demand: bool,
     fitting_tasks: Reverse<u32>,
-    /// Index of the candidate in the pass.
+    /// The index of the candidate in the pass.
     index: usize,
 }
 
 impl Shard {
-    /// Places all missing tasks of a gang, or none; returns how many.
+    /// Places all waiting tasks of a gang, or none. Returns how many tasks it placed.
     pub(in crate::coordination::shard::scheduler) fn place_gang(
         &mut self,
         id: &JobId,
@@ -62,7 +66,7 @@
         let Some(job) = view
             .jobs
             .get(id)
-            .filter(|job| view.gang_placeable(job, pass))
+            .filter(|job| view.is_gang_placeable(job, pass))
         else {
             return 0;
         };
@@ -71,7 +75,7 @@
         let Some(indices) = view.gang_machines(job, job.waiting(), pass) else {
             return 0;
         };
-        // Replacements join the current attempt.
+        // Tasks that replace lost ones join the current attempt.
         let attempt_number = match job.gang.attempt_number {
             0 => self.new_attempt_number(),
             current => current,
@@ -81,7 +85,7 @@
             let Some(task) = job.and_then(|job| job.next_waiting(true)) else {
                 break;
             };
-            pass.place_task(*index, &spec);
+            pass.record_placement(*index, &spec);
             let machine = pass.candidates()[*index].id.clone();
             self.launch(id, task, &machine, attempt_number, now);
         }
@@ -91,9 +95,10 @@
         indices.len()
     }
 
-    /// Reserves resources for a gang that could not be placed: what is free, and for the
-    /// rest the emptiest machines. Smaller tasks later in the pass would otherwise take each
-    /// resource as it becomes free.
+    /// Reserves resources for a gang that could not be placed, once it has waited for
+    /// [`GANG_RESERVATION_DELAY`]: the free resources for as many tasks as fit, and for each
+    /// further task one of the emptiest machines. Smaller tasks later in the pass would otherwise
+    /// take each resource as it becomes free.
     pub(in crate::coordination::shard::scheduler) fn reserve_for_gang(
         &self,
         id: &JobId,
@@ -111,25 +116,28 @@
 }
 
 impl SchedulerView<'_> {
-    /// Whether all missing tasks of a gang may be started now.
-    fn gang_placeable(&self, job: &Job, pass: &SchedulingPass) -> bool {
-        let missing = job.waiting();
-        let stops = |machine: &Machine| {
+    /// Whether all waiting tasks of a gang may be started now, if machines are found for them: the
+    /// gang has not started, none of its tasks is stopping, no earlier leader can have started one
+    /// elsewhere, and its team stays within its quota limit.
+    fn is_gang_placeable(&self, job: &Job, pass: &SchedulingPass) -> bool {
+        let waiting = job.waiting();
+        let has_stopping_task = |machine: &Machine| {
             machine
                 .attempts_of(&job.id)
                 .any(|(_, a)| a.stop_grace().is_some())
         };
         let mut hosts = job.live().values().filter_map(|id| self.machines.get(id));
-        missing > 0
-            && self.placeable_tasks(job) >= missing
+        waiting > 0
+            && self.placeable_tasks(job) >= waiting
             && !job.gang.started
-            && !hosts.any(stops)
+            && !hosts.any(has_stopping_task)
             && pass
                 .usage()
-                .all_within_limit(self.policy, &job.spec, missing)
+                .all_within_limit(self.policy, &job.spec, waiting)
     }
 
-    /// Candidates for so many tasks of a gang, one index each; `None` if too few fit.
+    /// The candidates for this number of a gang's tasks: one candidate index for each task.
+    /// `None` if fewer tasks fit.
     fn gang_machines(&self, job: &Job, tasks: u32, pass: &SchedulingPass) -> Option<Vec<usize>> {
         let zones = self.gang_zones(job, pass);
         zones.iter().find_map(|zone| {
@@ -138,7 +146,7 @@
         })
     }
 
-    /// The zones in which a gang's missing tasks may be placed, the best first.
+    /// The zones in which a gang's waiting tasks may be placed, the best first.
     fn gang_zones(&self, job: &Job, pass: &SchedulingPass) -> Vec<ZoneChoice> {
         let spec = &job.spec;
         if !spec.one_zone {
@@ -160,7 +168,8 @@
         best_first.map(ZoneChoice::Only).collect()
     }
 
-    /// Candidates in a zone for up to so many tasks of a gang, one index each.
+    /// The candidates in a zone for up to this number of a gang's tasks: one candidate index for
+    /// each task that fits.
     fn gang_machines_in(
         &self,
         job: &Job,
@@ -172,15 +181,16 @@
         let mut indices = Vec::new();
         for candidate in self.ranked_gang_candidates(job, tasks, zone, pass) {
             let zone = &pass.candidates()[candidate.index].zone;
-            let left = tasks - indices.len() as u32;
+            let unassigned = tasks - indices.len() as u32;
             let Reverse(fitting) = candidate.fitting_tasks;
-            let placed = fitting.min(left).min(constraint.remaining(zone));
+            let placed = fitting.min(unassigned).min(constraint.remaining(zone));
             constraint.add(zone, placed);
             indices.extend(std::iter::repeat_n(candidate.index, placed as usize));
         }
         indices
     }
 
+    /// The candidates in a zone on which at least one task of a gang fits, the best first.
     fn ranked_gang_candidates(
         &self,
         job: &Job,
@@ -189,13 +199,14 @@
         pass: &SchedulingPass,
     ) -> Vec<GangCandidate> {
         let spec = &job.spec;
+        // If the gang's tasks have failed on as many machines as there are, none is avoided.
         let avoid_failed = job.failures.machine_count() < pass.candidates().len();
         let mut ranked = Vec::new();
         for (index, candidate) in pass.candidates().iter().enumerate() {
             let fitting_tasks = candidate.fitting_tasks(spec);
             let eligible = fitting_tasks > 0
                 && candidate.allows(spec)
-                && candidate.cost_acceptable(job)
+                && candidate.is_cost_acceptable(job)
                 && zone.includes(&candidate.zone)
                 && !(avoid_failed && job.failures.has_failed_on(&candidate.id))
                 && !self.ran_current_attempt(job, &candidate.id);
@@ -203,7 +214,7 @@
                 ranked.push(GangCandidate {
                     lacks_image: pass.image_state(spec, index) == ImageState::Absent,
                     costs_extra: candidate.costs_extra,
-                    on_demand: !candidate.spot,
+                    on_demand: !candidate.is_spot,
                     fitting_tasks: Reverse(fitting_tasks.min(tasks)),
                     index,
                 });
@@ -213,8 +224,8 @@
         ranked
     }
 
-    /// Whether a task of the gang's current attempt has ended on a machine: its worker
-    /// starts no other task under that attempt number.
+    /// Whether a task of the gang's current attempt has ended on a machine. The machine's worker
+    /// then starts no other task of the gang with that attempt number.
     fn ran_current_attempt(&self, job: &Job, id: &MachineId) -> bool {
         let current = job.gang.attempt_number;
         current != 0
@@ -224,29 +235,34 @@
             })
     }
 
+    /// Reserves free resources for as many of a gang's waiting tasks as fit, and one of the
+    /// emptiest machines for each of the others.
     fn reserve_for_gang(&self, job: &Job, pass: &mut SchedulingPass) {
         let spec = &job.spec;
-        let missing = job.waiting();
-        if self.placeable_tasks(job) < missing
-            || !pass.usage().all_within_limit(self.policy, spec, missing)
+        let waiting = job.waiting();
+        if self.placeable_tasks(job) < waiting
+            || !pass.usage().all_within_limit(self.policy, spec, waiting)
         {
             return;
         }
         let Some(zone) = self.gang_zones(job, pass).into_iter().next() else {
             return;
         };
-        let indices = self.gang_machines_in(job, missing, &zone, pass);
-        let short = missing as usize - indices.len();
+        let indices = self.gang_machines_in(job, waiting, &zone, pass);
+        let unassigned = waiting as usize - indices.len();
         for index in indices {
-            pass.set_aside(index, spec);
+            pass.reserve_resources(index, spec);
         }
-        for index in emptiest_for_gang(job, &zone, pass).into_iter().take(short) {
+        for index in emptiest_for_gang(job, &zone, pass)
+            .into_iter()
+            .take(unassigned)
+        {
             pass.reserve_machine(index);
         }
     }
 }
 
-/// The free capacity for a gang's tasks in each zone, in the order of the zones' names.
+/// The free capacity for a gang's tasks in each zone, sorted by the zones' names.
 fn capacity_by_zone<'a>(
     spec: &JobSpec,
     candidates: &'a [Candidate],
@@ -260,16 +276,16 @@
     zones.into_iter().collect()
 }
 
-/// The candidates in a zone that a gang may use and that are not reserved, by falling free
-/// cores.
+/// The indices of the candidates in a zone that a gang may use and that are not reserved, those
+/// with the most free cores first.
 fn emptiest_for_gang(job: &Job, zone: &ZoneChoice, pass: &SchedulingPass) -> Vec<usize> {
     let free_cores = |index: &usize| pass.candidates()[*index].free.cores;
     let mut indices: Vec<usize> = (0..pass.candidates().len())
         .filter(|index| {
             let candidate = &pass.candidates()[*index];
-            !candidate.reserved
+            !candidate.is_reserved
                 && candidate.allows(&job.spec)
-                && candidate.cost_acceptable(job)
+                && candidate.is_cost_acceptable(job)
                 && zone.includes(&candidate.zone)
         })
         .collect();
--- a/src/coordination/shard/scheduler/gang/reconciliation.rs
+++ b/src/coordination/shard/scheduler/gang/reconciliation.rs
@@ -1,4 +1,5 @@
-//! Reconciliation of gangs: tasks that cannot go on together are stopped together.
+//! Reconciliation of gangs: if a task of a gang stops, or is lost and can't be replaced in time,
+//! the whole gang is stopped.
 
 use std::time::{Duration, Instant};
 
@@ -7,33 +8,34 @@
 use crate::coordination::shard::{Job, Phase, Shard};
 use crate::protocol::{AttemptId, JobId, MachineId};
 
-/// The share of the time that a gang's tasks wait for one another within which a lost task
-/// is replaced. Later, its image would hardly be pulled in time.
+/// A lost task of a gang is replaced only until the gang's other tasks have waited for this share
+/// of [`Policy::gang_wait`](crate::coordination::shard::Policy::gang_wait). A later replacement
+/// could hardly pull its image in time.
 const REPLACEMENT_WINDOW: f64 = 0.4;
 
-/// A task of a gang that may be on a machine.
+/// An attempt of a gang's task that may exist on a machine.
 struct GangMember {
     machine: MachineId,
     attempt: AttemptId,
     phase: Phase,
-    /// Since when it is in this phase.
+    /// When it entered this phase.
     since: Instant,
-    /// The grace period of a stop that was decided.
+    /// The grace period of its stop, if a stop was decided.
     stop: Option<Duration>,
 }
 
-/// What happens to a gang's attempt.
+/// What is decided for a gang's attempt.
 #[derive(Debug, Clone, Copy)]
 enum GangDecision {
+    /// The gang goes on running or waiting for its tasks.
     Continue,
-    /// All its tasks stop, with this time to save a checkpoint.
-    Stop {
-        grace: Duration,
-    },
+    /// All its tasks are stopped, with this grace period to save a checkpoint.
+    Stop { grace: Duration },
 }
 
 impl Shard {
-    /// Brings the tasks of each gang to the same state: if one has to stop, all do.
+    /// Updates the current attempt of each gang, and stops all tasks of a gang of which one is
+    /// stopping, or of which a lost task can't be replaced.
     pub(in crate::coordination::shard) fn reconcile_gangs(&mut self, now: Instant) {
         let gangs: Vec<JobId> = self
             .jobs
@@ -56,6 +58,7 @@
         }
     }
 
+    /// Stops a gang's tasks if that is decided, and in any case its tasks of earlier attempts.
     fn stop_gang_members(
         &mut self,
         members: &[GangMember],
@@ -65,7 +68,7 @@
         for member in members {
             let grace = match decision {
                 GangDecision::Stop { grace } if member.stop.is_none() => grace,
-                // A task of an earlier attempt would keep the gang from starting.
+                // The gang could not start while a task of an earlier attempt is live.
                 _ if member.attempt.number < current_number => Duration::ZERO,
                 _ => continue,
             };
@@ -79,7 +82,7 @@
 }
 
 impl SchedulerView<'_> {
-    /// The attempts of a gang's tasks that have not ended, by machine.
+    /// The attempts of a gang's tasks that have not ended, in the order of their machines.
     fn gang_members(&self, job: &Job) -> Vec<GangMember> {
         let mut members = Vec::new();
         let mut hosts: Vec<&MachineId> = job.live().values().collect();
@@ -98,6 +101,7 @@
         members
     }
 
+    /// Decides whether a gang goes on or is stopped.
     fn decide_gang(
         &self,
         job: &Job,
@@ -105,20 +109,21 @@
         started: bool,
         now: Instant,
     ) -> GangDecision {
-        // If one task stops, all do: with the same grace period if that suffices to save.
-        let stopping = members.iter().filter_map(|member| member.stop).min();
-        if let Some(grace) = stopping {
-            let sufficient = grace >= job.spec.save_time();
-            let grace = if sufficient { grace } else { Duration::ZERO };
+        // If one task stops, all do. They get the shortest of the decided grace periods if it is
+        // long enough to save a checkpoint, or else none.
+        let shortest_grace = members.iter().filter_map(|member| member.stop).min();
+        if let Some(grace) = shortest_grace {
+            let is_sufficient = grace >= job.spec.save_time();
+            let grace = if is_sufficient { grace } else { Duration::ZERO };
             return GangDecision::Stop { grace };
         }
-        let complete = job.live().len() as u32 == job.spec.tasks;
-        // A missing task may be on an unreconciled machine.
+        let all_live = job.live().len() as u32 == job.spec.tasks;
+        // A task that is not live may be on an unreconciled machine.
         let may_be_elsewhere = self.placeable_tasks(job) < job.waiting();
-        if complete || !job.done().is_empty() || may_be_elsewhere {
+        if all_live || !job.done().is_empty() || may_be_elsewhere {
             return GangDecision::Continue;
         }
-        if started || self.too_late_to_replace(members, now) {
+        if started || self.is_too_late_to_replace(members, now) {
             tracing::debug!(job = %job.id, started, "gang stopped: a task was lost");
             return GangDecision::Stop {
                 grace: Duration::ZERO,
@@ -127,13 +132,14 @@
         GangDecision::Continue
     }
 
-    /// Whether a replacement of a lost task would come too late for those that wait.
-    fn too_late_to_replace(&self, members: &[GangMember], now: Instant) -> bool {
+    /// Whether a replacement of a lost task would come too late for the gang's tasks that wait for
+    /// it already.
+    fn is_too_late_to_replace(&self, members: &[GangMember], now: Instant) -> bool {
         let waiting = members
             .iter()
             .filter(|member| member.phase == Phase::Waiting);
-        let first = waiting.map(|member| member.since).min();
-        first.is_some_and(|since| {
+        let waiting_since = waiting.map(|member| member.since).min();
+        waiting_since.is_some_and(|since| {
             let waited = now.saturating_duration_since(since);
             waited > self.policy.gang_wait.mul_f64(REPLACEMENT_WINDOW)
         })
@@ -144,10 +150,10 @@
 fn current_attempt(job: &Job, members: &[GangMember]) -> GangAttempt {
     let numbers = members.iter().map(|member| member.attempt.number);
     let attempt_number = numbers.max().unwrap_or(0);
-    let known_as_started = job.gang.attempt_number == attempt_number && job.gang.started;
-    let runs = |member: &GangMember| matches!(member.phase, Phase::Running | Phase::Saving);
+    let was_started = job.gang.attempt_number == attempt_number && job.gang.started;
+    let has_run = |member: &GangMember| matches!(member.phase, Phase::Running | Phase::Saving);
     GangAttempt {
         attempt_number,
-        started: known_as_started || members.iter().any(runs),
+        started: was_started || members.iter().any(has_run),
     }
 }
--- a/src/coordination/shard/scheduler/mod.rs
+++ b/src/coordination/shard/scheduler/mod.rs
@@ -1,16 +1,21 @@
 //! The scheduler: decides which waiting task runs on which machine, and which tasks are
 //! preempted for others.
 //!
-//! The shard calls [`Shard::schedule`] once a reconciliation pass, and
-//! [`Shard::reconcile_gangs`] before and after it; the autoscaler asks for queue keys,
-//! due times and quota usage. A pass takes the candidate machines ([`candidates`]), serves
-//! starving jobs ([`starvation`]), then the queues by priority and fair share ([`queue`],
-//! [`quota`]): tasks one at a time ([`placement`], [`scoring`], [`zones`]), gangs whole
-//! ([`gang`]). For jobs that found too few resources it preempts others ([`preemption`]).
-//! Decisions are functions of a read-only view ([`view`]) and the pass.
+//! The shard calls [`Shard::schedule`] once in each reconciliation pass, and
+//! [`Shard::reconcile_gangs`] before and after it. The autoscaler asks for queue keys, due times
+//! and quota usage. A scheduling pass
 //!
-//! The scheduler never talks to machines or to the store: it records launches and stops on
-//! the attempts, and the dispatcher sends the commands.
+//! 1. collects the candidate machines ([`candidates`]),
+//! 2. serves starving jobs ([`starvation`]),
+//! 3. serves the queues by priority and fair share ([`queue`], [`quota`]), and places tasks one at
+//!    a time ([`placement`], [`scoring`], [`zones`]) but gangs as a whole ([`gang`]),
+//! 4. preempts tasks for jobs that found too few free resources ([`preemption`]).
+//!
+//! Decisions are functions of a read-only view ([`view`]), the working state of the pass and the
+//! time.
+//!
+//! The scheduler never communicates with machines or the key-value store: it records launches and
+//! stops on the attempts, and the dispatcher sends the commands.
 
 mod candidates;
 mod gang;
@@ -37,31 +42,35 @@
 use candidates::SchedulingPass;
 use queue::TeamQueues;
 
-/// Most tasks of one job that are placed before fair sharing chooses a team again.
+/// The most tasks of one job that are placed before fair sharing chooses a team again.
 const MAX_TASKS_PER_TURN: usize = 4;
-/// Most tasks placed in one pass; the next pass goes on, after heartbeats were handled.
+/// The most tasks placed in one pass. The next pass continues, and the leader can handle
+/// heartbeats in between.
 const MAX_TASKS_PER_PASS: usize = 256;
-/// Most waiting gangs for which machines are reserved in one pass.
+/// The most waiting gangs for which machines are reserved in one pass.
 const MAX_GANG_RESERVATIONS: usize = 16;
 
-/// What a pass has done so far.
+/// What one scheduling pass has done so far.
 #[derive(Default)]
 struct PassProgress {
     placed_tasks: usize,
     gang_reservations: usize,
-    /// Jobs with waiting tasks for which no machine had enough free resources.
+    /// The jobs with placeable tasks that found no machine with enough free resources: preemption
+    /// is considered for them.
     unplaced_jobs: Vec<JobId>,
 }
 
 impl PassProgress {
+    /// Whether the pass has placed [`MAX_TASKS_PER_PASS`] tasks.
     fn is_full(&self) -> bool {
         self.placed_tasks >= MAX_TASKS_PER_PASS
     }
 }
 
 impl Shard {
-    /// One scheduling pass: places waiting tasks and preempts others for those that found
-    /// no machine. Does nothing while the snapshot is staler than its bound.
+    /// Makes one scheduling pass: places waiting tasks, and preempts running tasks for those that
+    /// found no machine. Does nothing while some change has gone without a durable snapshot for
+    /// longer than the policy allows.
     pub(super) fn schedule(&mut self, now: Instant) {
         if self.writes.is_stale(now, self.policy.staleness) {
             return;
@@ -86,8 +95,8 @@
         self.preempt(&progress.unplaced_jobs, &pass, now);
     }
 
-    /// Places jobs of one priority, a team's turn at a time, until none finds a machine or
-    /// the pass is full.
+    /// Places tasks of the waiting jobs of one priority, one team's turn at a time, until no job
+    /// finds a machine or the pass is full.
     fn place_priority(
         &mut self,
         mut queues: TeamQueues,
@@ -108,14 +117,15 @@
                 continue;
             }
             queues.pop(&team);
-            // Nothing is preempted for a job that fails wherever it runs.
+            // Nothing is preempted for a crash-looping job, which fails wherever it runs.
             if left_to_place > 0 && !job.is_some_and(Job::is_crash_looping) {
                 progress.unplaced_jobs.push(id);
             }
         }
     }
 
-    /// Places some tasks of a job, or all of a gang; returns how many.
+    /// Places up to [`MAX_TASKS_PER_TURN`] tasks of a job, or all waiting tasks of a gang, for
+    /// which machines are reserved if they can't be placed. Returns how many tasks it placed.
     fn place_turn(
         &mut self,
         id: &JobId,
@@ -134,7 +144,8 @@
         placed
     }
 
-    /// Places up to `max_tasks` of a job's waiting tasks; returns how many.
+    /// Places up to `max_tasks` of a job's waiting tasks, one at a time. Returns how many tasks it
+    /// placed.
     fn place_tasks(
         &mut self,
         id: &JobId,
@@ -161,7 +172,7 @@
             let Some(task) = job.and_then(|job| job.next_waiting(all_reconciled)) else {
                 break;
             };
-            pass.place_task(index, &spec);
+            pass.record_placement(index, &spec);
             let machine = pass.candidates()[index].id.clone();
             let attempt_number = self.new_attempt_number();
             self.launch(id, task, &machine, attempt_number, now);
@@ -170,7 +181,7 @@
         placed
     }
 
-    /// Records the launch of a task's attempt; the dispatcher sends it.
+    /// Records the launch of an attempt of a task on a machine. The dispatcher sends the command.
     fn launch(
         &mut self,
         id: &JobId,
@@ -201,7 +212,7 @@
     }
 }
 
-/// What the autoscaler asks of the scheduler, besides [`SchedulerView::usage`] and
+/// Queries for the autoscaler, in addition to [`SchedulerView::usage`] and
 /// [`SchedulerView::tasks_by_zone`].
 impl SchedulerView<'_> {
     /// Whether one more task of a job stays within its team's quota limit.
@@ -209,12 +220,13 @@
         usage.within_limit(self.policy, spec)
     }
 
-    /// A job's place among those of its priority.
+    /// A job's position in the queue among the jobs of its priority.
     pub(super) fn queue_key(&self, job: &Job, wall_ms: u64) -> QueueKey {
         QueueKey::of(job, self.policy, wall_ms)
     }
 
-    /// The first due time of a job at or after `from_ms`; see [`queue::next_due`].
+    /// The first due time of a job at or after `from_ms`, in milliseconds since the Unix epoch;
+    /// see [`queue::next_due`].
     pub(super) fn next_due(&self, job: &Job, from_ms: u64) -> Option<u64> {
         queue::next_due(job, self.policy, from_ms)
     }
--- a/src/coordination/shard/scheduler/placement.rs
+++ b/src/coordination/shard/scheduler/placement.rs
@@ -1,4 +1,4 @@
-//! Placement of one task: which candidates are eligible, and which of them it gets.
+//! Placement of one task: determines which candidates are eligible and chooses one of them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,28 +9,28 @@
 use crate::coordination::shard::{Job, Machine};
 use crate::protocol::users::{JobKind, JobSpec};
 
-/// Jobs with at least this many tasks may seed their image on a machine without it.
+/// Only jobs with at least this many tasks seed their image on a machine without it.
 const MIN_TASKS_TO_SEED_IMAGE: u32 = 8;
 
 impl SchedulerView<'_> {
-    /// The candidate for a job's next task, by index; `None` if none is eligible, or if
-    /// preemption gives a service a better one.
+    /// The index of the candidate on which a job's next task is placed. `None` if no candidate is
+    /// eligible, or if a service gets a better one by preemption.
     pub(super) fn choose_candidate(&self, job: &Job, pass: &SchedulingPass) -> Option<usize> {
         self.image_seed_candidate(job, pass)
             .or_else(|| self.best_fitting_candidate(job, pass))
     }
 
-    /// Where to seed an image: the first task of a job with many goes to the emptiest
-    /// machine that lacks the image, so that later tasks find it cached there. It delays
-    /// the start of a small share of the job.
+    /// The index of the candidate on which a job's image is seeded. The first task of a job with
+    /// many tasks goes to the emptiest machine that lacks the image, so that later tasks find the
+    /// image cached there. The image pull delays the start of a small share of the job only.
     fn image_seed_candidate(&self, job: &Job, pass: &SchedulingPass) -> Option<usize> {
         let spec = &job.spec;
         let unconstrained = spec.kind == JobKind::Batch && !spec.one_zone && !spec.scatter;
-        let begun = !job.live().is_empty() || !job.done().is_empty();
+        let has_started = !job.live().is_empty() || !job.done().is_empty();
         if !self.policy.holds_capacity()
             || !unconstrained
             || spec.tasks < MIN_TASKS_TO_SEED_IMAGE
-            || begun
+            || has_started
         {
             return None;
         }
@@ -46,56 +46,62 @@
             .map(|(index, _)| index)
     }
 
+    /// The index of the eligible candidate with the best score; `None` if none is eligible, or if
+    /// a service gets a better one by preemption.
     fn best_fitting_candidate(&self, job: &Job, pass: &SchedulingPass) -> Option<usize> {
         let spec = &job.spec;
-        let zones = self.zone_constraint(job);
-        let pinned_zone = if zones.must_choose_zone() {
+        let zone_constraint = self.zone_constraint(job);
+        let pinned_zone = if zone_constraint.must_choose_zone() {
             Some(zone_with_most_capacity(spec, pass.candidates())?)
         } else {
-            zones.zones_in_use().next().filter(|_| spec.one_zone)
+            zone_constraint
+                .zones_in_use()
+                .next()
+                .filter(|_| spec.one_zone)
         };
+        // If the job's tasks have failed on as many machines as there are, none is avoided.
         let avoid_failed = job.failures.machine_count() < pass.candidates().len();
-        let keep_with_services = self.must_stay_with_services(job, &zones, pass);
+        let keep_with_services = self.must_stay_with_services(job, &zone_constraint, pass);
         let eligible = |candidate: &Candidate| {
             candidate.fits(spec)
                 && candidate.allows(spec)
-                && candidate.cost_acceptable(job)
-                && !(keep_with_services && candidate.releasable)
+                && candidate.is_cost_acceptable(job)
+                && !(keep_with_services && candidate.is_releasable)
                 && pinned_zone.is_none_or(|zone| *zone == candidate.zone)
-                && zones.admits(&candidate.zone)
+                && zone_constraint.admits(&candidate.zone)
                 && !(avoid_failed && job.failures.has_failed_on(&candidate.id))
         };
         self.best_candidate(spec, pass, eligible)
             .filter(|index| !self.prefers_preemption(job, *index, pass))
     }
 
-    /// Whether a service must leave releasable machines alone: one that runs services
-    /// already has the resources for it, or would by preemption. Scale-in could otherwise no longer
-    /// release the machine.
+    /// Whether a service must not use releasable machines, because a machine that is not
+    /// releasable has enough resources for it, or would after the preemption of one task. Scale-in
+    /// could otherwise no longer release the machine that the service uses.
     pub(super) fn must_stay_with_services(
         &self,
         job: &Job,
-        zones: &ZoneConstraint,
+        zone_constraint: &ZoneConstraint,
         pass: &SchedulingPass,
     ) -> bool {
         let spec = &job.spec;
         spec.kind == JobKind::Service
             && !self.policy.holds_capacity()
             && pass.candidates().iter().any(|candidate| {
-                !candidate.releasable
+                !candidate.is_releasable
                     && candidate.allows(spec)
-                    && zones.admits(&candidate.zone)
+                    && zone_constraint.admits(&candidate.zone)
                     && !job.failures.has_failed_on(&candidate.id)
                     && (candidate.free.fits_task(spec) || self.can_preempt_one_for(candidate, spec))
             })
     }
 
-    /// Whether a service would miss its start objective on a candidate, pulling its image,
-    /// while preempting lower-priority work would give it a machine that has the image.
+    /// Whether a service would miss its start objective on a candidate because of the image pull,
+    /// while preempting a lower-priority task would give it a machine on which it does not.
     fn prefers_preemption(&self, job: &Job, index: usize, pass: &SchedulingPass) -> bool {
         let spec = &job.spec;
-        // Tasks with a zone rule use the free resources that there are: the rule already
-        // limits their choice.
+        // Tasks with a zone rule use whatever free resources there are, since the rule already
+        // limits the choice.
         let unconstrained = !spec.one_zone && (!spec.scatter || spec.tasks == 1);
         spec.kind == JobKind::Service
             && unconstrained
@@ -111,22 +117,23 @@
                 })
     }
 
-    /// Whether stopping one lower-priority task on a candidate frees enough for a task.
+    /// Whether stopping one lower-priority task on a candidate frees enough cores and memory for a
+    /// task of a job.
     fn can_preempt_one_for(&self, candidate: &Candidate, spec: &JobSpec) -> bool {
         let machine = self.machines.get(&candidate.id);
-        machine.is_some_and(|machine| runs_replaceable_task(machine, spec))
+        machine.is_some_and(|machine| runs_preemptible_task(machine, spec))
     }
 }
 
-/// Whether a machine runs a task of lower priority that uses at least the cores and the
-/// memory of a task of this job.
-fn runs_replaceable_task(machine: &Machine, spec: &JobSpec) -> bool {
+/// Whether a machine runs a task of lower priority that uses at least as many cores and as much
+/// memory as a task of this job.
+fn runs_preemptible_task(machine: &Machine, spec: &JobSpec) -> bool {
     machine.load.tasks.iter().any(|(other, _)| {
         other.priority < spec.priority && other.cores >= spec.cores && other.mem_gb >= spec.mem_gb
     })
 }
 
-/// The zone in which most tasks of a job fit; `None` if none fits anywhere.
+/// The zone in which the most tasks of a job fit; `None` if no task fits in any zone.
 fn zone_with_most_capacity<'a>(
     spec: &JobSpec,
     candidates: &'a [Candidate],
--- a/src/coordination/shard/scheduler/preemption/mod.rs
+++ b/src/coordination/shard/scheduler/preemption/mod.rs
@@ -1,10 +1,10 @@
-//! Preemption: stops running tasks for jobs that found no machine with enough free
-//! resources, by the rules of PROTOCOL's section "Preemption".
+//! Preemption: stops running tasks for jobs that found no machine with enough free resources, by
+//! the rules of PROTOCOL's section "Preemption".
 //!
-//! A [`PreemptionPlan`] is worked out for the first few jobs that were not placed
-//! ([`planner`]), each time with the victims that lose the least work ([`victims`]).
-//! Carrying it out only asks the victims to stop: later passes place the jobs, in the order
-//! of the queues.
+//! For the first few jobs that were not placed, the [`planner`] works out a [`PreemptionPlan`],
+//! with the victims that lose the least work ([`victims`]). Carrying out the plan only asks the
+//! victims to stop. Later passes place the waiting jobs on the freed resources, in the order of
+//! the queues.
 
 mod planner;
 mod victims;
@@ -22,10 +22,11 @@
 use crate::protocol::{AttemptId, JobId, MachineId};
 use planner::PreemptionPlanner;
 
-/// Most jobs for which one pass plans preemption, and most gangs: gangs have no other way
-/// to machines, while other jobs also take what becomes free, so they are counted apart.
+/// The most gangs, and the most other jobs, for which one pass plans preemption. The two are
+/// counted separately, because other jobs also get resources as they become free, while a gang
+/// has no other way to get machines.
 const MAX_PREEMPTING_JOBS: usize = 8;
-/// Tasks preempted in one pass after which no further victims are chosen.
+/// The number of preempted tasks in one pass after which no further victims are chosen.
 const MAX_PREEMPTIONS_PER_PASS: usize = 64;
 
 /// An attempt that is to stop for other work.
@@ -33,21 +34,22 @@
 struct Victim {
     machine: MachineId,
     attempt: AttemptId,
-    /// The job for which it stops.
+    /// The job for which it is stopped.
     preemptor: Arc<JobSpec>,
 }
 
-/// What preemption in one pass has decided so far.
+/// What preemption has decided so far in one pass.
 #[derive(Clone)]
 struct PreemptionPlan {
-    /// The teams' usage with the tasks that the plan frees resources for.
+    /// The teams' usage, including the tasks to which the plan assigns resources.
     usage: Usage,
-    /// By candidate, what is free or being freed, less what the plan uses.
+    /// For each candidate, the resources that are free or being freed, less those that the plan
+    /// assigns to tasks.
     available: Vec<Resources>,
     victims: Vec<Victim>,
-    /// The victims whose resources are counted as available. Those that only free their
-    /// team's quota are not among them.
-    freeing: HashSet<AttemptId>,
+    /// The victims whose resources the plan counts as available. It does not hold the victims that
+    /// are stopped only to free their team's quota.
+    resource_victims: HashSet<AttemptId>,
 }
 
 impl PreemptionPlan {
@@ -56,24 +58,25 @@
             usage: pass.usage().clone(),
             available: view.available_after_stops(pass),
             victims: Vec::new(),
-            freeing: HashSet::new(),
+            resource_victims: HashSet::new(),
         }
     }
 
+    /// Whether no further victims are chosen in this pass.
     fn is_full(&self) -> bool {
-        self.freeing.len() >= MAX_PREEMPTIONS_PER_PASS
+        self.resource_victims.len() >= MAX_PREEMPTIONS_PER_PASS
     }
 
-    /// Adds a victim on a candidate, and what it frees there.
-    fn free(&mut self, index: usize, victim: Victim, spec: Option<&Arc<JobSpec>>) {
+    /// Adds a victim on a candidate to the plan, and its resources to the available ones.
+    fn add_victim(&mut self, index: usize, victim: Victim, spec: Option<&Arc<JobSpec>>) {
         if let Some(spec) = spec {
             self.available[index].add_task(spec);
         }
-        self.freeing.insert(victim.attempt.clone());
+        self.resource_victims.insert(victim.attempt.clone());
         self.victims.push(victim);
     }
 
-    /// Uses a candidate's available resources for one task.
+    /// Assigns available resources of a candidate to one task of a job.
     fn assign(&mut self, index: usize, spec: &JobSpec) {
         self.available[index].subtract_task(spec);
         self.usage.add(spec, 1);
@@ -81,15 +84,20 @@
 }
 
 impl Shard {
-    /// Preempts tasks for jobs that found no machine, those that lose the least work first.
+    /// Preempts tasks for jobs that found no machine, choosing the victims that lose the least
+    /// work.
     pub(super) fn preempt(&mut self, unplaced: &[JobId], pass: &SchedulingPass, now: Instant) {
         let view = self.scheduler_view();
         let planner = PreemptionPlanner { view, pass, now };
         let mut plan = PreemptionPlan::new(view, pass);
-        let (mut gangs, mut others) = (0, 0);
+        let (mut planned_gangs, mut planned_others) = (0, 0);
         for job in unplaced.iter().filter_map(|id| view.jobs.get(id)) {
             let is_gang = job.spec.is_gang();
-            let planned = if is_gang { &mut gangs } else { &mut others };
+            let planned = if is_gang {
+                &mut planned_gangs
+            } else {
+                &mut planned_others
+            };
             if *planned >= MAX_PREEMPTING_JOBS {
                 continue;
             }
@@ -108,11 +116,12 @@
         }
     }
 
-    /// Asks a victim to stop. It gets the time to save a checkpoint unless that would take
-    /// too much of the preemptor's start objective: then it falls back to its last one.
+    /// Asks a victim to stop. It gets the time to save a checkpoint, unless that would take half
+    /// of the preemptor's start objective or more; it then loses its work since its last
+    /// checkpoint.
     fn stop_victim(&mut self, victim: &Victim) {
-        let objective = self.policy.wait_within.get(&victim.preemptor.class);
-        let objective = objective.copied();
+        let start_objective = self.policy.wait_within.get(&victim.preemptor.class);
+        let start_objective = start_objective.copied();
         let machine = self.machines.get_mut(&victim.machine);
         let Some(attempt) = machine.and_then(|m| m.attempts.get_mut(&victim.attempt)) else {
             return;
@@ -125,13 +134,14 @@
         );
         let spec = attempt.spec.as_ref();
         let grace = spec.map_or(Duration::ZERO, |spec| spec.save_time());
-        let saves_in_time = objective.is_none_or(|objective| grace < objective / 2);
+        let saves_in_time = start_objective.is_none_or(|objective| grace < objective / 2);
         attempt.request_stop(if saves_in_time { grace } else { Duration::ZERO });
     }
 }
 
 impl SchedulerView<'_> {
-    /// By candidate, what is free or will be once every task that was asked to stop has.
+    /// For each candidate, the resources that are free now or will be once all its tasks that were
+    /// asked to stop have stopped.
     fn available_after_stops(&self, pass: &SchedulingPass) -> Vec<Resources> {
         let mut available: Vec<Resources> = pass.candidates().iter().map(|c| c.free).collect();
         for (candidate, available) in pass.candidates().iter().zip(&mut available) {
--- a/src/coordination/shard/scheduler/preemption/victims.rs
+++ b/src/coordination/shard/scheduler/preemption/victims.rs
@@ -1,4 +1,5 @@
-//! The choice of victims: who may be preempted, and what stopping them costs.
+//! The choice of victims: determines which attempts may be preempted, and which of them lose the
+//! least work.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,23 +10,24 @@
 use crate::protocol::users::{JobKind, JobSpec, Priority};
 use crate::protocol::{AttemptId, MachineId};
 
-/// The cost of stopping a service, as lost work; also added for a gang that can't be
-/// stopped on all machines at the same time.
+/// The cost of stopping a task of a service, as lost work. It is also added to the cost of a gang
+/// that can't be stopped on all machines at the same time.
 const SERVICE_PREEMPTION_COST: Duration = Duration::from_secs(3600);
-/// Tasks in their phase for less than this cost this much more: a start that is soon undone
-/// was of no use.
+/// Stopping a task that entered its phase less than this time ago costs this much in addition,
+/// since a start that is soon undone was of no use.
 const RECENT_START_COST: Duration = Duration::from_secs(30);
 
-/// The cost of preempting enough on one candidate for one task; the cheapest first, then
-/// the candidate that comes first.
+/// The cost of preempting enough tasks on one candidate for one task of the preemptor. Costs are
+/// ordered by the lost work, then by the candidate's index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct PreemptionCost {
     lost_work: Duration,
-    /// Index of the candidate in the pass.
+    /// The index of the candidate in the pass.
     pub(super) candidate: usize,
 }
 
-/// The order in which attempts on one machine are preempted.
+/// The rank of an attempt among those that may be preempted on one machine; the smallest is
+/// preempted first. The fields are in the order of their weight.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct VictimRank<'a> {
     priority: Priority,
@@ -34,8 +36,9 @@
 }
 
 impl PreemptionPlanner<'_> {
-    /// The cheapest victims on one candidate that free enough for one more task, with their
-    /// cost; `None` if all that may be preempted there is not enough.
+    /// The victims on one candidate that free enough for one more task of the preemptor, with the
+    /// cost of preempting them. `None` if all attempts that may be preempted there don't free
+    /// enough, or if nothing need be preempted.
     pub(super) fn victims_on(
         &self,
         index: usize,
@@ -65,7 +68,8 @@
         (available.fits_task(spec) && !victims.is_empty()).then_some((cost, victims))
     }
 
-    /// What may be preempted on a machine: lowest priority first, then the least lost work.
+    /// The attempts that may be preempted on a machine, each with its job's description: those of
+    /// the lowest priority first, and among equals those that lose the least work.
     fn ranked_victims<'m>(
         &self,
         machine: &'m Machine,
@@ -74,9 +78,10 @@
     ) -> Vec<(VictimRank<'m>, &'m Arc<JobSpec>)> {
         let mut ranked = Vec::new();
         for (id, attempt) in &machine.attempts {
-            let running =
-                !attempt.ended() && attempt.stop_grace().is_none() && !plan.freeing.contains(id);
-            let Some(spec) = attempt.spec.as_ref().filter(|_| running) else {
+            let is_running = !attempt.ended()
+                && attempt.stop_grace().is_none()
+                && !plan.resource_victims.contains(id);
+            let Some(spec) = attempt.spec.as_ref().filter(|_| is_running) else {
                 continue;
             };
             if self.may_preempt(preemptor, spec, plan) {
@@ -92,8 +97,8 @@
         ranked
     }
 
-    /// Whether a task may be preempted (PROTOCOL, "Preemption"): one of lower priority, or
-    /// one that its team runs beyond its guarantee while the preemptor claims its own.
+    /// Whether a task may be preempted (PROTOCOL, "Preemption"): it has a lower priority, or the
+    /// preemptor claims its team's guarantee and another team runs the task beyond its own.
     fn may_preempt(&self, preemptor: &Preemptor, victim: &JobSpec, plan: &PreemptionPlan) -> bool {
         victim.priority < preemptor.spec.priority
             || (preemptor.claims_guarantee
@@ -103,39 +108,49 @@
                     .beyond_guarantee_without(self.view.policy, victim))
     }
 
-    /// The cheapest lower-priority attempt of a job's own team, on any machine; `None` also
-    /// if one of them is stopping already.
-    pub(super) fn cheapest_of_team(&self, spec: &JobSpec) -> Option<(MachineId, AttemptId)> {
+    /// The lower-priority attempt of a job's own team, on any machine, that is preempted first:
+    /// the one of the lowest priority, and among equals the one that loses the least work. `None`
+    /// if there is no such attempt, or if one of them is stopping already.
+    pub(super) fn cheapest_victim_of_team(&self, spec: &JobSpec) -> Option<(MachineId, AttemptId)> {
         let machines = self.view.machines.values();
-        let of_team: Vec<TeamAttempt> = machines
+        let team_attempts: Vec<TeamAttempt> = machines
             .filter(|machine| machine.load.has_lower_priority(spec.priority))
             .flat_map(|machine| lower_priority_of_team(machine, spec))
             .collect();
-        if of_team.iter().any(|of| of.attempt.stop_grace().is_some()) {
+        if team_attempts
+            .iter()
+            .any(|found| found.attempt.stop_grace().is_some())
+        {
             return None;
         }
-        of_team
+        team_attempts
             .into_iter()
-            .min_by_key(|of| (of.priority, self.preemption_cost(of.id, of.attempt)))
-            .map(|of| (of.machine.clone(), of.id.clone()))
+            .min_by_key(|found| {
+                (
+                    found.priority,
+                    self.preemption_cost(found.id, found.attempt),
+                )
+            })
+            .map(|found| (found.machine.clone(), found.id.clone()))
     }
 
-    /// The work that preempting an attempt now would lose. A gang stops whole.
+    /// The work that preempting an attempt now would lose. For an attempt of a gang, that is the
+    /// work of all the gang's tasks, since the whole gang stops.
     fn preemption_cost(&self, id: &AttemptId, attempt: &Attempt) -> Duration {
-        let of_one = preemption_cost_of_one(attempt, self.now);
+        let cost_of_one = preemption_cost_of_one(attempt, self.now);
         let gang = attempt.spec.as_ref().filter(|spec| spec.is_gang());
-        gang.map_or(of_one, |spec| {
-            let unreachable = if self.view.gang_reachable(&id.task.job, self.now) {
+        gang.map_or(cost_of_one, |spec| {
+            let unreachable_cost = if self.view.is_gang_reachable(&id.task.job, self.now) {
                 Duration::ZERO
             } else {
                 SERVICE_PREEMPTION_COST
             };
-            of_one * spec.tasks + unreachable
+            cost_of_one * spec.tasks + unreachable_cost
         })
     }
 }
 
-/// An attempt of a team's job.
+/// An attempt of a job of one team, with its machine.
 struct TeamAttempt<'m> {
     priority: Priority,
     machine: &'m MachineId,
@@ -143,7 +158,8 @@
     attempt: &'m Attempt,
 }
 
-/// The attempts on a machine that have not ended, of lower-priority jobs of the same team.
+/// The attempts on a machine that have not ended and belong to lower-priority jobs of the same
+/// team.
 fn lower_priority_of_team<'m>(machine: &'m Machine, spec: &JobSpec) -> Vec<TeamAttempt<'m>> {
     let mut found = Vec::new();
     for (id, attempt) in machine.attempts.iter().filter(|(_, a)| !a.ended()) {
@@ -162,7 +178,7 @@
     found
 }
 
-/// The work that stopping one attempt now would lose.
+/// The work that stopping this one attempt now would lose, without the other tasks of a gang.
 fn preemption_cost_of_one(attempt: &Attempt, now: Instant) -> Duration {
     let Some(spec) = &attempt.spec else {
         return Duration::ZERO;
@@ -171,10 +187,10 @@
         return SERVICE_PREEMPTION_COST;
     }
     let in_phase = now.saturating_duration_since(attempt.phase_since);
-    let recent_start = if in_phase < RECENT_START_COST {
+    let recent_start_cost = if in_phase < RECENT_START_COST {
         RECENT_START_COST
     } else {
         Duration::ZERO
     };
-    attempt.work_at_risk(now) + recent_start
+    attempt.work_at_risk(now) + recent_start_cost
 }
--- a/src/coordination/shard/scheduler/quota.rs
+++ b/src/coordination/shard/scheduler/quota.rs
@@ -1,4 +1,5 @@
-//! Quotas: what teams use, their guarantees and limits, and fair sharing beyond them.
+//! Quotas: what teams use, how that compares with their guarantees and limits, and fair sharing of
+//! the capacity beyond the guarantees.
 
 use std::cmp::Ordering;
 use std::collections::HashMap;
@@ -8,24 +9,24 @@
 use crate::coordination::shard::machines::Resources;
 use crate::protocol::users::JobSpec;
 
-/// Largest rounding error, in cores or accelerators, of a team's summed usage.
+/// The largest rounding error, in cores or accelerators, of a team's summed usage.
 const QUOTA_ROUNDING: f64 = 1e-6;
 
-/// Upper bound of what each team uses: every task that may exist counts.
+/// An upper bound of what each team uses: every task that may exist counts.
 #[derive(Debug, Default, Clone)]
 pub(in crate::coordination::shard) struct Usage {
     teams: HashMap<String, Resources>,
-    /// Used by tasks whose team is not known: counts against every team's limit.
-    unknown: Resources,
+    /// The resources that tasks of unknown teams may use. They count against every team's limit.
+    unknown_team: Resources,
 }
 
 impl Usage {
-    /// The usage of a team.
+    /// What a team's tasks use, without those whose team is not known.
     pub(in crate::coordination::shard) fn of(&self, team: &str) -> Resources {
         self.teams.get(team).copied().unwrap_or_default()
     }
 
-    /// Adds so many tasks of a job to its team's usage.
+    /// Adds this number of tasks of a job to its team's usage.
     pub(in crate::coordination::shard) fn add(&mut self, spec: &JobSpec, tasks: u32) {
         if !self.teams.contains_key(&spec.team) {
             self.teams.insert(spec.team.clone(), Resources::default());
@@ -35,33 +36,40 @@
         }
     }
 
-    /// Whether one more task of a job stays within its team's quota limit; a limit of
-    /// zero is none.
+    /// Whether one more task of a job stays within its team's quota limit. A limit of zero means
+    /// that there is none.
     pub(super) fn within_limit(&self, policy: &Policy, spec: &JobSpec) -> bool {
         let Some(team) = policy.teams.get(&spec.team) else {
             return false;
         };
         let used = self.of(&spec.team);
-        let fits = |used: f64, unknown: f64, requested: f64, limit: f64| {
-            limit <= 0.0 || requested <= 0.0 || used + unknown + requested <= limit + QUOTA_ROUNDING
+        let fits = |used: f64, unknown_team: f64, requested: f64, limit: f64| {
+            limit <= 0.0
+                || requested <= 0.0
+                || used + unknown_team + requested <= limit + QUOTA_ROUNDING
         };
-        fits(used.cores, self.unknown.cores, spec.cores, team.cores_max)
-            && fits(
-                used.accelerators,
-                self.unknown.accelerators,
-                spec.accelerators,
-                team.accelerators_max,
-            )
+        fits(
+            used.cores,
+            self.unknown_team.cores,
+            spec.cores,
+            team.cores_max,
+        ) && fits(
+            used.accelerators,
+            self.unknown_team.accelerators,
+            spec.accelerators,
+            team.accelerators_max,
+        )
     }
 
-    /// Whether so many tasks of a job together stay within its team's quota limit.
+    /// Whether this number of tasks of a job together stay within its team's quota limit.
     pub(super) fn all_within_limit(&self, policy: &Policy, spec: &JobSpec, tasks: u32) -> bool {
         let mut usage = self.clone();
         usage.add(spec, tasks.saturating_sub(1));
         usage.within_limit(policy, spec)
     }
 
-    /// Whether one more task of a job stays within its team's quota guarantee.
+    /// Whether a team's usage with one more task of a job stays within the team's quota guarantee,
+    /// in cores and in accelerators.
     pub(super) fn within_guarantee(&self, policy: &Policy, spec: &JobSpec) -> bool {
         policy.teams.get(&spec.team).is_some_and(|team| {
             let used = self.of(&spec.team);
@@ -70,7 +78,8 @@
         })
     }
 
-    /// Whether a team would still use its whole core guarantee without this task.
+    /// Whether the team of a job would still use its whole core guarantee without one task of the
+    /// job.
     pub(super) fn beyond_guarantee_without(&self, policy: &Policy, spec: &JobSpec) -> bool {
         policy.teams.get(&spec.team).is_some_and(|team| {
             let used = self.of(&spec.team);
@@ -78,7 +87,7 @@
         })
     }
 
-    /// Where a team stands among those with waiting work, if this job is its next.
+    /// The rank of a team among the teams with waiting jobs, if this job is its next.
     pub(super) fn fair_share_rank(&self, policy: &Policy, spec: &JobSpec) -> FairShareRank {
         let share = policy.fair_share(&spec.team);
         let used = self.of(&spec.team);
@@ -89,11 +98,13 @@
     }
 }
 
-/// A team's rank under weighted fair sharing; the least is served first.
+/// A team's rank in weighted fair sharing; the smallest is served first. The fields are in the
+/// order of their weight.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct FairShareRank {
+    /// Whether the team's next task would exceed its quota guarantee.
     beyond_guarantee: bool,
-    /// Cores and accelerators in use over the team's share.
+    /// The sum of cores and accelerators in use, divided by the team's fair share.
     weighted_usage: f64,
 }
 
@@ -110,20 +121,21 @@
     pub(in crate::coordination::shard) fn usage(&self) -> Usage {
         let mut usage = Usage::default();
         for machine in self.machines.values() {
-            let unreconciled = self.is_unreconciled(machine);
+            let is_unreconciled = self.is_unreconciled(machine);
             // Any team may be using all of an unreconciled machine.
-            let unknown = if unreconciled {
+            let unknown_tasks = if is_unreconciled {
                 1
             } else {
                 machine.load.unknown_attempts
             };
-            if unknown > 0
+            if unknown_tasks > 0
                 && let Some(machine_type) = self.machine_types.get(&*machine.machine_type)
             {
-                usage.unknown.cores += machine_type.cores * f64::from(unknown);
-                usage.unknown.accelerators += machine_type.accelerators * f64::from(unknown);
+                usage.unknown_team.cores += machine_type.cores * f64::from(unknown_tasks);
+                usage.unknown_team.accelerators +=
+                    machine_type.accelerators * f64::from(unknown_tasks);
             }
-            if !unreconciled {
+            if !is_unreconciled {
                 for (spec, count) in &machine.load.tasks {
                     usage.add(spec, *count);
                 }
--- a/src/coordination/shard/scheduler/scoring.rs
+++ b/src/coordination/shard/scheduler/scoring.rs
@@ -1,4 +1,4 @@
-//! Node scoring: which of the candidates that fit is best for a task.
+//! Node scoring: determines which of the eligible candidates is the best for a task.
 
 use std::cmp::Ordering;
 use std::time::Duration;
@@ -8,22 +8,24 @@
 use crate::coordination::shard::Policy;
 use crate::protocol::users::{JobKind, JobSpec};
 
-/// An image pull may take this multiple of the time that the machine type's rate gives.
+/// An image pull may take up to this multiple of the image's size divided by the machine type's
+/// pull rate.
 const IMAGE_PULL_MARGIN: f64 = 1.35;
 
-/// How tasks are distributed over the machines that fit.
+/// How tasks are distributed over the machines on which they fit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PlacementStrategy {
-    /// On as few machines as possible, so that scale-in finds empty ones.
+    /// On as few machines as possible, so that scale-in finds empty machines.
     BinPacking,
-    /// Over many machines, so that losing one stops few tasks and images are cached in many
-    /// places.
+    /// Over many machines, so that the loss of one stops few tasks, and images are cached on many
+    /// machines.
     Spreading,
 }
 
 impl PlacementStrategy {
-    /// Machines whose capacity is held for quota guarantees are not released anyway.
-    fn of(policy: &Policy) -> Self {
+    /// Spreads tasks if capacity is held for quota guarantees: scale-in does not release those
+    /// machines anyway. Packs them otherwise.
+    fn for_policy(policy: &Policy) -> Self {
         if policy.holds_capacity() {
             Self::Spreading
         } else {
@@ -31,8 +33,8 @@
         }
     }
 
-    /// The state from which on an image counts as present. When packing, the tasks that
-    /// follow the first join its image pull.
+    /// The lowest state in which an image counts as present. With bin packing, a job's further
+    /// tasks join the image pull that its first task started.
     fn sufficient_image(self) -> ImageState {
         match self {
             Self::BinPacking => ImageState::Pulling,
@@ -41,16 +43,17 @@
     }
 }
 
-/// How bad a candidate is for a task; the least is best. The fields stand in the order
-/// of their weight.
+/// The score of a candidate for a task; the smallest is the best. The fields are in the order of
+/// their weight.
 struct Score {
     lacks_image: bool,
-    /// The image would be pulled for longer than the class's start objective.
+    /// Whether the image pull may take longer than the start objective of the job's class.
     image_too_late: bool,
     outside_main_zone: bool,
     costs_extra: bool,
     on_demand: bool,
-    /// Free cores when bin packing, and their negative when spreading.
+    /// The free cores with bin packing, and their negative with spreading or while the candidate
+    /// lacks the image.
     free_cores: f64,
 }
 
@@ -61,6 +64,7 @@
             .then(self.free_cores.total_cmp(&other.free_cores))
     }
 
+    /// The boolean criteria in the order of their weight.
     fn flags(&self) -> [bool; 5] {
         [
             self.lacks_image,
@@ -86,8 +90,9 @@
         Self {
             view,
             spec,
-            strategy: PlacementStrategy::of(view.policy),
-            // A network partition leaves services there in contact with a controller.
+            strategy: PlacementStrategy::for_policy(view.policy),
+            // During a network partition between zones, services in the main zone stay in contact
+            // with a controller.
             preferred_zone: match spec.kind {
                 JobKind::Service => view.main_zone,
                 JobKind::Batch | JobKind::Gang => None,
@@ -106,9 +111,10 @@
                 .preferred_zone
                 .is_some_and(|zone| *zone != *candidate.zone),
             costs_extra: candidate.costs_extra,
-            on_demand: !candidate.spot,
+            on_demand: !candidate.is_spot,
             free_cores: match self.strategy {
-                // An image is pulled where most of the tasks that follow will fit.
+                // The image is pulled on the machine where most of the job's further tasks fit, so
+                // a candidate that lacks it is better the more free cores it has.
                 PlacementStrategy::BinPacking if !lacks_image => candidate.free.cores,
                 PlacementStrategy::BinPacking | PlacementStrategy::Spreading => {
                     -candidate.free.cores
@@ -119,8 +125,8 @@
 }
 
 impl SchedulerView<'_> {
-    /// The best candidate for a task among those that are eligible, by index; the first
-    /// of equals.
+    /// The index of the best candidate for a task among those that are eligible; the first one if
+    /// several are equally good.
     pub(super) fn best_candidate(
         &self,
         spec: &JobSpec,
@@ -138,8 +144,8 @@
             .map(|(_, index)| index)
     }
 
-    /// Whether a task would miss its class's start objective on a candidate for want of
-    /// its image.
+    /// Whether a task may miss the start objective of its class on a candidate, because the
+    /// candidate has to pull the image first.
     pub(super) fn misses_start_objective(
         &self,
         spec: &JobSpec,
@@ -152,18 +158,19 @@
             })
     }
 
-    /// Whether a candidate may need longer than this to pull a job's image.
-    fn pull_exceeds(&self, spec: &JobSpec, candidate: &Candidate, longest: Duration) -> bool {
+    /// Whether a candidate may need longer than `limit` to pull a job's image.
+    fn pull_exceeds(&self, spec: &JobSpec, candidate: &Candidate, limit: Duration) -> bool {
         let machine_type = self.machine_types.get(&*candidate.machine_type);
         machine_type.is_some_and(|machine_type| {
             machine_type.fetch_gb_per_s > 0.0
                 && spec.image_gb / machine_type.fetch_gb_per_s * IMAGE_PULL_MARGIN
-                    > longest.as_secs_f64()
+                    > limit.as_secs_f64()
         })
     }
 }
 
-/// The longest wait for a start that the class's service-level objective allows.
+/// The longest time from acceptance to start that the service-level objective of the job's class
+/// allows; `None` without such an objective.
 fn start_objective(policy: &Policy, spec: &JobSpec) -> Option<Duration> {
     policy.wait_within.get(&spec.class).copied()
 }
--- a/src/coordination/shard/scheduler/starvation.rs
+++ b/src/coordination/shard/scheduler/starvation.rs
@@ -1,4 +1,5 @@
-//! Starvation: jobs that waited for long without a single start get one first.
+//! Starvation: a job that has waited for long without the start of a single task gets one task
+//! started before all others.
 
 use std::time::{Duration, Instant};
 
@@ -9,15 +10,15 @@
 use crate::protocol::JobId;
 use crate::protocol::users::JobSpec;
 
-/// How long a job waits without a start until it counts as starving. Users count a wait
-/// of more than four minutes as an outage.
+/// The time since acceptance without the start of any task after which a job counts as starving.
+/// Users count a wait of more than four minutes as an outage.
 const STARVATION_WAIT: Duration = Duration::from_secs(150);
-/// Most starving jobs that are served, or have a machine reserved, in one pass.
+/// The most starving jobs of which one pass starts a task or for which it reserves a machine.
 const MAX_STARVING_JOBS: usize = 16;
 
 impl Shard {
-    /// Starts one task of each starving job, ahead of priority and fair share, or reserves
-    /// a machine for it. Nothing is preempted for it.
+    /// Starts one task of each starving job, regardless of priority and fair share, or reserves a
+    /// machine for the job if the task finds none. Nothing is preempted for the task.
     pub(super) fn serve_starving_jobs(
         &mut self,
         pass: &mut SchedulingPass,
@@ -61,8 +62,8 @@
             && self.placements_reconciled(job)
     }
 
-    /// Reserves the emptiest machine whose type could run a task of a job: without that,
-    /// smaller batch tasks would take each resource there as it becomes free.
+    /// Reserves the emptiest machine of a type on which a task of a job fits. Without the
+    /// reservation, smaller batch tasks would take each resource there as it becomes free.
     fn reserve_for_starving(&self, job: &Job, pass: &mut SchedulingPass) {
         let spec = &job.spec;
         let emptiest = pass
@@ -70,10 +71,10 @@
             .iter()
             .enumerate()
             .filter(|(_, candidate)| {
-                !candidate.reserved
+                !candidate.is_reserved
                     && candidate.allows(spec)
-                    && candidate.cost_acceptable(job)
-                    && self.type_could_run(candidate, spec)
+                    && candidate.is_cost_acceptable(job)
+                    && self.fits_empty_machine(candidate, spec)
             })
             .max_by(|(_, a), (_, b)| a.free.cores.total_cmp(&b.free.cores).then(b.id.cmp(&a.id)))
             .map(|(index, _)| index);
@@ -82,7 +83,8 @@
         }
     }
 
-    fn type_could_run(&self, candidate: &Candidate, spec: &JobSpec) -> bool {
+    /// Whether a task of a job fits on a candidate's machine type while nothing else runs there.
+    fn fits_empty_machine(&self, candidate: &Candidate, spec: &JobSpec) -> bool {
         let machine_type = self.machine_types.get(&*candidate.machine_type);
         machine_type
             .is_some_and(|machine_type| Resources::of_machine_type(machine_type).fits_task(spec))
--- a/src/coordination/shard/summary.rs
+++ b/src/coordination/shard/summary.rs
@@ -1,5 +1,5 @@
-//! Overviews of the shard: a line for the log, and the text of the status page, which is for
-//! people: no program may rely on its form.
+//! Overviews of the shard for operators: a line for the log, and the text of the status page, which
+//! is for people: no program may rely on its format.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -9,11 +9,11 @@
 use crate::protocol::users::JobKind;
 
 impl Shard {
-    /// The numbers of jobs, machines and attempts, as one line for the log.
+    /// The numbers of jobs, machines and attempts and the use of cores, as one line for the log.
     pub fn summary(&self) -> String {
         let attempts: usize = self.machines.values().map(|m| m.attempts.len()).sum();
         let waiting: u32 = self.jobs.values().map(Job::waiting).sum();
-        let [ordinary, spot] = [false, true].map(|spot| self.cores_of(spot));
+        let [on_demand, spot] = [false, true].map(|is_spot| self.core_usage(is_spot));
         format!(
             "jobs {} waiting {} machines {} attempts {} unreconciled {} on-demand {} spot {}",
             self.jobs.len(),
@@ -21,22 +21,22 @@
             self.machines.len(),
             attempts,
             self.unreconciled.len(),
-            ordinary,
+            on_demand,
             spot,
         )
     }
 
     /// How the cores of on-demand machines, or of spot instances, are used.
-    fn cores_of(&self, spot: bool) -> String {
-        let (mut total, mut hosts, mut services, mut batch) = (0.0, 0.0, 0.0, 0.0);
-        for machine in self.machines.values().filter(|m| m.spot == spot) {
+    fn core_usage(&self, is_spot: bool) -> String {
+        let (mut total, mut service_hosts, mut services, mut batch) = (0.0, 0.0, 0.0, 0.0);
+        for machine in self.machines.values().filter(|m| m.spot == is_spot) {
             let cores = self
                 .types
                 .get(&*machine.machine_type)
-                .map_or(0.0, |kind| kind.cores);
+                .map_or(0.0, |machine_type| machine_type.cores);
             total += cores;
             if hosts_services(machine) {
-                hosts += cores;
+                service_hosts += cores;
             }
             for (spec, count) in &machine.load.tasks {
                 let cores = spec.cores * f64::from(*count);
@@ -46,19 +46,20 @@
                 }
             }
         }
-        format!("{total} cores ({services} services on {hosts}, {batch} batch)")
+        format!("{total} cores ({services} services on {service_hosts}, {batch} batch)")
     }
 
-    /// Queues, teams and machines, as text for the operators' status page.
+    /// The summary, the queued writes, and the state of each team and machine, as text for the
+    /// operators' status page.
     pub fn describe(&self, now: Instant) -> String {
         let mut text = format!("{}\n{}\n", self.summary(), self.writes.describe(now));
-        let mut queues: BTreeMap<&str, (u32, usize)> = BTreeMap::new();
+        let mut tasks_by_team: BTreeMap<&str, (u32, usize)> = BTreeMap::new();
         for job in self.jobs.values() {
-            let entry = queues.entry(&job.spec.team).or_default();
-            entry.0 += job.waiting();
-            entry.1 += job.live().len();
+            let (waiting, live) = tasks_by_team.entry(&job.spec.team).or_default();
+            *waiting += job.waiting();
+            *live += job.live().len();
         }
-        for (team, (waiting, live)) in queues {
+        for (team, (waiting, live)) in tasks_by_team {
             text.push_str(&format!(
                 "team {team}: {waiting} tasks wait, {live} on machines\n"
             ));
