--- a/src/coordination/shard/autoscaler/forecast.rs
+++ b/src/coordination/shard/autoscaler/forecast.rs
@@ -29,7 +29,7 @@
             shortest_usual_boot.as_secs_f64() * FORECAST_BOOT_FACTOR + FORECAST_MARGIN_S;
         let mut demands = Vec::new();
         for (class, arrivals) in &self.autoscaler.arrivals_by_class {
-            let max_wait = self.policy.wait_within.get(class).copied();
+            let max_wait = self.policy.start_objectives.get(class).copied();
             if max_wait.is_none_or(|max_wait| max_wait > shortest_usual_boot) {
                 continue;
             }
--- a/src/coordination/shard/autoscaler/slack.rs
+++ b/src/coordination/shard/autoscaler/slack.rs
@@ -65,14 +65,18 @@
     /// Slack by the wait objective of the job's class; None if the objective has already been
     /// missed.
     fn wait_objective_slack(&self, job: &Job, age_s: f64) -> Option<f64> {
-        let objective_s = self.policy.wait_within.get(&job.spec.class)?.as_secs_f64();
+        let objective_s = self
+            .policy
+            .start_objectives
+            .get(&job.spec.class)?
+            .as_secs_f64();
         (objective_s > age_s).then_some(objective_s * OBJECTIVE_SHARE - age_s)
     }
 
     /// Slack by the finish objective of the job's class; None if the objective can no longer be
     /// met.
     fn finish_objective_slack(&self, job: &Job, age_s: f64, run_s: f64) -> Option<f64> {
-        let objective_s = self.policy.finish_within.get(&job.spec.class)?;
+        let objective_s = self.policy.finish_objectives.get(&job.spec.class)?;
         let objective_s = objective_s.as_secs_f64();
         (objective_s > age_s + job.spec.duration_s)
             .then_some(objective_s * OBJECTIVE_SHARE - age_s - run_s)
--- a/src/coordination/shard/policy.rs
+++ b/src/coordination/shard/policy.rs
@@ -58,12 +58,12 @@
     pub teams: BTreeMap<String, TeamPolicy>,
     /// The service-level objective for the time from a job's acceptance to its start, by job
     /// class.
-    pub wait_within: HashMap<String, Duration>,
+    pub start_objectives: HashMap<String, Duration>,
     /// The service-level objective for the time from a job's acceptance to its end, by job class.
-    pub finish_within: HashMap<String, Duration>,
+    pub finish_objectives: HashMap<String, Duration>,
     /// By job class, the multiples of their deadlines within which jobs are to end, in rising
     /// order.
-    pub deadline_times: HashMap<String, Vec<f64>>,
+    pub deadline_multiples: HashMap<String, Vec<f64>>,
     /// The usual time between two heartbeats of a worker.
     pub heartbeat_interval: Duration,
     /// The duration of a worker's lease.
@@ -110,9 +110,9 @@
         Self {
             node_id: settings.platform.node_id.clone(),
             teams: team_policies(&platform.teams),
-            wait_within: objectives_of_kind(&platform.objectives, "wait"),
-            finish_within: objectives_of_kind(&platform.objectives, "finished"),
-            deadline_times: deadline_multiples(&platform.objectives),
+            start_objectives: objectives_of_kind(&platform.objectives, "wait"),
+            finish_objectives: objectives_of_kind(&platform.objectives, "finished"),
+            deadline_multiples: deadline_multiples(&platform.objectives),
             heartbeat_interval: platform.workers.heartbeat_interval(),
             worker_lease: platform.workers.lease_duration(),
             gang_wait: platform.workers.gang_wait(),
--- a/src/coordination/shard/scheduler/preemption/mod.rs
+++ b/src/coordination/shard/scheduler/preemption/mod.rs
@@ -120,7 +120,7 @@
     /// of the preemptor's start objective or more; it then loses its work since its last
     /// checkpoint.
     fn stop_victim(&mut self, victim: &Victim) {
-        let start_objective = self.policy.wait_within.get(&victim.preemptor.class);
+        let start_objective = self.policy.start_objectives.get(&victim.preemptor.class);
         let start_objective = start_objective.copied();
         let machine = self.machines.get_mut(&victim.machine);
         let Some(attempt) = machine.and_then(|m| m.attempts.get_mut(&victim.attempt)) else {
--- a/src/coordination/shard/scheduler/queue.rs
+++ b/src/coordination/shard/scheduler/queue.rs
@@ -56,7 +56,7 @@
 /// epoch; `None` without such an objective, or if the job is no gang. A gang that starts late is
 /// late with all its tasks, so while its start is due, that counts instead of its end.
 fn gang_start_due(job: &Job, policy: &Policy) -> Option<u64> {
-    let wait = policy.wait_within.get(&job.spec.class);
+    let wait = policy.start_objectives.get(&job.spec.class);
     wait.filter(|_| job.spec.is_gang())
         .map(|wait| job.at_ms.saturating_add(wait.as_millis() as u64))
 }
@@ -68,14 +68,17 @@
 pub(super) fn next_due(job: &Job, policy: &Policy, from_ms: u64) -> Option<u64> {
     let class = &job.spec.class;
     let after_acceptance = |s: f64| job.at_ms.saturating_add((s * 1e3) as u64);
-    let class_multiples = policy.deadline_times.get(class);
+    let class_multiples = policy.deadline_multiples.get(class);
     let multiples = class_multiples.map_or(&[1.0][..], Vec::as_slice);
     let deadlines = job
         .spec
         .deadline_s
         .into_iter()
         .flat_map(|s| multiples.iter().map(move |multiple| s * multiple));
-    let finish_objective = policy.finish_within.get(class).map(Duration::as_secs_f64);
+    let finish_objective = policy
+        .finish_objectives
+        .get(class)
+        .map(Duration::as_secs_f64);
     deadlines
         .chain(finish_objective)
         .map(after_acceptance)
--- a/src/coordination/shard/scheduler/scoring.rs
+++ b/src/coordination/shard/scheduler/scoring.rs
@@ -172,5 +172,5 @@
 /// The longest time from acceptance to start that the service-level objective of the job's class
 /// allows; `None` without such an objective.
 fn start_objective(policy: &Policy, spec: &JobSpec) -> Option<Duration> {
-    policy.wait_within.get(&spec.class).copied()
+    policy.start_objectives.get(&spec.class).copied()
 }
--- a/src/coordination/shard/tests/deadlines.rs
+++ b/src/coordination/shard/tests/deadlines.rs
@@ -11,8 +11,8 @@
 #[test]
 fn a_late_job_is_due_at_the_next_deadline_that_it_can_meet() {
     let mut script = ScriptedShard::empty();
-    script.shard.policy.deadline_times = [("sums".to_owned(), vec![1.0, 1.5])].into();
-    script.shard.policy.finish_within = [("sums".to_owned(), Duration::from_secs(250))].into();
+    script.shard.policy.deadline_multiples = [("sums".to_owned(), vec![1.0, 1.5])].into();
+    script.shard.policy.finish_objectives = [("sums".to_owned(), Duration::from_secs(250))].into();
     let job = JobSpec {
         deadline_s: Some(60.0),
         ..spec("red", 1.0, 1)
--- a/src/coordination/shard/tests/fixtures.rs
+++ b/src/coordination/shard/tests/fixtures.rs
@@ -86,9 +86,9 @@
             ("blue".to_owned(), team(0.0, 0.0)),
         ]
         .into(),
-        wait_within: HashMap::new(),
-        finish_within: HashMap::new(),
-        deadline_times: HashMap::new(),
+        start_objectives: HashMap::new(),
+        finish_objectives: HashMap::new(),
+        deadline_multiples: HashMap::new(),
         heartbeat_interval: Duration::from_secs(3),
         worker_lease: WORKER_LEASE,
         gang_wait: GANG_WAIT,
--- a/src/coordination/shard/tests/gangs/placement.rs
+++ b/src/coordination/shard/tests/gangs/placement.rs
@@ -183,7 +183,7 @@
     };
     let mut script = ScriptedShard::without_quotas();
     let job = gang(1, 8.0);
-    script.shard.policy.wait_within = [(job.class.clone(), second(40))].into();
+    script.shard.policy.start_objectives = [(job.class.clone(), second(40))].into();
     script.shard.set_types(std::slice::from_ref(&slow));
     script.submit("run-1", job);
     script.advance(second(1));
--- a/src/coordination/shard/tests/scale_in.rs
+++ b/src/coordination/shard/tests/scale_in.rs
@@ -70,7 +70,7 @@
 fn capacity_for_a_job_class_is_scaled_in_when_no_job_of_it_comes() {
     let mut script = ScriptedShard::without_quotas();
     let class = spec("red", 1.0, 1).class;
-    script.shard.policy.wait_within = [(class, Duration::from_secs(1))].into();
+    script.shard.policy.start_objectives = [(class, Duration::from_secs(1))].into();
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("red", 1.0, 1));
     run_commands(&mut script, "vm-1");
