--- a/src/coordination/shard/autoscaler/scale_in.rs
+++ b/src/coordination/shard/autoscaler/scale_in.rs
@@ -217,7 +217,7 @@
         }
         let is_idle_too_long = machine
             .idle_since()
-            .is_some_and(|since| now.saturating_duration_since(since) >= self.policy.idle);
+            .is_some_and(|since| now.saturating_duration_since(since) >= self.policy.idle_timeout);
         let is_not_needed = is_idle_too_long
             && self.all_reconciled
             && is_unused
--- a/src/coordination/shard/persistence/snapshots.rs
+++ b/src/coordination/shard/persistence/snapshots.rs
@@ -43,7 +43,7 @@
     /// leader, which rebuilds them from heartbeats, and writing them must not delay task starts.
     fn placements_fit(&self) -> bool {
         let bytes: usize = self.jobs.values().map(placement_bytes).sum();
-        let max_seconds = self.policy.staleness.as_secs_f64() * PLACEMENT_TIME_SHARE;
+        let max_seconds = self.policy.max_staleness.as_secs_f64() * PLACEMENT_TIME_SHARE;
         let max_chunks = self.policy.snapshot_writes_per_s * max_seconds;
         let writable_bytes = max_chunks * self.policy.value_bytes as f64;
         bytes as f64 <= writable_bytes
--- a/src/coordination/shard/persistence/write_limits.rs
+++ b/src/coordination/shard/persistence/write_limits.rs
@@ -29,7 +29,7 @@
             value_bytes: policy.value_bytes,
             snapshot_writes_per_s: policy.snapshot_writes_per_s,
             record_writes_per_s: policy.record_writes_per_s,
-            snapshot_interval: policy.snapshot,
+            snapshot_interval: policy.snapshot_interval,
         }
     }
 }
--- a/src/coordination/shard/policy.rs
+++ b/src/coordination/shard/policy.rs
@@ -78,9 +78,9 @@
     /// The most bytes in one value of the key-value store.
     pub value_bytes: usize,
     /// The shortest time between the starts of two rounds of snapshots of a changed shard.
-    pub snapshot: Duration,
+    pub snapshot_interval: Duration,
     /// The age of changes without a durable snapshot beyond which no task is started.
-    pub staleness: Duration,
+    pub max_staleness: Duration,
     /// The most mutations per second for snapshots.
     pub snapshot_writes_per_s: f64,
     /// The most mutations per second for the shard's own records (roster, rentals).
@@ -93,7 +93,7 @@
     /// running tasks.
     pub headroom: f64,
     /// How long a machine has to be idle before it is deleted.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// How long a team's unused quota stays reserved after the team last had work.
     pub quota_hold: Duration,
     /// The backoff before the autoscaler again requests a kind of machine of which the cloud had
@@ -119,14 +119,14 @@
             advance_delegation: advance_delegation::max_duration(settings),
             txn_ops: kv_limits.txn_ops,
             value_bytes: kv_limits.value_bytes(),
-            snapshot: operator.snapshot_interval(),
-            staleness: operator.staleness(),
+            snapshot_interval: operator.snapshot_interval(),
+            max_staleness: operator.staleness(),
             snapshot_writes_per_s: kv_limits.write_rps * operator.snapshot_write_share,
             record_writes_per_s: kv_limits.write_rps * RECORD_WRITE_SHARE,
             suspect_after: platform.workers.max_heartbeat_interval() + operator.suspect_late(),
             dead_after: platform.workers.max_heartbeat_interval() + operator.declare_dead_late(),
             headroom: operator.headroom,
-            idle: operator.max_idle_time(),
+            idle_timeout: operator.max_idle_time(),
             quota_hold: operator.quota_hold(),
             scale_out_retry: operator.scale_out_retry(),
         }
--- a/src/coordination/shard/scheduler/mod.rs
+++ b/src/coordination/shard/scheduler/mod.rs
@@ -72,7 +72,7 @@
     /// found no machine. Does nothing while some change has gone without a durable snapshot for
     /// longer than the policy allows.
     pub(super) fn schedule(&mut self, now: Instant) {
-        if self.writes.is_stale(now, self.policy.staleness) {
+        if self.writes.is_stale(now, self.policy.max_staleness) {
             return;
         }
         let by_priority = self.scheduler_view().waiting_by_priority(now);
--- a/src/coordination/shard/tests/failing_jobs.rs
+++ b/src/coordination/shard/tests/failing_jobs.rs
@@ -22,7 +22,7 @@
 /// Open machines, without jobs and quotas.
 fn cluster(machines: &[&str]) -> ScriptedShard {
     let mut script = ScriptedShard::without_quotas();
-    script.shard.policy.idle = Duration::from_secs(86_400);
+    script.shard.policy.idle_timeout = Duration::from_secs(86_400);
     // One heartbeat admits a machine, the next finds it open.
     for id in machines.iter().chain(machines) {
         script.heartbeat(id, Vec::new());
--- a/src/coordination/shard/tests/scale/cluster.rs
+++ b/src/coordination/shard/tests/scale/cluster.rs
@@ -49,7 +49,7 @@
 pub(super) fn small_store() -> Policy {
     Policy {
         advance_delegation: Duration::ZERO,
-        idle: Duration::from_secs(86_400),
+        idle_timeout: Duration::from_secs(86_400),
         snapshot_writes_per_s: 10.0,
         record_writes_per_s: 6.0,
         ..policy()
--- a/src/coordination/shard/tests/scale/records.rs
+++ b/src/coordination/shard/tests/scale/records.rs
@@ -82,7 +82,7 @@
 #[test]
 fn sixty_thousand_tasks_do_not_make_the_snapshot_stale() {
     let policy = small_store();
-    let staleness = policy.staleness;
+    let staleness = policy.max_staleness;
     let machines = 2_000;
     let mut script = ScriptedShard::with_policy(policy, RecoveredState::default());
     for n in 0..60_000 {
