--- a/src/coordination/requests/status_query.rs
+++ b/src/coordination/requests/status_query.rs
@@ -32,7 +32,7 @@
 fn task_counts(node: &Node, id: &str) -> TaskCounts {
     let state = node.lock();
     let counts = match &state.leadership {
-        Some(leadership) => leadership.shard.view(id),
+        Some(leadership) => leadership.shard.task_counts(id),
         None => state.peers.progress.get(id).copied(),
     };
     counts.unwrap_or_default()
--- a/src/coordination/shard/autoscaler/slack.rs
+++ b/src/coordination/shard/autoscaler/slack.rs
@@ -90,7 +90,7 @@
         let due_ms = self
             .scheduler
             .next_due(job, wall_ms + run_time.as_millis() as u64)?;
-        let remaining_s = due_ms.saturating_sub(job.at_ms) as f64 / 1e3 - age_s;
+        let remaining_s = due_ms.saturating_sub(job.accepted_at_ms) as f64 / 1e3 - age_s;
         Some(remaining_s - run_s - self.shortest_usual_boot().as_secs_f64())
     }
 }
@@ -118,5 +118,5 @@
 
 /// Seconds since a job was accepted.
 fn job_age_s(job: &Job, wall_ms: u64) -> f64 {
-    wall_ms.saturating_sub(job.at_ms) as f64 / 1e3
+    wall_ms.saturating_sub(job.accepted_at_ms) as f64 / 1e3
 }
--- a/src/coordination/shard/jobs/lifecycle.rs
+++ b/src/coordination/shard/jobs/lifecycle.rs
@@ -78,7 +78,7 @@
         self.withdraw_evidence(&id);
         self.end_attempts_of_finished_job(&id);
         self.needs_pass = true;
-        self.drop_job_if_empty(&id);
+        self.drop_finished_job_without_attempts(&id);
     }
 
     /// Stops the running attempts of a finished job, and allows workers to forget its ended
@@ -126,7 +126,7 @@
     }
 
     /// Removes a job from the shard if it is finished and no attempt of it may exist any more.
-    pub(in crate::coordination::shard) fn drop_job_if_empty(&mut self, id: &str) {
+    pub(in crate::coordination::shard) fn drop_finished_job_without_attempts(&mut self, id: &str) {
         if self
             .jobs
             .get(id)
--- a/src/coordination/shard/jobs/mod.rs
+++ b/src/coordination/shard/jobs/mod.rs
@@ -37,7 +37,7 @@
     /// The store revision at which its record was last modified.
     pub mod_revision: u64,
     /// When the job was accepted, in milliseconds since the Unix epoch.
-    pub at_ms: u64,
+    pub accepted_at_ms: u64,
     /// The completed tasks.
     done: TaskSet,
     /// The live tasks: those of which an attempt that has not ended may exist, each with the
@@ -74,7 +74,7 @@
             id,
             spec: Arc::new(record.spec),
             mod_revision,
-            at_ms: record.accepted_at_ms,
+            accepted_at_ms: record.accepted_at_ms,
             done: TaskSet::default(),
             live: HashMap::new(),
             unplaced: BTreeSet::new(),
@@ -199,7 +199,7 @@
     /// The job's deadline in milliseconds since the Unix epoch; `u64::MAX` if it has none.
     pub fn deadline_ms(&self) -> u64 {
         match self.spec.deadline_s {
-            Some(s) => self.at_ms.saturating_add((s * 1000.0) as u64),
+            Some(s) => self.accepted_at_ms.saturating_add((s * 1000.0) as u64),
             None => u64::MAX,
         }
     }
--- a/src/coordination/shard/jobs/progress.rs
+++ b/src/coordination/shard/jobs/progress.rs
@@ -81,7 +81,7 @@
 
     /// The present task counts of one unfinished job, for the answer to its user. Counts the
     /// running tasks anew.
-    pub fn view(&self, id: &str) -> Option<TaskCounts> {
+    pub fn task_counts(&self, id: &str) -> Option<TaskCounts> {
         let job = self.jobs.get(id).filter(|job| job.final_stage.is_none())?;
         let live = job.live().iter();
         let running = live.filter(|(index, machine)| self.is_running_on(job, **index, machine));
--- a/src/coordination/shard/reconciler/removal.rs
+++ b/src/coordination/shard/reconciler/removal.rs
@@ -37,7 +37,7 @@
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.remove_placement(task.index, machine_id);
             let job_id = job.id.clone();
-            self.drop_job_if_empty(&job_id);
+            self.drop_finished_job_without_attempts(&job_id);
         }
         self.needs_pass = true;
     }
--- a/src/coordination/shard/scheduler/gang/placement.rs
+++ b/src/coordination/shard/scheduler/gang/placement.rs
@@ -108,7 +108,7 @@
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        let age = Duration::from_millis(self.wall_ms(now).saturating_sub(job.at_ms));
+        let age = Duration::from_millis(self.wall_ms(now).saturating_sub(job.accepted_at_ms));
         if age >= GANG_RESERVATION_DELAY {
             self.scheduler_view().reserve_for_gang(job, pass);
         }
--- a/src/coordination/shard/scheduler/queue.rs
+++ b/src/coordination/shard/scheduler/queue.rs
@@ -47,7 +47,7 @@
         Self {
             is_too_late,
             due_ms,
-            accepted_at_ms: job.at_ms,
+            accepted_at_ms: job.accepted_at_ms,
         }
     }
 }
@@ -58,7 +58,7 @@
 fn gang_start_due(job: &Job, policy: &Policy) -> Option<u64> {
     let wait = policy.start_objectives.get(&job.spec.class);
     wait.filter(|_| job.spec.is_gang())
-        .map(|wait| job.at_ms.saturating_add(wait.as_millis() as u64))
+        .map(|wait| job.accepted_at_ms.saturating_add(wait.as_millis() as u64))
 }
 
 /// The first due time of a job at or after `from_ms`, in milliseconds since the Unix epoch. Due
@@ -67,7 +67,7 @@
 /// acceptance to the end.
 pub(super) fn next_due(job: &Job, policy: &Policy, from_ms: u64) -> Option<u64> {
     let class = &job.spec.class;
-    let after_acceptance = |s: f64| job.at_ms.saturating_add((s * 1e3) as u64);
+    let after_acceptance = |s: f64| job.accepted_at_ms.saturating_add((s * 1e3) as u64);
     let class_multiples = policy.deadline_multiples.get(class);
     let multiples = class_multiples.map_or(&[1.0][..], Vec::as_slice);
     let deadlines = job
--- a/src/coordination/shard/scheduler/starvation.rs
+++ b/src/coordination/shard/scheduler/starvation.rs
@@ -51,7 +51,7 @@
     }
 
     fn is_starving(&self, job: &Job, wall_ms: u64, now: Instant) -> bool {
-        let age = Duration::from_millis(wall_ms.saturating_sub(job.at_ms));
+        let age = Duration::from_millis(wall_ms.saturating_sub(job.accepted_at_ms));
         let never_started = job.live().is_empty() && job.done().is_empty();
         age > STARVATION_WAIT
             && !job.spec.is_gang()
--- a/src/coordination/shard/tests/agent_epochs.rs
+++ b/src/coordination/shard/tests/agent_epochs.rs
@@ -33,7 +33,10 @@
         "the lease of its former agent epoch has expired"
     );
     assert!(script.launches().is_empty(), "the task is still there");
-    assert_eq!(script.shard.view("run-1").map(|v| v.running), Some(1));
+    assert_eq!(
+        script.shard.task_counts("run-1").map(|v| v.running),
+        Some(1)
+    );
 }
 
 /// After lease expiry only a later agent epoch of the machine may get tasks.
--- a/src/coordination/shard/tests/combined_faults.rs
+++ b/src/coordination/shard/tests/combined_faults.rs
@@ -187,7 +187,10 @@
     for delayed in [before, agent_epoch, under_ours] {
         script.receive(&delayed);
         assert!(script.launches().is_empty(), "run-1/0 runs on vm-1");
-        assert_eq!(script.shard.view("run-1").map(|view| view.running), Some(1));
+        assert_eq!(
+            script.shard.task_counts("run-1").map(|view| view.running),
+            Some(1)
+        );
     }
 }
 
--- a/src/coordination/shard/tests/failover.rs
+++ b/src/coordination/shard/tests/failover.rs
@@ -29,7 +29,10 @@
     let line = running_task("run-1/0", 9);
     script.heartbeat("vm-2", vec![line]);
     assert!(script.launches().is_empty(), "the task runs on vm-2");
-    assert_eq!(script.shard.view("run-1").map(|v| v.running), Some(1));
+    assert_eq!(
+        script.shard.task_counts("run-1").map(|v| v.running),
+        Some(1)
+    );
 }
 
 /// A worker that has not acknowledged the new fencing token still takes commands of the
--- a/src/coordination/shard/tests/heartbeats.rs
+++ b/src/coordination/shard/tests/heartbeats.rs
@@ -20,7 +20,10 @@
     // Its sequence number is older than that of the answer.
     script.receive(&late);
     assert!(script.launches().is_empty());
-    assert_eq!(script.shard.view("run-1").map(|v| v.running), Some(1));
+    assert_eq!(
+        script.shard.task_counts("run-1").map(|v| v.running),
+        Some(1)
+    );
 }
 
 /// Heartbeats arrive, but neither answers nor commands reach the machine, so that its agent
