--- a/src/coordination/shard/reconciler/outcomes.rs
+++ b/src/coordination/shard/reconciler/outcomes.rs
@@ -73,7 +73,7 @@
             | AttemptOutcome::Other => {
                 job.not_before = Some(now + REFUSED_START_PAUSE);
             }
-            AttemptOutcome::GangIncomplete => self.gang_came_apart(&task.job, now),
+            AttemptOutcome::GangIncomplete => self.delay_gang_retry(&task.job, now),
             AttemptOutcome::Error | AttemptOutcome::Stopped | AttemptOutcome::GangPeerLost => {}
         }
     }
@@ -87,7 +87,7 @@
         if job.spec.is_gang() {
             // The tasks of a gang complete together, including tasks whose machines are lost
             // before they report the completion.
-            self.gang_task_done(&task.job);
+            self.complete_gang(&task.job);
         } else {
             job.complete(task.index);
             if let Some(ran) = summary.ran.filter(|_| summary.is_comparable) {
--- a/src/coordination/shard/scheduler/gang/mod.rs
+++ b/src/coordination/shard/scheduler/gang/mod.rs
@@ -29,7 +29,7 @@
 
 impl Shard {
     /// Marks all tasks of a gang as completed, because one of them has completed.
-    pub(in crate::coordination::shard) fn gang_task_done(&mut self, id: &JobId) {
+    pub(in crate::coordination::shard) fn complete_gang(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             for index in 0..job.spec.tasks {
                 job.complete(index);
@@ -39,7 +39,7 @@
 
     /// Delays the next attempt of a gang, because its last attempt ended before all its tasks were
     /// ready.
-    pub(in crate::coordination::shard) fn gang_came_apart(&mut self, id: &JobId, now: Instant) {
+    pub(in crate::coordination::shard) fn delay_gang_retry(&mut self, id: &JobId, now: Instant) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.not_before = Some(now + GANG_RETRY_DELAY);
         }
