--- a/src/coordination/shard/autoscaler/capacity.rs
+++ b/src/coordination/shard/autoscaler/capacity.rs
@@ -11,7 +11,7 @@
 use super::view::AutoscalerView;
 use crate::coordination::shard::Machine;
 use crate::coordination::shard::machines::Resources;
-use crate::coordination::shard::scheduler::allowed;
+use crate::coordination::shard::scheduler::is_machine_allowed;
 use crate::protocol::MachineId;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::{JobKind, JobSpec, Priority};
@@ -88,7 +88,7 @@
 
     /// Whether a job's placement constraints allow the machine's type, zone and pricing.
     pub(super) fn is_allowed_for(&self, spec: &JobSpec) -> bool {
-        allowed(spec, &self.machine_type, &self.zone, self.spot)
+        is_machine_allowed(spec, &self.machine_type, &self.zone, self.spot)
     }
 
     /// Whether a task of a job may fit on the machine, possibly after preemption.
--- a/src/coordination/shard/autoscaler/offer.rs
+++ b/src/coordination/shard/autoscaler/offer.rs
@@ -9,7 +9,7 @@
 use super::machine_kind::{MIN_BILLED_TIME, MachineKind};
 use super::view::AutoscalerView;
 use crate::coordination::shard::machines::Resources;
-use crate::coordination::shard::scheduler::allowed;
+use crate::coordination::shard::scheduler::is_machine_allowed;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::JobSpec;
 
@@ -155,7 +155,7 @@
         let price = offer.price()?;
         let fitting_tasks = Resources::of_machine_type(&offer.machine_type).fitting_tasks(spec);
         if fitting_tasks == 0
-            || !allowed(spec, &offer.machine_type.name, &offer.zone, offer.spot)
+            || !is_machine_allowed(spec, &offer.machine_type.name, &offer.zone, offer.spot)
             || self
                 .autoscaler
                 .backoff
--- a/src/coordination/shard/autoscaler/reserved_quota.rs
+++ b/src/coordination/shard/autoscaler/reserved_quota.rs
@@ -40,7 +40,7 @@
         let mut demands = Vec::new();
         let teams = self.policy.teams.iter();
         for (name, team) in teams.filter(|(name, _)| self.had_work_recently(name, now)) {
-            let unused_cores = team.cores - usage.of(name).cores;
+            let unused_cores = team.cores - usage.team_usage(name).cores;
             if unused_cores <= 0.0 {
                 continue;
             }
--- a/src/coordination/shard/autoscaler/service_moves.rs
+++ b/src/coordination/shard/autoscaler/service_moves.rs
@@ -11,7 +11,7 @@
 use super::release::hosts_services;
 use super::view::AutoscalerView;
 use crate::coordination::shard::machines::Resources;
-use crate::coordination::shard::scheduler::allowed;
+use crate::coordination::shard::scheduler::is_machine_allowed;
 use crate::coordination::shard::{Attempt, Job, Machine, Phase, Shard};
 use crate::protocol::users::{JobKind, JobSpec};
 use crate::protocol::{AttemptId, MachineId};
@@ -34,7 +34,7 @@
     pub(super) fn can_host(&self, spec: &JobSpec) -> bool {
         let machine = self.machine;
         self.has_image_and_capacity(spec)
-            && allowed(spec, &machine.machine_type, &machine.zone, machine.spot)
+            && is_machine_allowed(spec, &machine.machine_type, &machine.zone, machine.spot)
     }
 }
 
--- a/src/coordination/shard/scheduler/candidates.rs
+++ b/src/coordination/shard/scheduler/candidates.rs
@@ -39,7 +39,7 @@
 impl Candidate {
     /// Whether a job's constraints on machine type, zone and spot instances allow this machine.
     pub(super) fn allows(&self, spec: &JobSpec) -> bool {
-        allowed(spec, &self.machine_type, &self.zone, self.is_spot)
+        is_machine_allowed(spec, &self.machine_type, &self.zone, self.is_spot)
     }
 
     /// Whether one more task of a job fits into the free resources. Batch jobs and gangs may use
@@ -74,7 +74,7 @@
 }
 
 /// Whether a job's constraints allow a machine of this type, zone and pricing (spot or on-demand).
-pub(in crate::coordination::shard) fn allowed(
+pub(in crate::coordination::shard) fn is_machine_allowed(
     spec: &JobSpec,
     machine_type: &str,
     zone: &str,
--- a/src/coordination/shard/scheduler/mod.rs
+++ b/src/coordination/shard/scheduler/mod.rs
@@ -30,7 +30,7 @@
 
 use std::time::Instant;
 
-pub(super) use candidates::allowed;
+pub(super) use candidates::is_machine_allowed;
 pub use gang::GangAttempt;
 pub(super) use queue::QueueKey;
 pub(super) use quota::Usage;
@@ -222,7 +222,7 @@
 
     /// A job's position in the queue among the jobs of its priority.
     pub(super) fn queue_key(&self, job: &Job, wall_ms: u64) -> QueueKey {
-        QueueKey::of(job, self.policy, wall_ms)
+        QueueKey::for_job(job, self.policy, wall_ms)
     }
 
     /// The first due time of a job at or after `from_ms`, in milliseconds since the Unix epoch;
--- a/src/coordination/shard/scheduler/queue.rs
+++ b/src/coordination/shard/scheduler/queue.rs
@@ -32,7 +32,7 @@
     /// The key of a job at the wall-clock time `wall_ms`, in milliseconds since the Unix epoch.
     /// Jobs are ordered by the next due time that they can still meet; those that can meet none
     /// come last.
-    pub(super) fn of(job: &Job, policy: &Policy, wall_ms: u64) -> Self {
+    pub(super) fn for_job(job: &Job, policy: &Policy, wall_ms: u64) -> Self {
         if let Some(start_ms) = gang_start_due(job, policy).filter(|start| *start > wall_ms) {
             return Self::new(false, start_ms, job);
         }
@@ -149,7 +149,7 @@
     pub(super) fn sort_by_queue_key(&self, jobs: &mut [JobId], wall_ms: u64) {
         jobs.sort_by_cached_key(|id| {
             let job = self.jobs.get(id);
-            job.map(|job| QueueKey::of(job, self.policy, wall_ms))
+            job.map(|job| QueueKey::for_job(job, self.policy, wall_ms))
         });
     }
 }
--- a/src/coordination/shard/scheduler/quota.rs
+++ b/src/coordination/shard/scheduler/quota.rs
@@ -22,7 +22,7 @@
 
 impl Usage {
     /// What a team's tasks use, without those whose team is not known.
-    pub(in crate::coordination::shard) fn of(&self, team: &str) -> Resources {
+    pub(in crate::coordination::shard) fn team_usage(&self, team: &str) -> Resources {
         self.teams.get(team).copied().unwrap_or_default()
     }
 
@@ -42,7 +42,7 @@
         let Some(team) = policy.teams.get(&spec.team) else {
             return false;
         };
-        let used = self.of(&spec.team);
+        let used = self.team_usage(&spec.team);
         let fits = |used: f64, unknown_team: f64, requested: f64, limit: f64| {
             limit <= 0.0
                 || requested <= 0.0
@@ -72,7 +72,7 @@
     /// in cores and in accelerators.
     pub(super) fn within_guarantee(&self, policy: &Policy, spec: &JobSpec) -> bool {
         policy.teams.get(&spec.team).is_some_and(|team| {
-            let used = self.of(&spec.team);
+            let used = self.team_usage(&spec.team);
             used.cores + spec.cores <= team.cores + QUOTA_ROUNDING
                 && used.accelerators + spec.accelerators <= team.accelerators + QUOTA_ROUNDING
         })
@@ -82,7 +82,7 @@
     /// job.
     pub(super) fn beyond_guarantee_without(&self, policy: &Policy, spec: &JobSpec) -> bool {
         policy.teams.get(&spec.team).is_some_and(|team| {
-            let used = self.of(&spec.team);
+            let used = self.team_usage(&spec.team);
             used.cores - spec.cores >= team.cores
         })
     }
@@ -90,7 +90,7 @@
     /// The rank of a team among the teams with waiting jobs, if this job is its next.
     pub(super) fn fair_share_rank(&self, policy: &Policy, spec: &JobSpec) -> FairShareRank {
         let share = policy.fair_share(&spec.team);
-        let used = self.of(&spec.team);
+        let used = self.team_usage(&spec.team);
         FairShareRank {
             beyond_guarantee: !self.within_guarantee(policy, spec),
             weighted_usage: (used.cores + used.accelerators) / share,
--- a/src/coordination/shard/scheduler/tests.rs
+++ b/src/coordination/shard/scheduler/tests.rs
@@ -108,7 +108,7 @@
 #[test]
 fn jobs_go_by_the_next_deadline_that_they_can_meet() {
     let policy = policy();
-    let key = |job: &Job| QueueKey::of(job, &policy, 20_000);
+    let key = |job: &Job| QueueKey::for_job(job, &policy, 20_000);
     let soon = job("soon", 0, Some(30.0));
     let later = job("later", 0, Some(60.0));
     let missed = job("missed", 0, Some(10.0));
