--- a/src/coordination/cloud/polling.rs
+++ b/src/coordination/cloud/polling.rs
@@ -52,7 +52,7 @@
             .map(|leadership| leadership.lease.clone())
     };
     if let Some(lease) = lease {
-        node.with_shard(&lease, "types", |shard, _| shard.set_types(&types));
+        node.with_shard(&lease, "types", |shard, _| shard.set_machine_types(&types));
     }
 }
 
--- a/src/coordination/leadership/leader_loop.rs
+++ b/src/coordination/leadership/leader_loop.rs
@@ -143,7 +143,7 @@
     let types = node.lock().machine_types.clone();
     node.with_shard(lease, "types", |shard, _| {
         if let Some(types) = types {
-            shard.set_types(&types);
+            shard.set_machine_types(&types);
         }
     });
 }
--- a/src/coordination/shard/autoscaler/mod.rs
+++ b/src/coordination/shard/autoscaler/mod.rs
@@ -165,7 +165,7 @@
         }
         self.deleted_machines
             .forget_older(DELETED_MACHINE_RETENTION, now);
-        if self.types.is_empty() {
+        if self.machine_types.is_empty() {
             return;
         }
         self.plan(now);
--- a/src/coordination/shard/autoscaler/scale_in.rs
+++ b/src/coordination/shard/autoscaler/scale_in.rs
@@ -102,7 +102,7 @@
     /// Requests the deletion of machines whose deletion records are durable.
     pub(in crate::coordination::shard) fn request_deletions(&mut self, ids: &[MachineId]) {
         for batch in ids.chunks(MAX_MACHINES_PER_DELETION) {
-            self.out.push(Action::Delete(batch.to_vec()));
+            self.pending_actions.push(Action::Delete(batch.to_vec()));
         }
     }
 
--- a/src/coordination/shard/autoscaler/scale_out.rs
+++ b/src/coordination/shard/autoscaler/scale_out.rs
@@ -32,7 +32,7 @@
     /// Repeats the rentals and deletions that the cloud did not answer.
     pub(super) fn retry_cloud_requests(&mut self, now: Instant) {
         for rental in self.autoscaler.rentals.take_due_retries(now) {
-            self.out.push(Action::Rent(rental));
+            self.pending_actions.push(Action::Rent(rental));
         }
         self.retry_deletions(now);
     }
@@ -52,7 +52,7 @@
 
     /// Repeats a rental request that an earlier leader recorded and may have sent.
     pub(in crate::coordination::shard) fn resume_rental(&mut self, rental: Rental) {
-        self.out.push(Action::Rent(rental.clone()));
+        self.pending_actions.push(Action::Rent(rental.clone()));
         self.autoscaler.rentals.insert(rental);
     }
 
--- a/src/coordination/shard/autoscaler/view.rs
+++ b/src/coordination/shard/autoscaler/view.rs
@@ -37,7 +37,7 @@
         AutoscalerView {
             policy: &self.policy,
             machines: &self.machines,
-            machine_types: &self.types,
+            machine_types: &self.machine_types,
             jobs: &self.jobs,
             autoscaler: &self.autoscaler,
             scheduler: self.scheduler_view(),
--- a/src/coordination/shard/dispatch/batch.rs
+++ b/src/coordination/shard/dispatch/batch.rs
@@ -40,7 +40,7 @@
         let number = self.last_batch_number;
         let newest = machine.epochs.newest();
         machine.commands.note_sent(number, newest);
-        self.out.push(Action::Command {
+        self.pending_actions.push(Action::Command {
             machine: machine_id.clone(),
             addr: machine.addr.clone(),
             agent_epoch,
--- a/src/coordination/shard/jobs/lifecycle.rs
+++ b/src/coordination/shard/jobs/lifecycle.rs
@@ -143,7 +143,7 @@
         };
         if job.final_stage.is_none() && job.all_done() && !job.is_finish_requested {
             job.is_finish_requested = true;
-            self.out.push(Action::Finish {
+            self.pending_actions.push(Action::Finish {
                 job: job.id.clone(),
                 mod_revision: job.mod_revision,
             });
--- a/src/coordination/shard/jobs/progress.rs
+++ b/src/coordination/shard/jobs/progress.rs
@@ -73,7 +73,7 @@
             .values()
             .filter(|job| job.final_stage.is_none())
             .map(|job| {
-                let running = self.running.count(&job.id);
+                let running = self.running_tasks.count(&job.id);
                 let done = job.done().len();
                 (&job.id, TaskCounts { done, running })
             })
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -74,7 +74,7 @@
     /// The wall-clock time at which the term began, in milliseconds since the Unix epoch.
     acquired_wall_ms: u64,
     /// The machine types that the cloud offers, by name.
-    types: BTreeMap<String, Arc<MachineType>>,
+    machine_types: BTreeMap<String, Arc<MachineType>>,
     jobs: BTreeMap<JobId, Job>,
     machines: Machines,
     deleted_machines: DeletedMachines,
@@ -97,17 +97,17 @@
     /// new decisions.
     needs_pass: bool,
     /// How many tasks of each job heartbeats list as running, recounted at intervals.
-    running: RunningTasks,
+    running_tasks: RunningTasks,
     /// The actions decided since the last [`Shard::take_actions`], in the order of the decisions.
     /// The number of machines and the scheduler's limits bound how many one pass adds.
-    out: Vec<Action>,
+    pending_actions: Vec<Action>,
 }
 
 impl Shard {
     /// Returns the actions decided since the last call, in the order in which they were decided,
     /// and removes them from the shard.
     pub fn take_actions(&mut self) -> Vec<Action> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.pending_actions)
     }
 
     /// Does the periodic work: ends expired delegations and worker leases, counts running tasks,
@@ -117,7 +117,7 @@
         self.machines.refresh();
         self.remove_ended_delegations(now);
         self.expire_leases(now);
-        if self.running.recount_if_due(&self.machines, now) {
+        if self.running_tasks.recount_if_due(&self.machines, now) {
             self.note_outliving_tasks(now);
             self.find_slow_machines(now);
         }
@@ -158,8 +158,8 @@
     }
 
     /// Sets the machine types that the cloud offers, with their present prices.
-    pub fn set_types(&mut self, types: &[MachineType]) {
-        self.types = types
+    pub fn set_machine_types(&mut self, types: &[MachineType]) {
+        self.machine_types = types
             .iter()
             .map(|t| (t.name.clone(), Arc::new(t.clone())))
             .collect();
--- a/src/coordination/shard/persistence/flush.rs
+++ b/src/coordination/shard/persistence/flush.rs
@@ -24,7 +24,7 @@
             self.begin_snapshot_round(now);
         }
         match self.writes.next(&limits) {
-            Some(NextWrite::Send(write)) => self.out.push(Action::Write(write)),
+            Some(NextWrite::Send(write)) => self.pending_actions.push(Action::Write(write)),
             Some(NextWrite::SnapshotStored(completed)) => self.allow_clearing(&completed),
             None => {}
         }
@@ -43,7 +43,9 @@
                     }
                 }
                 WritePurpose::Delete(id) => deletable.push(id.clone()),
-                WritePurpose::RecordScaleOut(rental) => self.out.push(Action::Rent(rental.clone())),
+                WritePurpose::RecordScaleOut(rental) => {
+                    self.pending_actions.push(Action::Rent(rental.clone()))
+                }
                 WritePurpose::RevokeDelegation(node_id) => {
                     self.delegations.revocation_written(node_id, now)
                 }
--- a/src/coordination/shard/reconciler/mod.rs
+++ b/src/coordination/shard/reconciler/mod.rs
@@ -99,7 +99,7 @@
     fn is_fenced_by(&mut self, heartbeat: &WorkerHeartbeat) -> bool {
         let is_fenced = heartbeat.fencing_token > self.fencing_token;
         if is_fenced {
-            self.out.push(Action::Fenced {
+            self.pending_actions.push(Action::Fenced {
                 seen: heartbeat.fencing_token,
             });
         }
@@ -139,7 +139,7 @@
         if !machine.is_booting() || machine.rented < self.acquired {
             return;
         }
-        let Some(machine_type) = self.types.get(&*machine.machine_type) else {
+        let Some(machine_type) = self.machine_types.get(&*machine.machine_type) else {
             return;
         };
         self.autoscaler.record_boot(machine, machine_type, now);
--- a/src/coordination/shard/reconciler/recovery.rs
+++ b/src/coordination/shard/reconciler/recovery.rs
@@ -76,7 +76,7 @@
             fencing_token,
             acquired: now,
             acquired_wall_ms: wall_ms,
-            types: BTreeMap::new(),
+            machine_types: BTreeMap::new(),
             jobs: BTreeMap::new(),
             machines: Machines::default(),
             deleted_machines: DeletedMachines::default(),
@@ -88,8 +88,8 @@
             last_batch_number: 0,
             main_zone: None,
             needs_pass: true,
-            running: RunningTasks::default(),
-            out: Vec::new(),
+            running_tasks: RunningTasks::default(),
+            pending_actions: Vec::new(),
         }
     }
 
--- a/src/coordination/shard/reconciler/task_list.rs
+++ b/src/coordination/shard/reconciler/task_list.rs
@@ -113,7 +113,7 @@
                 // The job finished before this leader was elected. Its final record says what
                 // resources the attempt uses.
                 attempt.request_stop(Duration::ZERO);
-                self.out.push(Action::ReadFinal {
+                self.pending_actions.push(Action::ReadFinal {
                     job: task.job.clone(),
                 });
             }
--- a/src/coordination/shard/scheduler/candidates.rs
+++ b/src/coordination/shard/scheduler/candidates.rs
@@ -188,7 +188,7 @@
             .values()
             .filter(|machine| machine.is_schedulable(now, &self.policy))
             .filter_map(|machine| {
-                let machine_type = self.types.get(&*machine.machine_type)?;
+                let machine_type = self.machine_types.get(&*machine.machine_type)?;
                 Some(Candidate {
                     id: machine.id.clone(),
                     machine_type: machine.machine_type.clone(),
--- a/src/coordination/shard/scheduler/view.rs
+++ b/src/coordination/shard/scheduler/view.rs
@@ -34,7 +34,7 @@
         SchedulerView {
             policy: &self.policy,
             machines: &self.machines,
-            machine_types: &self.types,
+            machine_types: &self.machine_types,
             jobs: &self.jobs,
             unreconciled: &self.unreconciled,
             fencing_token: self.fencing_token,
--- a/src/coordination/shard/summary.rs
+++ b/src/coordination/shard/summary.rs
@@ -31,7 +31,7 @@
         let (mut total, mut service_hosts, mut services, mut batch) = (0.0, 0.0, 0.0, 0.0);
         for machine in self.machines.values().filter(|m| m.spot == is_spot) {
             let cores = self
-                .types
+                .machine_types
                 .get(&*machine.machine_type)
                 .map_or(0.0, |machine_type| machine_type.cores);
             total += cores;
--- a/src/coordination/shard/tests/gangs/placement.rs
+++ b/src/coordination/shard/tests/gangs/placement.rs
@@ -184,12 +184,12 @@
     let mut script = ScriptedShard::without_quotas();
     let job = gang(1, 8.0);
     script.shard.policy.start_objectives = [(job.class.clone(), second(40))].into();
-    script.shard.set_types(std::slice::from_ref(&slow));
+    script.shard.set_machine_types(std::slice::from_ref(&slow));
     script.submit("run-1", job);
     script.advance(second(1));
     let rented = rentals(&mut script);
     assert_eq!(rented, ["m8"], "there is no other type");
-    script.shard.set_types(&[slow, quick]);
+    script.shard.set_machine_types(&[slow, quick]);
     script.advance(second(1));
     assert_eq!(rentals(&mut script), ["quick"]);
 }
--- a/src/coordination/shard/tests/scale/cluster.rs
+++ b/src/coordination/shard/tests/scale/cluster.rs
@@ -292,6 +292,6 @@
             now,
             0,
         );
-        self.script.shard.set_types(&machine_types());
+        self.script.shard.set_machine_types(&machine_types());
     }
 }
--- a/src/coordination/shard/tests/scripted_shard.rs
+++ b/src/coordination/shard/tests/scripted_shard.rs
@@ -90,7 +90,7 @@
         let now = Instant::now();
         let fencing_token = FencingToken::new(fencing_token);
         let mut shard = Shard::recover(policy, fencing_token, recovered, now, 0);
-        shard.set_types(&machine_types());
+        shard.set_machine_types(&machine_types());
         Self {
             shard,
             now,
--- a/src/coordination/shard/tests/simulation/leader.rs
+++ b/src/coordination/shard/tests/simulation/leader.rs
@@ -34,7 +34,7 @@
         self.leader_incarnations += 1;
         let recovered = self.store.recovered_state();
         let mut shard = Shard::recover(policy(), fencing_token, recovered, self.now, 0);
-        shard.set_types(&machine_types());
+        shard.set_machine_types(&machine_types());
         self.leader = Some(Leader {
             incarnation: self.leader_incarnations,
             shard,
--- a/tests/upgrade/cluster.rs
+++ b/tests/upgrade/cluster.rs
@@ -110,7 +110,7 @@
             self.now,
             wall_clock_ms,
         );
-        shard.set_types(&[machine_type()]);
+        shard.set_machine_types(&[machine_type()]);
         shard
     }
 
