--- a/src/coordination/shard/autoscaler/machine_loss.rs
+++ b/src/coordination/shard/autoscaler/machine_loss.rs
@@ -90,8 +90,8 @@
     /// Time since the last contact with a machine; since the start of this leader's term if there
     /// was no contact during it.
     fn since_last_contact_under_leader(&self, machine: &Machine, now: Instant) -> Duration {
-        let last_contact = machine.last_contact.unwrap_or(self.acquired);
-        now.saturating_duration_since(last_contact.max(self.acquired))
+        let last_contact = machine.last_contact.unwrap_or(self.term_began);
+        now.saturating_duration_since(last_contact.max(self.term_began))
     }
 
     /// Whether the last contact with a machine was so long ago that it gets no new tasks.
--- a/src/coordination/shard/autoscaler/view.rs
+++ b/src/coordination/shard/autoscaler/view.rs
@@ -43,7 +43,7 @@
             scheduler: self.scheduler_view(),
             delegations: &self.delegations,
             main_zone: self.main_zone.as_deref(),
-            term_began: self.acquired,
+            term_began: self.term_began,
             all_reconciled: self.unreconciled.is_empty(),
         }
     }
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -70,9 +70,9 @@
     /// The fencing token of this leader's term, which every command and write carries.
     pub fencing_token: FencingToken,
     /// When this leader's term began, by the monotonic clock.
-    acquired: Instant,
+    term_began: Instant,
     /// The wall-clock time at which the term began, in milliseconds since the Unix epoch.
-    acquired_wall_ms: u64,
+    term_began_wall_ms: u64,
     /// The machine types that the cloud offers, by name.
     machine_types: BTreeMap<String, Arc<MachineType>>,
     jobs: BTreeMap<JobId, Job>,
@@ -148,8 +148,8 @@
     /// leader's term begins, and advanced by the monotonic clock, so that steps of the wall
     /// clock don't affect the shard's decisions.
     fn wall_ms(&self, now: Instant) -> u64 {
-        let elapsed = now.saturating_duration_since(self.acquired).as_millis() as u64;
-        self.acquired_wall_ms + elapsed
+        let elapsed = now.saturating_duration_since(self.term_began).as_millis() as u64;
+        self.term_began_wall_ms + elapsed
     }
 
     fn new_attempt_number(&mut self) -> u64 {
--- a/src/coordination/shard/reconciler/mod.rs
+++ b/src/coordination/shard/reconciler/mod.rs
@@ -136,7 +136,7 @@
         let Some(machine) = self.machines.get(machine_id) else {
             return;
         };
-        if !machine.is_booting() || machine.rented < self.acquired {
+        if !machine.is_booting() || machine.rented < self.term_began {
             return;
         }
         let Some(machine_type) = self.machine_types.get(&*machine.machine_type) else {
--- a/src/coordination/shard/reconciler/recovery.rs
+++ b/src/coordination/shard/reconciler/recovery.rs
@@ -74,8 +74,8 @@
         Self {
             policy,
             fencing_token,
-            acquired: now,
-            acquired_wall_ms: wall_ms,
+            term_began: now,
+            term_began_wall_ms: wall_ms,
             machine_types: BTreeMap::new(),
             jobs: BTreeMap::new(),
             machines: Machines::default(),
@@ -100,7 +100,9 @@
             record,
         } in jobs
         {
-            let age = self.acquired_wall_ms.saturating_sub(record.accepted_at_ms);
+            let age = self
+                .term_began_wall_ms
+                .saturating_sub(record.accepted_at_ms);
             let accepted_at = now.checked_sub(Duration::from_millis(age)).unwrap_or(now);
             self.autoscaler
                 .record_arrival(&record.spec, accepted_at, now);
