--- a/src/coordination/shard/autoscaler/scale_in.rs
+++ b/src/coordination/shard/autoscaler/scale_in.rs
@@ -41,7 +41,7 @@
     Unreachable,
     /// Its worker's lease expired without contact, so its tasks have stopped.
     LeaseExpired,
-    /// It answers, but its worker's lease expired without a heartbeat of its own.
+    /// It answers, but its worker's lease expired without a periodic heartbeat.
     HeartbeatsMissing,
     /// The cloud lists it as failed.
     CloudFailure,
--- a/src/coordination/shard/policy.rs
+++ b/src/coordination/shard/policy.rs
@@ -150,9 +150,9 @@
         smallest.unwrap_or(MIN_FAIR_SHARE).max(MIN_FAIR_SHARE)
     }
 
-    /// How long a worker that still answers commands may go without sending a heartbeat by itself
-    /// before its machine gets no new tasks. A worker whose leader has just changed takes a while
-    /// to find the new one.
+    /// How long a worker that still answers commands may go without a periodic heartbeat before
+    /// its machine gets no new tasks. A worker whose leader has just changed takes a while to find
+    /// the new one.
     pub fn heartbeat_overdue(&self) -> Duration {
         self.suspect_after.max(self.worker_lease / 2)
     }
--- a/src/coordination/shard/summary.rs
+++ b/src/coordination/shard/summary.rs
@@ -55,9 +55,9 @@
         let mut text = format!("{}\n{}\n", self.summary(), self.writes.describe(now));
         let mut tasks_by_team: BTreeMap<&str, (u32, usize)> = BTreeMap::new();
         for job in self.jobs.values() {
-            let (waiting, live) = tasks_by_team.entry(&job.spec.team).or_default();
-            *waiting += job.waiting();
-            *live += job.live().len();
+            let counts = tasks_by_team.entry(&job.spec.team).or_default();
+            counts.0 += job.waiting();
+            counts.1 += job.live().len();
         }
         for (team, (waiting, live)) in tasks_by_team {
             text.push_str(&format!(
