--- a/src/coordination/shard/health/failure_history.rs
+++ b/src/coordination/shard/health/failure_history.rs
@@ -35,7 +35,7 @@
     /// The machine on which the attempt ran.
     pub machine: &'a MachineId,
     /// When the leader decided to start the attempt.
-    pub began: Instant,
+    pub created_at: Instant,
     /// For how long the attempt ran.
     pub run_time: Duration,
 }
@@ -96,7 +96,7 @@
         self.longest_run = self.longest_run.max(failure.run_time);
         if self
             .last_round_at
-            .is_some_and(|started| failure.began <= started)
+            .is_some_and(|started| failure.created_at <= started)
         {
             return None;
         }
--- a/src/coordination/shard/health/tests.rs
+++ b/src/coordination/shard/health/tests.rs
@@ -14,7 +14,7 @@
         let failure = FailedAttempt {
             job: &job,
             machine: &machine,
-            began: now,
+            created_at: now,
             run_time: Duration::ZERO,
         };
         now += Duration::from_secs(1);
--- a/src/coordination/shard/machines/attempt.rs
+++ b/src/coordination/shard/machines/attempt.rs
@@ -163,10 +163,10 @@
         let Some(since) = self.running_since else {
             return Duration::ZERO;
         };
-        let ran = now.saturating_duration_since(since);
+        let run_time = now.saturating_duration_since(since);
         match &self.spec {
-            Some(spec) if spec.checkpoint_s > 0.0 => ran.min(spec.save_time()),
-            _ => ran,
+            Some(spec) if spec.checkpoint_s > 0.0 => run_time.min(spec.save_time()),
+            _ => run_time,
         }
     }
 
--- a/src/coordination/shard/machines/resources.rs
+++ b/src/coordination/shard/machines/resources.rs
@@ -22,11 +22,11 @@
 
 impl Resources {
     /// The resources of an empty machine of this type.
-    pub fn of_machine_type(kind: &MachineType) -> Self {
+    pub fn of_machine_type(machine_type: &MachineType) -> Self {
         Self {
-            cores: kind.cores,
-            accelerators: kind.accelerators,
-            mem_gb: kind.mem_gb,
+            cores: machine_type.cores,
+            accelerators: machine_type.accelerators,
+            mem_gb: machine_type.mem_gb,
         }
     }
 
--- a/src/coordination/shard/reconciler/outcomes.rs
+++ b/src/coordination/shard/reconciler/outcomes.rs
@@ -62,8 +62,8 @@
                 let failure = FailedAttempt {
                     job: &task.job,
                     machine: machine_id,
-                    began: summary.created_at,
-                    run_time: summary.ran.unwrap_or_default(),
+                    created_at: summary.created_at,
+                    run_time: summary.run_time.unwrap_or_default(),
                 };
                 self.attempt_failed(&failure, now);
             }
@@ -90,8 +90,8 @@
             self.complete_gang(&task.job);
         } else {
             job.complete(task.index);
-            if let Some(ran) = summary.ran.filter(|_| summary.is_comparable) {
-                job.run_times.add(ran);
+            if let Some(run_time) = summary.run_time.filter(|_| summary.is_comparable) {
+                job.run_times.add(run_time);
             }
         }
         self.task_succeeded(&task.job);
@@ -107,7 +107,7 @@
     /// See [`Attempt::created_at`].
     created_at: Instant,
     /// Time since a heartbeat first listed the attempt as running; None if none did.
-    ran: Option<Duration>,
+    run_time: Option<Duration>,
 }
 
 impl AttemptSummary {
@@ -117,7 +117,7 @@
             was_stopped: attempt.stop_grace().is_some(),
             is_comparable: !attempt.is_overdue && !attempt.is_adopted,
             created_at: attempt.created_at,
-            ran: running_since.map(|since| now.saturating_duration_since(since)),
+            run_time: running_since.map(|since| now.saturating_duration_since(since)),
         }
     }
 }
--- a/src/coordination/shard/reconciler/preemption_notice.rs
+++ b/src/coordination/shard/reconciler/preemption_notice.rs
@@ -78,8 +78,8 @@
 
 /// Whether a batch task is not expected to complete before its machine is preempted.
 fn is_unfinishable(attempt: &Attempt, spec: &JobSpec, left: Duration, now: Instant) -> bool {
-    let ran = attempt
+    let run_time = attempt
         .running_since
         .map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
-    spec.duration().saturating_sub(ran) > left * UNFINISHABLE_FACTOR
+    spec.duration().saturating_sub(run_time) > left * UNFINISHABLE_FACTOR
 }
