--- a/src/coordination/shard/autoscaler/backoff/tests.rs
+++ b/src/coordination/shard/autoscaler/backoff/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// Found at full size: with eighteen kinds of which the cheap ones were used up,
-/// requesting these again every 15 s left no time to request the others.
+/// Found at full size with eighteen kinds of machines: the cheap kinds had no capacity left, and
+/// requesting them again every 15 s left no time to request the other kinds.
 #[test]
-fn the_pause_doubles_with_each_shortage_in_a_row() {
+fn the_backoff_doubles_with_each_consecutive_shortage() {
     let start = Instant::now();
-    let pause = Duration::from_secs(15);
+    let first_backoff = Duration::from_secs(15);
     let kind = MachineKind {
         machine_type: "m8".into(),
         zone: "north".into(),
@@ -14,16 +14,16 @@
     let mut backoff = CapacityBackoff::default();
     assert!(!backoff.is_active(&kind, start));
     let mut now = start;
-    for times in [1, 2, 4, 8, 8] {
-        backoff.record_shortage(kind.clone(), pause, now);
-        now += pause * times;
+    for factor in [1, 2, 4, 8, 8] {
+        backoff.record_shortage(kind.clone(), first_backoff, now);
+        now += first_backoff * factor;
         assert!(backoff.is_active(&kind, now - Duration::from_secs(1)));
         assert!(!backoff.is_active(&kind, now));
     }
     backoff.reset(&kind);
-    backoff.record_shortage(kind.clone(), pause, now);
+    backoff.record_shortage(kind.clone(), first_backoff, now);
     assert!(
-        !backoff.is_active(&kind, now + pause),
-        "machines were available since"
+        !backoff.is_active(&kind, now + first_backoff),
+        "the first shortage after a reset does not double the backoff"
     );
 }
--- a/src/coordination/shard/autoscaler/rentals/tests.rs
+++ b/src/coordination/shard/autoscaler/rentals/tests.rs
@@ -44,11 +44,15 @@
     assert_eq!(
         rentals.take_due_retries(much_later),
         [],
-        "it may not be recorded yet"
+        "the rental may not be recorded yet"
     );
     rentals.schedule_retry(&rental.request, now);
     assert_eq!(rentals.take_due_retries(now), []);
     let retry = now + CLOUD_RETRY_DELAY;
     assert_eq!(rentals.take_due_retries(retry), [rental]);
-    assert_eq!(rentals.take_due_retries(much_later), [], "it is under way");
+    assert_eq!(
+        rentals.take_due_retries(much_later),
+        [],
+        "the retry is in flight"
+    );
 }
--- a/src/coordination/shard/delegations/tests.rs
+++ b/src/coordination/shard/delegations/tests.rs
@@ -4,7 +4,7 @@
 use crate::coordination::worker_leases::DELEGATION_TIME;
 
 #[test]
-fn a_delegate_is_listed_until_its_last_answer_may_have_left() {
+fn a_revoked_delegation_stays_active_until_its_delegate_can_send_no_more_answers() {
     let start = Instant::now();
     let mut delegations = Delegations::default();
     delegations.grant("beta", start);
@@ -14,7 +14,10 @@
     let revoked = start + Duration::from_secs(30);
     delegations.revocation_written("beta", revoked);
     assert!(!delegations.remove_ended(revoked + DELEGATION_TIME));
-    assert!(delegations.has_active(), "its clock may run slow");
+    assert!(
+        delegations.has_active(),
+        "the clock of the delegate may run slow"
+    );
     assert!(delegations.remove_ended(revoked + DELEGATION_TIME * 2));
     assert!(!delegations.has_active());
     assert_eq!(delegations.active_duration(revoked), None);
--- a/src/coordination/shard/health/tests.rs
+++ b/src/coordination/shard/health/tests.rs
@@ -4,7 +4,7 @@
 use crate::protocol::{JobId, MachineId};
 
 #[test]
-fn the_pause_between_rounds_of_failures_doubles_up_to_its_bound() {
+fn the_pause_between_rounds_of_failures_doubles_up_to_a_maximum() {
     let job: JobId = "run-1".into();
     let machine: MachineId = "vm-1".into();
     let mut history = FailureHistory::default();
@@ -22,11 +22,11 @@
         assert_eq!(
             history.note_failure(&failure, now),
             None,
-            "an attempt of the same round"
+            "this attempt belongs to the same round"
         );
         now += Duration::from_secs(1);
     }
-    assert_eq!(pauses[0], None, "the first retry is at once");
+    assert_eq!(pauses[0], None, "the first retry follows immediately");
     for (n, pause) in pauses[1..].iter().enumerate() {
         let pause = pause.expect("a pause").as_secs_f64();
         let without_jitter = 2_f64.powi(n as i32).min(60.0);
@@ -37,17 +37,20 @@
     assert!(history.is_clear() && !history.is_crash_looping());
     assert!(
         history.has_failed_on(&machine),
-        "it is avoided all the same"
+        "the job still avoids the machine"
     );
 }
 
 #[test]
-fn unexplained_failures_quarantine_a_machine_for_a_while_and_sound_jobs_prove_its_fault() {
+fn unexplained_failures_quarantine_a_machine_for_a_while_and_sound_jobs_prove_it_faulty() {
     let now = Instant::now();
     let [first, second]: [JobId; 2] = ["run-1".into(), "run-2".into()];
     let mut evidence = FailureEvidence::default();
     evidence.note_failure(&first, false, now);
-    assert!(!evidence.is_quarantined(now), "one job may be at fault");
+    assert!(
+        !evidence.is_quarantined(now),
+        "the job itself may be at fault"
+    );
     evidence.note_failure(&second, false, now);
     assert!(evidence.is_quarantined(now));
     assert!(!evidence.is_quarantined(now + Duration::from_secs(61)));
@@ -55,5 +58,8 @@
     assert!(!evidence.proves_fault());
     evidence.mark_job_sound(&second);
     assert!(evidence.proves_fault());
-    assert!(!evidence.is_quarantined(now), "nothing is unexplained");
+    assert!(
+        !evidence.is_quarantined(now),
+        "no failure is unexplained any more"
+    );
 }
--- a/src/coordination/shard/machines/tests.rs
+++ b/src/coordination/shard/machines/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-fn number(agent_epoch: u64, sequence: u64) -> HeartbeatNumber {
+fn heartbeat_number(agent_epoch: u64, sequence: u64) -> HeartbeatNumber {
     HeartbeatNumber {
         agent_epoch,
         sequence,
@@ -12,44 +12,59 @@
 }
 
 #[test]
-fn copies_and_overtaken_heartbeats_are_outdated() {
+fn duplicate_and_overtaken_heartbeats_are_outdated() {
     let mut epochs = AgentEpochs::default();
-    assert_eq!(epochs.advance(number(2, 7)), EpochChange::First);
-    assert!(epochs.is_outdated(number(2, 7)), "a copy");
-    assert!(epochs.is_outdated(number(2, 6)), "overtaken");
-    assert!(epochs.is_outdated(number(1, 9)), "of an earlier epoch");
-    assert!(!epochs.is_outdated(number(2, 8)));
-    assert_eq!(epochs.advance(number(2, 8)), EpochChange::Unchanged);
+    assert_eq!(epochs.advance(heartbeat_number(2, 7)), EpochChange::First);
+    assert!(epochs.is_outdated(heartbeat_number(2, 7)), "a duplicate");
+    assert!(
+        epochs.is_outdated(heartbeat_number(2, 6)),
+        "overtaken by a later heartbeat"
+    );
+    assert!(
+        epochs.is_outdated(heartbeat_number(1, 9)),
+        "of an earlier epoch"
+    );
+    assert!(!epochs.is_outdated(heartbeat_number(2, 8)));
+    assert_eq!(
+        epochs.advance(heartbeat_number(2, 8)),
+        EpochChange::Unchanged
+    );
 }
 
 #[test]
-fn a_new_agent_epoch_ends_all_before_it() {
+fn a_new_agent_epoch_ends_all_earlier_epochs() {
     let mut epochs = AgentEpochs::default();
-    epochs.advance(number(2, 7));
-    assert_eq!(epochs.advance(number(5, 1)), EpochChange::Restarted);
+    epochs.advance(heartbeat_number(2, 7));
+    assert_eq!(
+        epochs.advance(heartbeat_number(5, 1)),
+        EpochChange::Restarted
+    );
     assert_eq!(epochs.ended(), 4);
     assert!(epochs.is_live());
     epochs.end_current();
     assert!(!epochs.is_live());
-    assert!(epochs.is_outdated(number(5, 2)), "its lease has expired");
-    assert!(!epochs.is_outdated(number(6, 1)));
+    assert!(
+        epochs.is_outdated(heartbeat_number(5, 2)),
+        "its lease has expired"
+    );
+    assert!(!epochs.is_outdated(heartbeat_number(6, 1)));
 }
 
 #[test]
-fn a_late_outcome_leaves_the_outstanding_batch() {
+fn the_outcome_of_an_earlier_batch_does_not_complete_the_outstanding_one() {
     let now = Instant::now();
     let mut channel = CommandChannel::default();
-    channel.note_sent(1, number(1, 1));
-    channel.note_sent(2, number(1, 2));
+    channel.note_sent(1, heartbeat_number(1, 1));
+    channel.note_sent(2, heartbeat_number(1, 2));
     assert!(channel.complete(1).is_none());
     assert!(!channel.can_send(now));
-    let batch = channel.complete(2).expect("it is outstanding");
-    assert_eq!(batch.newest_heartbeat_when_sent, number(1, 2));
+    let batch = channel.complete(2).expect("batch 2 is outstanding");
+    assert_eq!(batch.newest_heartbeat_when_sent, heartbeat_number(1, 2));
     assert!(channel.can_send(now));
 }
 
 #[test]
-fn a_failed_batch_is_sent_again_after_the_pause() {
+fn a_failed_batch_may_be_sent_again_after_the_retry_delay() {
     let now = Instant::now();
     let retry_at = now + Duration::from_secs(1);
     let mut channel = CommandChannel::default();
@@ -60,13 +75,16 @@
     assert!(channel.can_send(retry_at));
     channel.note_heartbeat();
     assert_eq!(channel.unanswered_batches(), 0);
-    assert!(channel.is_unreachable(), "only an answer shows a path");
+    assert!(
+        channel.is_unreachable(),
+        "only an answer to a batch shows that the machine is reachable"
+    );
     channel.note_answer();
     assert!(!channel.is_unreachable());
 }
 
 #[test]
-fn a_lease_bound_never_goes_back() {
+fn a_renewal_never_moves_the_lease_expiry_back() {
     let now = Instant::now();
     let later = now + Duration::from_secs(20);
     let mut lease = WorkerLease::new(now, later);
@@ -82,7 +100,11 @@
     let mut attempt = Attempt::new(None, Phase::Running, now);
     attempt.request_stop(Duration::from_secs(30));
     attempt.note_stop_executed(Duration::from_secs(30));
-    assert_eq!(attempt.stop_to_send(), None, "it is executed");
+    assert_eq!(
+        attempt.stop_to_send(),
+        None,
+        "the worker has executed the stop"
+    );
     attempt.request_stop(Duration::from_secs(60));
     assert_eq!(attempt.stop_grace(), Some(Duration::from_secs(30)));
     attempt.request_stop(Duration::ZERO);
@@ -95,7 +117,10 @@
     let mut machine = Machine::new("vm-1".into(), now, now);
     assert!(machine.begin_deletion());
     assert!(!machine.begin_deletion());
-    assert!(!machine.request_admission(), "it gets no tasks any more");
+    assert!(
+        !machine.request_admission(),
+        "a machine that is being deleted gets no tasks"
+    );
     let retry_at = now + Duration::from_secs(1);
     machine.retry_deletion_at(retry_at);
     assert!(machine.is_deleting());
--- a/src/coordination/shard/persistence/tests.rs
+++ b/src/coordination/shard/persistence/tests.rs
@@ -21,7 +21,7 @@
         .collect()
 }
 
-/// Takes the waiting chunks as if the store had written each at once.
+/// Takes all waiting chunks and marks each as stored; returns their keys in the order of writing.
 fn store_all(rounds: &mut SnapshotRounds) -> Vec<String> {
     let mut keys = Vec::new();
     while let Some(chunk) = rounds.take_chunk() {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_bucket_starts_with_a_second_s_worth_and_pays_its_debt_off() {
+fn a_token_bucket_starts_with_the_tokens_of_one_second_and_pays_off_its_debt() {
     let start = Instant::now();
     let mut bucket = TokenBucket::default();
     bucket.refill(2.0, 4.0, start);
@@ -47,28 +47,31 @@
     bucket.refill(2.0, 4.0, start + Duration::from_secs(1));
     assert_eq!(bucket.available(), 1.0);
     bucket.refill(2.0, 4.0, start + Duration::from_secs(60));
-    assert_eq!(bucket.available(), 4.0, "no more than its capacity");
+    assert_eq!(bucket.available(), 4.0, "limited by the capacity");
 }
 
 #[test]
-fn a_round_writes_what_changed_and_ends_when_all_is_stored() {
+fn a_round_writes_the_changed_chunks_and_ends_when_all_are_stored() {
     let start = Instant::now();
     let mut rounds = SnapshotRounds::recovered(chunks(&[("a", 1), ("b", 2), ("c", 3)]));
-    assert!(rounds.is_due(INTERVAL, start), "the first is due at once");
+    assert!(
+        rounds.is_due(INTERVAL, start),
+        "the first round is due immediately"
+    );
     rounds.begin(&chunks(&[("a", 1), ("b", 5)]), Vec::new(), start);
-    assert!(!rounds.is_due(INTERVAL, start + INTERVAL), "under way");
-    assert_eq!(rounds.complete(), None, "chunks wait");
+    assert!(!rounds.is_due(INTERVAL, start + INTERVAL), "in progress");
+    assert_eq!(rounds.complete(), None, "two chunks are not stored yet");
     assert_eq!(store_all(&mut rounds), ["b", "c"]);
     assert_eq!(rounds.complete(), Some(Vec::new()));
-    assert_eq!(rounds.complete(), None, "it has ended");
+    assert_eq!(rounds.complete(), None, "the round has ended already");
     assert!(!rounds.is_due(INTERVAL, start + INTERVAL / 2));
     assert!(rounds.is_due(INTERVAL, start + INTERVAL));
     rounds.begin(&chunks(&[("a", 1), ("b", 5)]), Vec::new(), start + INTERVAL);
-    assert_eq!(rounds.waiting_chunks(), 0, "nothing has changed");
+    assert_eq!(rounds.waiting_chunks(), 0, "no chunk has changed");
 }
 
 #[test]
-fn chunks_are_written_backwards_where_there_are_more_of_them() {
+fn chunks_are_written_in_reverse_order_if_there_are_more_than_before() {
     let mut rounds = SnapshotRounds::recovered(chunks(&[("a", 1)]));
     let more = chunks(&[("a", 2), ("b", 2), ("c", 2)]);
     rounds.begin(&more, Vec::new(), Instant::now());
@@ -103,7 +106,7 @@
     assert!(rounds.is_due(INTERVAL, at(1)));
 }
 
-/// Eight mutations a transaction, and two of records and four of chunks a second.
+/// Eight mutations per transaction; two record writes and four snapshot writes per second.
 const LIMITS: WriteLimits = WriteLimits {
     txn_ops: 8,
     value_bytes: 8192,
@@ -120,7 +123,7 @@
     }
 }
 
-/// The next transaction at this moment; none if nothing is sent.
+/// Refills the budgets at `now` and returns the next transaction, or None if none may be sent.
 fn next_write(queue: &mut WriteQueue, now: Instant) -> Option<ShardWrite> {
     queue.refill_budgets(&LIMITS, now);
     match queue.next(&LIMITS)? {
@@ -153,37 +156,45 @@
     let at = |seconds| start + Duration::from_secs(seconds);
     let mut queue = WriteQueue::default();
     push_rentals(&mut queue, 0..7);
-    // Seven records and the sequence number, of which two were saved up.
+    // Seven records and the sequence number spend eight tokens, of which two were available.
     let write = next_write(&mut queue, start).expect("a transaction");
     queue.write_applied(&write);
     push_rentals(&mut queue, 7..8);
     assert_eq!(next_write(&mut queue, at(1)), None);
     push_rentals(&mut queue, 8..10);
-    assert_eq!(next_write(&mut queue, at(3)), None, "the debt is just paid");
+    assert_eq!(
+        next_write(&mut queue, at(3)),
+        None,
+        "the debt is paid off, but no token is available"
+    );
     let gathered = next_write(&mut queue, at(4)).expect("a transaction");
     assert_eq!(gathered.mutations.len(), 3);
 }
 
 #[test]
-fn chunks_go_along_with_records_or_wait_for_the_budget_of_a_full_transaction() {
+fn chunks_are_written_with_records_or_wait_for_the_budget_of_a_full_transaction() {
     let start = Instant::now();
     let mut queue = WriteQueue::default();
-    let few = chunks(&[("a", 1), ("b", 1)]);
-    queue.begin_snapshot_round(&few, Vec::new(), start);
-    let alone = next_write(&mut queue, start).expect("the budget allows both");
-    assert_eq!(alone.mutations.len(), 2);
-    queue.write_applied(&alone);
+    let two_chunks = chunks(&[("a", 1), ("b", 1)]);
+    queue.begin_snapshot_round(&two_chunks, Vec::new(), start);
+    let chunks_only = next_write(&mut queue, start).expect("the budget allows both");
+    assert_eq!(chunks_only.mutations.len(), 2);
+    queue.write_applied(&chunks_only);
     assert_eq!(
         next_write(&mut queue, start),
         None,
-        "the round has ended here"
+        "the round ends, and no transaction is sent"
+    );
+    let three_chunks = chunks(&[("a", 2), ("b", 2), ("c", 2)]);
+    queue.begin_snapshot_round(&three_chunks, Vec::new(), start);
+    assert_eq!(
+        next_write(&mut queue, start),
+        None,
+        "one snapshot token is left"
     );
-    let more = chunks(&[("a", 2), ("b", 2), ("c", 2)]);
-    queue.begin_snapshot_round(&more, Vec::new(), start);
-    assert_eq!(next_write(&mut queue, start), None, "one token is left");
     push_rentals(&mut queue, 0..1);
-    let along = next_write(&mut queue, start).expect("a record and a chunk");
-    let purposes = &along.purposes[..];
+    let mixed = next_write(&mut queue, start).expect("a record and a chunk");
+    let purposes = &mixed.purposes[..];
     assert!(
         matches!(
             purposes,
@@ -197,7 +208,7 @@
 }
 
 #[test]
-fn a_refused_transaction_queues_its_records_and_roster_pages_again_but_not_its_chunks() {
+fn a_refused_transaction_requeues_its_records_and_roster_pages_but_not_its_chunks() {
     let now = Instant::now();
     let machine: MachineId = "vm-1".into();
     let record = RosterRecord {
@@ -215,9 +226,9 @@
     let refused = next_write(&mut queue, now).expect("a transaction");
     assert_eq!(refused.mutations.len(), 3);
     queue.write_refused(&refused);
-    assert!(queue.snapshot_due(&LIMITS, now), "a round starts anew");
-    let again = next_write(&mut queue, now + INTERVAL * 10).expect("a transaction");
-    assert_eq!(again.mutations[..], refused.mutations[..2]);
-    assert_eq!(again.purposes[0], admit);
-    assert_eq!(again.purposes.len(), 2);
+    assert!(queue.snapshot_due(&LIMITS, now), "a new round is due");
+    let retried = next_write(&mut queue, now + INTERVAL * 10).expect("a transaction");
+    assert_eq!(retried.mutations[..], refused.mutations[..2]);
+    assert_eq!(retried.purposes[0], admit);
+    assert_eq!(retried.purposes.len(), 2);
 }
--- a/src/coordination/shard/scheduler/tests.rs
+++ b/src/coordination/shard/scheduler/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the scheduler's rules, each on its own.
+//! Unit tests of zone constraints, quota usage and the queue order.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_job_without_zone_rule_goes_anywhere() {
+fn a_job_without_a_zone_rule_may_use_every_zone() {
     let mut zones = ZoneConstraint::new(&spec("red", 1.0, 2), BTreeMap::new());
     zones.add(&"north".into(), 2);
     assert!(zones.admits("north") && zones.admits("south"));
@@ -66,7 +66,7 @@
     assert_eq!(zones.remaining("south"), 3);
     zones.add(&"north".into(), 1);
     assert!(!zones.admits("north") && zones.admits("south"));
-    // More may exist than the rule allows, while machines are unreconciled.
+    // While machines are unreconciled, a zone may hold more tasks than the rule allows.
     let full = ZoneConstraint::new(&scattered(5), tasks(&[("north", 4)]));
     assert_eq!(full.remaining("north"), 0);
 }
@@ -79,7 +79,7 @@
     assert!(!usage.all_within_limit(&policy, &red, 3));
     usage.add(&red, 2);
     assert!(!usage.within_limit(&policy, &red));
-    // A limit of zero is none, but an unknown team may run nothing.
+    // A limit of zero means no limit, but an unknown team may run nothing.
     assert!(usage.all_within_limit(&policy, &spec("blue", 8.0, 1), 100));
     assert!(!usage.within_limit(&policy, &spec("unknown", 1.0, 1)));
 }
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn what_a_team_runs_beyond_its_guarantee_is_not_its_last_guaranteed_task() {
+fn a_task_is_beyond_the_guarantee_only_if_the_other_tasks_of_the_team_use_all_of_it() {
     let (policy, mut usage) = (policy(), Usage::default());
     let red = spec("red", 4.0, 3);
     usage.add(&red, 2);
@@ -106,17 +106,17 @@
 }
 
 #[test]
-fn jobs_go_by_the_next_deadline_that_they_can_meet() {
+fn jobs_are_ordered_by_the_next_deadline_that_they_can_still_meet() {
     let policy = policy();
     let key = |job: &Job| QueueKey::for_job(job, &policy, 20_000);
     let soon = job("soon", 0, Some(30.0));
     let later = job("later", 0, Some(60.0));
     let missed = job("missed", 0, Some(10.0));
-    let without = job("without", 0, None);
+    let without_deadline = job("without", 0, None);
     let newer = job("newer", 5, None);
     assert!(key(&soon) < key(&later));
-    assert!(key(&later) < key(&without));
-    assert!(key(&without) < key(&newer));
+    assert!(key(&later) < key(&without_deadline));
+    assert!(key(&without_deadline) < key(&newer));
     assert!(key(&newer) < key(&missed));
     assert_eq!(next_due(&soon, &policy, 30_000), Some(30_000));
     assert_eq!(next_due(&soon, &policy, 30_001), None);
--- a/src/storage/job_index/tests.rs
+++ b/src/storage/job_index/tests.rs
@@ -19,16 +19,16 @@
 }
 
 #[test]
-fn a_job_goes_from_open_to_finished_and_old_final_states_are_dropped() {
+fn a_job_changes_from_open_to_finished_and_old_final_states_are_dropped() {
     let job_index = JobIndex::new(Duration::ZERO);
     assert_eq!(job_index.status("run-1"), JobStatus::Unknown);
-    let open = keys::job("run-1");
-    job_index.apply(vec![put(&open, json!({}))], 5);
+    let key = keys::job("run-1");
+    job_index.apply(vec![put(&key, json!({}))], 5);
     assert_eq!(job_index.status("run-1"), JobStatus::Open);
     assert_eq!(job_index.final_state("run-1"), None);
     job_index.apply(
         vec![WatchEvent::Delete {
-            key: open,
+            key,
             mod_revision: 6,
         }],
         6,
@@ -36,7 +36,7 @@
     assert_eq!(
         job_index.status("run-1"),
         JobStatus::Unknown,
-        "its record tells"
+        "only its final record tells how it ended"
     );
     job_index.state().record_final("run-1", done(3), 6);
     assert_eq!(job_index.status("run-1"), JobStatus::Finished(done(3)));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_reload_drops_what_is_not_open_any_more() {
+fn a_reload_drops_jobs_that_are_not_open_any_more() {
     let job_index = JobIndex::new(Duration::ZERO);
     job_index.apply(vec![put(&keys::job("run-1"), json!({}))], 5);
     job_index.state().load(&[], 9);
--- a/src/storage/kv_client/tests.rs
+++ b/src/storage/kv_client/tests.rs
@@ -5,10 +5,10 @@
 use crate::clock::SystemClock;
 use crate::transport::client::MAX_ANSWER_BYTES;
 
-/// A watch that has missed more than an answer may hold would ask for the same
-/// for ever: the keys are read again instead, as after a 410.
+/// If a watch has missed more changes than fit into one answer, asking again would fail forever.
+/// The client reports them as compacted, as for a 410, so that the keys are listed again instead.
 #[tokio::test]
-async fn what_is_too_much_to_follow_is_read_again_in_pages() {
+async fn a_watch_answer_that_is_too_large_is_reported_as_compacted() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let addr = listener.local_addr().expect("an address");
     tokio::spawn(async move {
@@ -22,20 +22,20 @@
         let _ = stream.write_all(&vec![b' '; MAX_ANSWER_BYTES + 1]).await;
     });
     let client = KvClient::new(addr, Arc::new(SystemClock));
-    let looked = client.catch_up("j/", 0, Duration::from_secs(5)).await;
+    let caught_up = client.catch_up("j/", 0, Duration::from_secs(5)).await;
     assert!(
-        matches!(looked, Err(KvError::Compacted { .. })),
-        "{looked:?}"
+        matches!(caught_up, Err(KvError::Compacted { .. })),
+        "{caught_up:?}"
     );
     let health = client.health();
     assert!(
         health.last_served.is_some() && health.last_failed.is_none(),
-        "the service did answer"
+        "an answer that is too large still counts as served"
     );
 }
 
 #[test]
-fn requests_have_the_paths_of_the_store_s_interface() {
+fn requests_have_the_paths_of_the_key_value_store_interface() {
     for (request, path) in [
         (
             KvRequest::Get {
--- a/src/storage/rate_limiter/tests.rs
+++ b/src/storage/rate_limiter/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_burst_passes_then_permits_are_delayed_and_too_long_waits_are_refused() {
+fn after_a_burst_permits_are_delayed_and_too_long_waits_are_refused() {
     let limiter = RateLimiter::new(10.0, Duration::from_millis(300));
     let start = Instant::now();
     let mut now = start;
--- a/src/storage/roster/tests.rs
+++ b/src/storage/roster/tests.rs
@@ -10,7 +10,7 @@
     }
 }
 
-fn apply(roster: &mut Roster, stored: &mut BTreeMap<String, Value>) -> usize {
+fn apply_mutations(roster: &mut Roster, stored: &mut BTreeMap<String, Value>) -> usize {
     let mut writes = 0;
     while let Some(change) = roster.next_mutation(8192) {
         writes += 1;
@@ -22,9 +22,9 @@
     writes
 }
 
-/// Found by reading, before the limits were lowered: a page that holds more than
-/// a value may is divided when it is written again, and no machine is missing
-/// from the store at any moment, nor twice on the roster of who loads it then.
+/// Found by reading the code, before the limits were lowered. A page larger than the value limit
+/// is split when it is written again. After every write the stored pages must contain each
+/// machine, and a controller that loads them must have each machine on one page only.
 #[test]
 fn a_page_larger_than_a_lowered_limit_is_split_without_losing_a_machine() {
     let mut roster = Roster::default();
@@ -63,7 +63,11 @@
             .values()
             .map(|page| page.machines.len())
             .sum();
-        assert_eq!(entries, recovered.page_of.len(), "each on one page");
+        assert_eq!(
+            entries,
+            recovered.page_of.len(),
+            "each machine is on one page"
+        );
         assert!(recovered.page_of.len() >= 139);
     }
     assert!(writes > 5, "{writes} writes");
@@ -77,7 +81,7 @@
     for n in 0..1000 {
         roster.put(&format!("vm-{n:06}").into(), record(n), 8192);
     }
-    let pages = apply(&mut roster, &mut stored);
+    let pages = apply_mutations(&mut roster, &mut stored);
     assert!(pages < 20, "{pages} pages");
     assert!(stored.values().all(|page| page.to_string().len() <= 8192));
     let read: usize = stored
@@ -85,26 +89,26 @@
         .map(|page| decode_page(page).expect("a page").len())
         .sum();
     assert_eq!(read, 1000);
-    // One machine's end costs one write; the room is used again.
+    // Removing a machine takes one write, and the next machine uses the free space.
     roster.remove(&"vm-000500".into());
-    assert_eq!(apply(&mut roster, &mut stored), 1);
+    assert_eq!(apply_mutations(&mut roster, &mut stored), 1);
     roster.put(&"vm-001000".into(), record(1), 8192);
-    assert_eq!(apply(&mut roster, &mut stored), 1);
+    assert_eq!(apply_mutations(&mut roster, &mut stored), 1);
     assert_eq!(stored.len(), pages);
     for n in 0..=1000 {
         roster.remove(&format!("vm-{n:06}").into());
     }
-    apply(&mut roster, &mut stored);
+    apply_mutations(&mut roster, &mut stored);
     assert!(stored.is_empty());
 }
 
-/// Found on days that ended with many spot machines given back at once: what tells that
-/// a machine is a spot one and that it is returned was not counted whole, and the state
-/// service refused the page.
+/// Found on days that ended with the deletion of many spot machines at once: the size of a page
+/// did not fully count the fields that mark an entry as spot and as deleting, and the key-value
+/// store refused the page.
 #[test]
-fn a_page_of_spot_machines_that_are_all_returned_fits_the_limit() {
+fn a_page_of_spot_machines_that_are_all_being_deleted_fits_the_value_limit() {
     let mut roster = Roster::default();
-    let returned = |n: u32| RosterRecord {
+    let deleting = |n: u32| RosterRecord {
         spot: true,
         deleting: true,
         ..record(n)
@@ -114,7 +118,7 @@
     }
     while roster.next_mutation(2048).is_some() {}
     for n in 0..200 {
-        roster.put(&format!("vm-{n:06}").into(), returned(n), 2048);
+        roster.put(&format!("vm-{n:06}").into(), deleting(n), 2048);
     }
     let mut pages = 0;
     while let Some(change) = roster.next_mutation(2048) {
--- a/src/storage/snapshot/tests.rs
+++ b/src/storage/snapshot/tests.rs
@@ -12,16 +12,16 @@
             machine: "vm-1".into(),
         })
         .collect();
-    for most in [8192, 2048] {
+    for value_bytes in [8192, 2048] {
         let row = SnapshotRow {
             job: "run-1",
             done: &done,
             placements: placements.clone(),
         };
-        let chunks = encode([row], most);
+        let chunks = encode([row], value_bytes);
         assert!(chunks.len() > 10);
         for value in chunks.values() {
-            assert!(value.to_string().len() <= most);
+            assert!(value.to_string().len() <= value_bytes);
         }
         let read = decode(chunks.values());
         assert_eq!(read["run-1"].done, done);
--- a/src/storage/tests.rs
+++ b/src/storage/tests.rs
@@ -1,5 +1,5 @@
-//! The bytes of the stored keys and records, as the versions in production write and read them.
-//! Those of most records are compared in `tests/versions.rs` and `tests/upgrade/frames.rs`.
+//! Checks that stored keys and records keep the bytes that the versions in production write and
+//! read. `tests/versions.rs` and `tests/upgrade/frames.rs` compare the bytes of most records.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -41,7 +41,7 @@
     ),
 ];
 
-/// Reads a record and checks that it is written with the bytes that were read.
+/// Decodes a stored record and checks that encoding it yields the same bytes; returns the record.
 fn round_trip<T: Serialize + DeserializeOwned>(stored: &str) -> T {
     let record: T = serde_json::from_str(stored).expect("a record");
     assert_eq!(serde_json::to_string(&record).expect("JSON"), stored);
@@ -81,12 +81,14 @@
     }
 }
 
-fn stored(chunks: impl IntoIterator<Item = (String, serde_json::Value)>) -> Vec<(String, String)> {
+fn to_texts(
+    chunks: impl IntoIterator<Item = (String, serde_json::Value)>,
+) -> Vec<(String, String)> {
     let text = |(key, value): (String, serde_json::Value)| (key, value.to_string());
     chunks.into_iter().map(text).collect()
 }
 
-fn literal(chunks: [(&str, &str); 3]) -> Vec<(String, String)> {
+fn to_owned_pairs(chunks: [(&str, &str); 3]) -> Vec<(String, String)> {
     chunks.map(|(key, value)| (key.into(), value.into())).into()
 }
 
@@ -108,7 +110,7 @@
         row("run-000008", &done, &[]),
     ];
     let chunks = snapshot::encode(rows, 8192);
-    assert_eq!(stored(chunks.clone()), literal(SNAPSHOT));
+    assert_eq!(to_texts(chunks.clone()), to_owned_pairs(SNAPSHOT));
     let read = snapshot::decode(chunks.values());
     assert_eq!(read["run-000006"].done, done);
     assert_eq!(read["run-000006"].placements[&9], "vm-2");
@@ -122,7 +124,7 @@
             .collect(),
     };
     let split = snapshot::encode([row], 512);
-    assert_eq!(stored(split), literal(SPLIT_SNAPSHOT));
+    assert_eq!(to_texts(split), to_owned_pairs(SPLIT_SNAPSHOT));
 }
 
 #[test]
