--- a/src/coordination/shard/tests/gangs/failover.rs
+++ b/src/coordination/shard/tests/gangs/failover.rs
@@ -1,15 +1,15 @@
-//! Gangs that a new leader recovers.
+//! Tests of gangs that a new leader recovers.
 
 use std::time::Duration;
 
 use super::super::fixtures::{ended_task, record, roster_machine, running_task, task_status};
 use super::super::scripted_shard::ScriptedShard;
-use super::{gang, second};
+use super::{gang, seconds};
 use crate::coordination::shard::{CommandOutcome, Phase, RecoveredState, UnfinishedJob};
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState};
 
-/// A new leader finds half of a gang. The other half may run on an unreconciled machine: it is
-/// neither replaced, nor is a second attempt started beside the first.
+/// A new leader finds one of a gang's two tasks. While the other task may run on an unreconciled
+/// machine, it is not replaced, and no second attempt starts beside the first.
 #[test]
 fn a_new_leader_recovers_a_gang_and_starts_no_second_attempt() {
     for started in [false, true] {
@@ -20,40 +20,44 @@
             false => TaskState::Waiting,
         };
         script.heartbeat("vm-1", vec![task_status("run-1/0", 7, state, None)]);
-        script.advance(second(1));
+        script.advance(seconds(1));
         assert!(script.launches().is_empty(), "run-1/1 may be on vm-2");
-        assert_eq!(stop_of_first(&script, "vm-1"), None);
-        // It is not on vm-2 either.
+        assert_eq!(first_grace_period(&script, "vm-1"), None);
+        // The heartbeat of vm-2 shows that run-1/1 does not run there.
         script.heartbeat("vm-2", Vec::new());
         script.batches();
-        script.advance(second(1));
-        let stop = stop_of_first(&script, "vm-1");
-        let again = script.shard.jobs()["run-1"].live().len();
+        script.advance(seconds(1));
+        let grace_period = first_grace_period(&script, "vm-1");
+        let live_tasks = script.shard.jobs()["run-1"].live().len();
         if started {
             assert_eq!(
-                (stop, again),
+                (grace_period, live_tasks),
                 (Some(Duration::ZERO), 1),
                 "the whole attempt ends"
             );
         } else {
-            assert_eq!((stop, again), (None, 2), "the missing task is started");
-            let replacement = |id: &str| {
+            assert_eq!(
+                (grace_period, live_tasks),
+                (None, 2),
+                "the missing task is started"
+            );
+            let first_attempt = |id: &str| {
                 let first = script.machine(id).attempts.first_key_value();
                 first.map(|(id, attempt)| (id.number, attempt.phase))
             };
             assert_eq!(
-                replacement("vm-2").or(replacement("vm-3")),
+                first_attempt("vm-2").or(first_attempt("vm-3")),
                 Some((7, Phase::Launching)),
-                "under the same attempt number"
+                "the replacement has the same attempt number"
             );
         }
     }
 }
 
-/// Tasks of an earlier attempt count for the zone and the quota limit, and hold the next attempt
-/// back, also on a machine that is unreachable.
+/// Tasks of an earlier attempt count towards the zone rules and the quota limit, and delay the next
+/// attempt, even if their machine is unreachable.
 #[test]
-fn an_attempt_starts_only_when_no_task_of_an_earlier_one_can_run() {
+fn an_attempt_starts_only_when_no_task_of_an_earlier_attempt_can_run() {
     let mut script = ScriptedShard::new(RecoveredState {
         jobs: vec![UnfinishedJob::new("run-1", 5, record(gang(2, 8.0)))],
         roster: vec![roster_machine("vm-1")],
@@ -73,70 +77,73 @@
         for id in ["vm-2", "vm-3"] {
             script.heartbeat(id, Vec::new());
         }
-        script.advance(second(1));
+        script.advance(seconds(1));
     }
-    script.advance(second(1));
+    script.advance(seconds(1));
     assert_eq!(script.shard.jobs()["run-1"].live().len(), 2);
 }
 
-/// After a failover one task of a gang is listed, and listed as ended; the other may run on a
-/// machine that has sent no heartbeat yet.
+/// After a failover one task of a gang is listed as ended, and the other task may run on a machine
+/// that has sent no heartbeat yet.
 #[test]
 fn a_gang_with_a_task_on_an_unreconciled_machine_is_not_restarted() {
     let mut script = ScriptedShard::new(recovered_gang_of_two());
     script.add_machines(&["vm-3", "vm-4"]);
-    let line = |state, outcome| vec![task_status("run-1/0", 7, state, outcome)];
-    script.heartbeat("vm-1", line(TaskState::Waiting, None));
+    let statuses = |state, outcome| vec![task_status("run-1/0", 7, state, outcome)];
+    script.heartbeat("vm-1", statuses(TaskState::Waiting, None));
     let ended = Some(AttemptOutcome::Error);
-    script.heartbeat("vm-1", line(TaskState::Ended, ended));
+    script.heartbeat("vm-1", statuses(TaskState::Ended, ended));
     for _ in 0..3 {
-        script.advance(second(1));
+        script.advance(seconds(1));
         assert!(script.launches().is_empty(), "run-1/1 may be on vm-2");
         assert!(script.shard.jobs()["run-1"].live().is_empty());
     }
     script.heartbeat("vm-2", Vec::new());
-    script.advance(second(1));
+    script.advance(seconds(1));
     assert_eq!(script.shard.jobs()["run-1"].live().len(), 2);
 }
 
-/// A stop reaches one of two machines before the leader crashes. The new leader finds that that
-/// task has saved and ended, while the other machine is unreachable: nothing is started until the
-/// other's lease expires, and if it sends a heartbeat its task is stopped.
+/// A stop reaches one of two machines before the leader crashes. The new leader finds that the task
+/// on that machine has saved and ended, while the other machine is unreachable. Nothing is started
+/// until the other machine's lease expires; if it sends a heartbeat before, its task is stopped.
 #[test]
 fn a_stop_that_reached_half_of_a_gang_is_completed_by_the_next_leader() {
-    for reached in [false, true] {
+    for sends_heartbeat in [false, true] {
         let mut script = ScriptedShard::new(recovered_gang_of_two());
         script.add_machines(&["vm-3", "vm-4"]);
         let saved = ended_task("run-1/0", 7, AttemptOutcome::Stopped);
         script.heartbeat("vm-1", vec![saved]);
         for _ in 0..3 {
-            script.advance(second(1));
+            script.advance(seconds(1));
             assert!(script.launches().is_empty(), "run-1/1 may run on vm-2");
         }
-        if reached {
+        if sends_heartbeat {
             stop_the_other_task(&mut script);
         } else {
             expire_the_other_lease(&mut script);
         }
-        script.advance(second(1));
+        script.advance(seconds(1));
         let started = script.shard.jobs()["run-1"].live().len();
-        assert_eq!(started, 2, "reached: {reached}");
+        assert_eq!(started, 2, "sends heartbeat: {sends_heartbeat}");
     }
 }
 
-/// The other task is listed as running, is stopped, and ends.
+/// The machine of the other task lists it as running. The task is stopped, and ends.
 fn stop_the_other_task(script: &mut ScriptedShard) {
     let running = || vec![running_task("run-1/1", 7)];
     script.heartbeat("vm-2", running());
     let answer = script.heartbeat("vm-2", running());
-    let stops = |command: &Command| matches!(command, Command::Stop { .. });
-    assert!(answer.iter().any(stops), "it can't run alone");
+    let is_stop = |command: &Command| matches!(command, Command::Stop { .. });
+    assert!(
+        answer.iter().any(is_stop),
+        "the task can't run without the rest of its gang"
+    );
     assert!(script.launches().is_empty());
     let ended = ended_task("run-1/1", 7, AttemptOutcome::GangPeerLost);
     script.heartbeat("vm-2", vec![ended]);
 }
 
-/// The machine of the other task sends nothing until its lease expires.
+/// Lets time pass until the lease of the other task's machine expires without a heartbeat of it.
 fn expire_the_other_lease(script: &mut ScriptedShard) {
     let expiry = script.machine("vm-2").lease.expires_at();
     while script.now <= expiry {
@@ -144,11 +151,11 @@
             script.heartbeat(id, Vec::new());
         }
         assert!(script.shard.jobs()["run-1"].live().is_empty());
-        script.advance(second(1));
+        script.advance(seconds(1));
     }
 }
 
-/// A gang of an earlier leader, and two machines of the roster.
+/// The stored state of an earlier leader: a gang of two tasks, and two machines on the roster.
 fn recovered_gang_of_two() -> RecoveredState {
     RecoveredState {
         jobs: vec![UnfinishedJob::new("run-1", 5, record(gang(2, 8.0)))],
@@ -157,8 +164,8 @@
     }
 }
 
-/// The time to save with which the first attempt on a machine is stopped, if it is.
-fn stop_of_first(script: &ScriptedShard, id: &str) -> Option<Duration> {
+/// The grace period with which the first attempt on a machine is stopped; None if it is not.
+fn first_grace_period(script: &ScriptedShard, id: &str) -> Option<Duration> {
     let first = script.machine(id).attempts.values().next();
     first.and_then(|attempt| attempt.stop_grace())
 }
--- a/src/coordination/shard/tests/gangs/faults.rs
+++ b/src/coordination/shard/tests/gangs/faults.rs
@@ -1,24 +1,24 @@
-//! Gangs under network partitions, hangs and late messages.
+//! Tests of gangs under network partitions, hanging machines and late messages.
 
 use std::time::Duration;
 
 use super::super::scripted_shard::ScriptedShard;
-use super::{gang, run_gang_of_two, second};
+use super::{gang, run_gang_of_two, seconds};
 use crate::coordination::shard::{Action, CommandOutcome};
 use crate::protocol::users::{JobSpec, JobStage};
 use crate::protocol::workers::{AttemptOutcome, TaskState};
 
-/// A gang that uses all of its team's quota limit: its next attempt waits until no task of the
-/// last one can run, not even on an unreachable machine.
+/// A gang uses its team's whole quota limit. Its next attempt starts only when no task of the last
+/// attempt can still run, not even on an unreachable machine.
 #[test]
 fn a_gang_as_large_as_its_quota_limit_restarts_only_when_all_its_tasks_have_ended() {
     let mut script = ScriptedShard::empty();
     script.add_machines(&["vm-1", "vm-2", "vm-3", "vm-4"]);
-    let whole = JobSpec {
+    let quota_sized = JobSpec {
         team: "red".into(),
         ..gang(2, 8.0)
     };
-    script.submit("run-1", whole);
+    script.submit("run-1", quota_sized);
     let first = script.execute_launches();
     assert_eq!(first.len(), 2, "16 of 16 cores");
     let hosts: Vec<String> = first.iter().map(|launch| launch.machine.clone()).collect();
@@ -27,22 +27,18 @@
     }
     script.all_ended(&hosts[0], AttemptOutcome::Error);
     for _ in 0..3 {
-        script.advance(second(1));
+        script.advance(seconds(1));
         assert_eq!(script.execute_launches(), [], "one task may still run");
     }
     script.all_ended(&hosts[1], AttemptOutcome::GangPeerLost);
-    script.advance(second(1));
-    let again = script.execute_launches();
-    assert_eq!(again.len(), 2);
-    assert!(
-        again
-            .iter()
-            .all(|launch| launch.attempt != first[0].attempt)
-    );
+    script.advance(seconds(1));
+    let next = script.execute_launches();
+    assert_eq!(next.len(), 2);
+    assert!(next.iter().all(|launch| launch.attempt != first[0].attempt));
 }
 
-/// A scattered gang is not concentrated in one zone while the other is partitioned, and a gang
-/// bound to the partitioned zone is started nowhere else.
+/// While a zone is partitioned, a scattered gang is not concentrated in the other zone, and a gang
+/// that is bound to the partitioned zone is not started elsewhere.
 #[test]
 fn a_partitioned_zone_neither_concentrates_a_scattered_gang_nor_moves_a_bound_one() {
     let mut script = ScriptedShard::empty();
@@ -59,29 +55,29 @@
     script
         .shard
         .set_partitioned_zones(["south".to_owned()].into());
-    let spread = JobSpec {
+    let scattered = JobSpec {
         scatter: true,
         ..gang(4, 4.0)
     };
-    script.submit("run-2", spread);
+    script.submit("run-2", scattered);
     for _ in 0..10 {
-        script.advance(second(1));
+        script.advance(seconds(1));
         for id in ["vm-1", "vm-2"] {
             let heartbeat = script.recorded_heartbeat(id);
             script.shard.heartbeat(&heartbeat, script.now);
         }
         let started = script.execute_launches();
-        assert_eq!(started, [], "half of it must run in the south");
+        assert_eq!(started, [], "half of the gang must run in the south");
     }
     let live = script.shard.jobs()["run-1"].live().len();
-    assert_eq!(live, 1, "it may run in the partitioned zone");
-    // The partition ends: there is capacity for half of it in each zone.
+    assert_eq!(live, 1, "the task may still run in the partitioned zone");
+    // The partition ends, and each zone has capacity for half of the scattered gang.
     script.shard.set_partitioned_zones([].into());
     script
         .shard
         .job_finished("run-1", Some(JobStage::Cancelled));
     script.all_ended("vm-3", AttemptOutcome::Stopped);
-    script.advance(second(1));
+    script.advance(seconds(1));
     let mut started: Vec<String> = script
         .execute_launches()
         .into_iter()
@@ -92,8 +88,8 @@
     assert_eq!(started[2..], ["vm-3", "vm-3"]);
 }
 
-/// A duplicate of an old heartbeat lists the tasks of an earlier attempt: it neither revives that
-/// attempt nor stops the present one.
+/// A late duplicate of a heartbeat lists the tasks of an earlier attempt. It neither revives that
+/// attempt nor stops the current one.
 #[test]
 fn a_late_heartbeat_of_an_earlier_attempt_changes_nothing() {
     for (state, outcome) in [
@@ -103,19 +99,19 @@
     ] {
         let mut script = ScriptedShard::empty();
         let (host, other) = run_gang_of_two(&mut script);
-        let old = script.heartbeat_with_all(&host, state, outcome);
-        // The first attempt ends, and the second runs.
+        let late_heartbeat = script.heartbeat_with_all(&host, state, outcome);
+        // The first attempt ends, and the second one runs.
         for id in [&host, &other] {
             script.all_ended(id, AttemptOutcome::GangPeerLost);
         }
-        script.advance(second(4));
+        script.advance(seconds(4));
         let attempt_number = script.execute_launches()[0].attempt;
         for id in ["vm-1", "vm-2"] {
             script.all_in_state(id, TaskState::Running);
         }
         script.execute_launches();
-        script.shard.heartbeat(&old, script.now);
-        script.advance(second(1));
+        script.shard.heartbeat(&late_heartbeat, script.now);
+        script.advance(seconds(1));
         assert_eq!(script.execute_launches(), []);
         assert_eq!(script.execute_stops(), []);
         let job = &script.shard.jobs()["run-1"];
@@ -126,42 +122,42 @@
     }
 }
 
-/// A gang completes while its user cancels it: whichever is written first holds, and no task of
-/// it is started again.
+/// A gang completes while its user cancels it. The outcome that is written first holds, and no task
+/// of the gang is started again.
 #[test]
 fn a_gang_cancelled_as_it_completes_is_not_started_again() {
     let mut script = ScriptedShard::empty();
     let (done, other) = run_gang_of_two(&mut script);
     script.all_ended(&done, AttemptOutcome::Done);
-    let finishes = |action: &Action| matches!(action, Action::Finish { .. });
-    assert!(script.actions.iter().any(finishes));
+    let is_finish = |action: &Action| matches!(action, Action::Finish { .. });
+    assert!(script.actions.iter().any(is_finish));
     script
         .shard
         .job_finished("run-1", Some(JobStage::Cancelled));
-    script.advance(second(1));
+    script.advance(seconds(1));
     assert_eq!(script.execute_launches(), []);
     script.all_ended(&other, AttemptOutcome::Done);
-    script.advance(second(1));
+    script.advance(seconds(1));
     assert_eq!(script.execute_launches(), []);
     assert!(
         !script.shard.jobs().contains_key("run-1"),
-        "nothing is left"
+        "the shard has forgotten the job"
     );
 }
 
-/// A machine hangs with one task of a running gang. The other task notices and exits; the hanging
-/// one may continue at any moment, so that no attempt starts beside it. When it does, it is
-/// stopped.
+/// A machine hangs that runs one task of a gang. The other task notices and exits. The task on the
+/// hanging machine may continue at any time, so that no other attempt starts; when the task
+/// continues, it is stopped.
 #[test]
-fn a_gang_with_a_task_on_a_hanging_machine_is_not_restarted_beside_it() {
+fn a_gang_with_a_task_on_a_hanging_machine_is_not_restarted() {
     let mut script = ScriptedShard::empty();
-    let (hangs, other) = run_gang_of_two(&mut script);
+    let (hanging, other) = run_gang_of_two(&mut script);
     script.add_machines(&["vm-3", "vm-4"]);
     script.all_ended(&other, AttemptOutcome::GangPeerLost);
     for _ in 0..5 {
-        script.advance(second(1));
+        script.advance(seconds(1));
         for batch in script.batches() {
-            let outcome = if *batch.machine == *hangs {
+            let outcome = if *batch.machine == *hanging {
                 CommandOutcome::NoAnswer
             } else {
                 CommandOutcome::Executed(script.recorded_heartbeat(&batch.machine))
@@ -170,17 +166,17 @@
         }
         assert_eq!(script.shard.jobs()["run-1"].live().len(), 1);
     }
-    // It continues, and lists its task as running.
-    let heartbeat = script.heartbeat_with_all(&hangs, TaskState::Running, None);
+    // The machine continues, and lists its task as running.
+    let heartbeat = script.heartbeat_with_all(&hanging, TaskState::Running, None);
     script.receive(&heartbeat);
-    let stop = script.machine(&hangs).attempts.values().next();
+    let stop = script.machine(&hanging).attempts.values().next();
     assert_eq!(
         stop.and_then(|attempt| attempt.stop_grace()),
         Some(Duration::ZERO)
     );
     assert_eq!(script.shard.jobs()["run-1"].live().len(), 1);
-    script.all_ended(&hangs, AttemptOutcome::GangPeerLost);
-    script.advance(second(2));
+    script.all_ended(&hanging, AttemptOutcome::GangPeerLost);
+    script.advance(seconds(2));
     assert_eq!(
         script.shard.jobs()["run-1"].live().len(),
         2,
--- a/src/coordination/shard/tests/gangs/mod.rs
+++ b/src/coordination/shard/tests/gangs/mod.rs
@@ -1,4 +1,4 @@
-//! Gang scheduling: all tasks of a gang run at the same time or none does.
+//! Tests of gang scheduling: either all tasks of a gang run at the same time, or none runs.
 
 mod attempts;
 mod failover;
@@ -12,11 +12,11 @@
 use crate::protocol::users::{JobKind, JobSpec};
 use crate::protocol::workers::TaskState;
 
-fn second(n: u64) -> Duration {
+fn seconds(n: u64) -> Duration {
     Duration::from_secs(n)
 }
 
-/// A gang that saves checkpoints.
+/// The spec of a gang that saves a checkpoint every 20 s, each of which takes 4 s to save.
 fn gang(tasks: u32, cores: f64) -> JobSpec {
     JobSpec {
         kind: JobKind::Gang,
@@ -26,8 +26,7 @@
     }
 }
 
-/// Runs a gang of two, each task on a machine of its own; returns the machines of tasks 0
-/// and 1.
+/// Runs a gang of two tasks, each on its own machine; returns the machines of tasks 0 and 1.
 fn run_gang_of_two(script: &mut ScriptedShard) -> (String, String) {
     script.add_machines(&["vm-1", "vm-2"]);
     script.submit("run-1", gang(2, 8.0));
--- a/src/coordination/shard/tests/scale/cluster.rs
+++ b/src/coordination/shard/tests/scale/cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster of four thousand machines whose workers execute all commands.
+//! A simulated cluster of four thousand machines, whose workers execute all commands they receive.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -17,26 +17,26 @@
 use crate::storage::keys;
 use crate::storage::roster::decode_page;
 
-pub(super) const MACHINES: usize = 4_000;
-pub(super) const TASKS: u32 = 1_000;
+pub(super) const MACHINE_COUNT: usize = 4_000;
+pub(super) const TASK_COUNT: u32 = 1_000;
 
-/// A job that needn't wait for spot machines.
-pub(super) fn spec(team: &str, cores: f64, tasks: u32) -> JobSpec {
+/// The spec of a job that excludes spot machines, so that it does not wait for them.
+pub(super) fn on_demand_spec(team: &str, cores: f64, tasks: u32) -> JobSpec {
     JobSpec {
         spot: false,
         ..fixtures::spec(team, cores, tasks)
     }
 }
 
-pub(super) fn name(n: usize) -> String {
+pub(super) fn machine_name(n: usize) -> String {
     format!("vm-{n:06}")
 }
 
-pub(super) fn number_of(machine: &MachineId) -> usize {
+pub(super) fn machine_number(machine: &MachineId) -> usize {
     machine["vm-".len()..].parse().expect("a machine")
 }
 
-pub(super) fn zone(n: usize) -> &'static str {
+pub(super) fn machine_zone(n: usize) -> &'static str {
     if n.is_multiple_of(4) {
         "south"
     } else {
@@ -44,9 +44,9 @@
     }
 }
 
-/// The limits of a small deployment: 8 KiB a value, 8 mutations a transaction, and few writes a
-/// second.
-pub(super) fn small_store() -> Policy {
+/// The policy of a small deployment of the key-value store: 8 KiB per value, 8 mutations per
+/// transaction, and few writes per second.
+pub(super) fn small_store_policy() -> Policy {
     Policy {
         advance_delegation: Duration::ZERO,
         idle_timeout: Duration::from_secs(86_400),
@@ -56,25 +56,30 @@
     }
 }
 
-/// Four thousand machines, what truly runs on them, and what the key-value store holds.
+/// A shard with four thousand machines, the tasks that actually run on them, and the contents of
+/// the key-value store.
 pub(super) struct Cluster {
     pub(super) script: ScriptedShard,
+    /// By machine number, the tasks that run there with their attempt numbers.
     pub(super) running: BTreeMap<usize, BTreeSet<(TaskId, u64)>>,
     store: BTreeMap<String, Value>,
-    pub(super) mutations: usize,
-    pub(super) started: usize,
+    /// Number of mutations written, including those of the sequence number.
+    pub(super) written_mutations: usize,
+    /// Number of launches executed.
+    pub(super) launches: usize,
 }
 
 impl Cluster {
     pub(super) fn new() -> Self {
-        let mut script = ScriptedShard::with_policy(small_store(), RecoveredState::default());
+        let mut script =
+            ScriptedShard::with_policy(small_store_policy(), RecoveredState::default());
         script.actions.clear();
         Self {
             script,
             running: BTreeMap::new(),
             store: BTreeMap::new(),
-            mutations: 0,
-            started: 0,
+            written_mutations: 0,
+            launches: 0,
         }
     }
 
@@ -84,22 +89,24 @@
         let tasks =
             tasks.map(|(task, attempt_number)| running_task(&task.to_string(), *attempt_number));
         let tasks = tasks.collect();
-        let mut heartbeat = self.script.heartbeat_of(&name(n), fencing_token, tasks);
-        heartbeat.zone = zone(n).into();
+        let mut heartbeat = self
+            .script
+            .heartbeat_of(&machine_name(n), fencing_token, tasks);
+        heartbeat.zone = machine_zone(n).into();
         heartbeat.addr = format!("10.0.{}.{}:9000", n / 250, n % 250);
         heartbeat
     }
 
     pub(super) fn heartbeat_all(&mut self) {
-        for n in 0..MACHINES {
+        for n in 0..MACHINE_COUNT {
             let heartbeat = self.heartbeat_of(n);
             self.script.shard.heartbeat(&heartbeat, self.script.now);
         }
         self.execute_actions();
     }
 
-    /// Reconciles and executes all actions: commands are executed and answered, writes are
-    /// applied within the limits.
+    /// Reconciles and executes actions until the shard decides no more: workers execute and answer
+    /// commands, and the store applies writes and checks that they are within the limits.
     pub(super) fn execute_actions(&mut self) {
         self.script.shard.reconcile(self.script.now);
         loop {
@@ -114,14 +121,17 @@
         }
     }
 
-    /// The same where only some machines are reachable; returns how many deletions were
-    /// decided, none of which the cloud carries out.
-    pub(super) fn execute_actions_reaching(&mut self, reachable: impl Fn(usize) -> bool) -> usize {
-        let mut deleted = 0;
+    /// Executes actions until the shard decides no more, while only some machines answer commands.
+    /// The cloud does not carry out deletions; returns the number of machines to be deleted.
+    pub(super) fn execute_actions_where_reachable(
+        &mut self,
+        is_reachable: impl Fn(usize) -> bool,
+    ) -> usize {
+        let mut deletions = 0;
         loop {
             let actions = self.script.shard.take_actions();
             if actions.is_empty() {
-                return deleted;
+                return deletions;
             }
             for action in actions {
                 match &action {
@@ -130,14 +140,14 @@
                         commands,
                         number,
                         ..
-                    } if !reachable(number_of(machine)) => {
+                    } if !is_reachable(machine_number(machine)) => {
                         let unanswered = CommandOutcome::NoAnswer;
                         let now = self.script.now;
                         self.script
                             .shard
                             .command_answered(machine, *number, commands, unanswered, now);
                     }
-                    Action::Delete(machines) => deleted += machines.len(),
+                    Action::Delete(machines) => deletions += machines.len(),
                     _ => self.execute_action(action),
                 }
             }
@@ -148,8 +158,11 @@
     fn execute_action(&mut self, action: Action) {
         match action {
             Action::Write(write) => {
-                assert!(write.mutations.len() < 8, "eight with the sequence number");
-                self.mutations += write.mutations.len() + 1;
+                assert!(
+                    write.mutations.len() < 8,
+                    "at most eight with the sequence number"
+                );
+                self.written_mutations += write.mutations.len() + 1;
                 for change in &write.mutations {
                     match change {
                         Mutation::Put { key, value, .. } => {
@@ -169,7 +182,7 @@
                 commands,
                 ..
             } => {
-                let n = number_of(&machine);
+                let n = machine_number(&machine);
                 self.execute_commands(n, &commands);
                 let heartbeat = self.heartbeat_of(n);
                 let outcome = CommandOutcome::Executed(heartbeat);
@@ -189,15 +202,15 @@
         for command in commands {
             match command {
                 Command::Launch { task, attempt } => {
-                    let elsewhere = self.running.values().flatten().any(|(t, _)| t == task);
-                    assert!(!elsewhere, "{task} runs twice");
-                    self.started += 1;
-                    let on = self.running.entry(n).or_default();
-                    on.insert((task.clone(), *attempt));
+                    let is_running = self.running.values().flatten().any(|(t, _)| t == task);
+                    assert!(!is_running, "{task} runs twice");
+                    self.launches += 1;
+                    let tasks = self.running.entry(n).or_default();
+                    tasks.insert((task.clone(), *attempt));
                 }
                 Command::Stop { task, attempt, .. } | Command::Clear { task, attempt } => {
-                    if let Some(on) = self.running.get_mut(&n) {
-                        on.remove(&(task.clone(), *attempt));
+                    if let Some(tasks) = self.running.get_mut(&n) {
+                        tasks.remove(&(task.clone(), *attempt));
                     }
                 }
             }
@@ -213,12 +226,12 @@
     }
 
     pub(super) fn submit(&mut self, id: &str, tasks: u32) {
-        let job = record(spec("blue", 8.0, tasks));
+        let job = record(on_demand_spec("blue", 8.0, tasks));
         let now = self.script.now;
         self.script.shard.job_accepted(id, TOKEN + 1, job, now);
     }
 
-    /// A cluster whose machines are all admitted.
+    /// Creates a cluster in which all machines are admitted.
     pub(super) fn admitted() -> Self {
         let mut cluster = Self::new();
         cluster.heartbeat_all();
@@ -226,7 +239,7 @@
         cluster
     }
 
-    /// Runs a job on the open machines.
+    /// Submits a job and lets five seconds pass in which all machines send heartbeats.
     pub(super) fn run_job(&mut self, id: &str, tasks: u32) {
         self.heartbeat_all();
         self.submit(id, tasks);
@@ -236,9 +249,9 @@
         }
     }
 
-    /// The tasks on machines other than these.
-    pub(super) fn tasks_outside(&self, machines: impl Fn(usize) -> bool) -> usize {
-        let outside = self.running.iter().filter(|(n, _)| !machines(**n));
+    /// The number of tasks that run on machines for which `is_inside` is false.
+    pub(super) fn tasks_outside(&self, is_inside: impl Fn(usize) -> bool) -> usize {
+        let outside = self.running.iter().filter(|(n, _)| !is_inside(**n));
         outside.map(|(_, tasks)| tasks.len()).sum()
     }
 
@@ -246,8 +259,8 @@
         self.running.values().map(BTreeSet::len).sum()
     }
 
-    /// The machines of the stored roster.
-    fn roster(&self) -> Vec<RecoveredMachine> {
+    /// The machines on the stored roster.
+    fn stored_roster(&self) -> Vec<RecoveredMachine> {
         let prefix = keys::roster_prefix();
         let pages = self
             .store
@@ -263,21 +276,22 @@
         machines.collect()
     }
 
-    /// The leader crashes; another recovers what is stored.
+    /// Replaces the leader by one that recovers the stored state; `jobs` are the unfinished jobs
+    /// with their numbers of tasks.
     pub(super) fn fail_over(&mut self, jobs: &[(&str, u32)]) {
-        let snapshot = keys::snapshot_prefix();
+        let snapshot_prefix = keys::snapshot_prefix();
         let chunks = self
             .store
             .iter()
-            .filter(|(key, _)| key.starts_with(&snapshot));
+            .filter(|(key, _)| key.starts_with(&snapshot_prefix));
         let recovered = RecoveredState {
             jobs: jobs
                 .iter()
                 .map(|(id, tasks)| {
-                    UnfinishedJob::new(*id, TOKEN + 1, record(spec("blue", 8.0, *tasks)))
+                    UnfinishedJob::new(*id, TOKEN + 1, record(on_demand_spec("blue", 8.0, *tasks)))
                 })
                 .collect(),
-            roster: self.roster(),
+            roster: self.stored_roster(),
             chunks: chunks
                 .map(|(key, value)| (key.clone(), value.clone()))
                 .collect(),
@@ -286,7 +300,7 @@
         let fencing_token = self.script.shard.fencing_token.revision() + 10_000;
         let now = self.script.now;
         self.script.shard = Shard::recover(
-            small_store(),
+            small_store_policy(),
             FencingToken::new(fencing_token),
             recovered,
             now,
--- a/src/coordination/shard/tests/scale/mod.rs
+++ b/src/coordination/shard/tests/scale/mod.rs
@@ -1,4 +1,5 @@
-//! Large clusters. Work is counted, not timed, so that the results do not depend on the machine.
+//! Tests of large clusters. They count operations instead of measuring time, so that their results
+//! do not depend on the speed of the computer.
 
 mod cluster;
 mod fleet;
--- a/src/coordination/shard/tests/scale/records.rs
+++ b/src/coordination/shard/tests/scale/records.rs
@@ -1,4 +1,4 @@
-//! Records of very many machines and tasks.
+//! Tests of the stored records of very many machines and tasks.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,7 +7,7 @@
 
 use super::super::fixtures::{record, running_task};
 use super::super::scripted_shard::{ScriptedShard, TOKEN};
-use super::cluster::{name, small_store, spec, zone};
+use super::cluster::{machine_name, machine_zone, on_demand_spec, small_store_policy};
 use crate::coordination::shard::{Action, RecoveredState, ShardWrite};
 use crate::protocol::MachineId;
 use crate::protocol::kv::Mutation;
@@ -19,36 +19,45 @@
     RosterRecord {
         addr: format!("10.0.{}.{}:9000", n / 250, n % 250),
         machine_type: "m8".into(),
-        zone: zone(n).into(),
+        zone: machine_zone(n).into(),
         spot: n.is_multiple_of(3),
         deleting: false,
     }
 }
 
-/// The limit on values falls while the pages are being written.
+/// The value limit is lowered while the pages of the roster are being written.
 #[test]
 fn a_roster_of_six_thousand_machines_is_split_and_read_back() {
     const ENTRIES: usize = 6_000;
     let mut roster = Roster::default();
     for n in 0..ENTRIES {
-        roster.put(&MachineId::from(name(n).as_str()), roster_entry(n), 8192);
+        roster.put(
+            &MachineId::from(machine_name(n).as_str()),
+            roster_entry(n),
+            8192,
+        );
     }
     let mut store: BTreeMap<String, Value> = BTreeMap::new();
     let mut writes = 0;
-    let mut limit = 8192;
+    let mut value_bytes = 8192;
     while roster.has_mutations() {
-        // The second half of the pages is written under the lower limit, then all again.
+        // The second half of the pages is written under the lower limit, then all pages are
+        // written again.
         if writes == 40 {
-            limit = 2048;
+            value_bytes = 2048;
             for n in 0..ENTRIES {
                 if n.is_multiple_of(50) {
-                    roster.put(&MachineId::from(name(n).as_str()), roster_entry(n), limit);
+                    roster.put(
+                        &MachineId::from(machine_name(n).as_str()),
+                        roster_entry(n),
+                        value_bytes,
+                    );
                 }
             }
         }
-        match roster.next_mutation(limit) {
+        match roster.next_mutation(value_bytes) {
             Some(Mutation::Put { key, value, .. }) => {
-                assert!(value.to_string().len() <= limit);
+                assert!(value.to_string().len() <= value_bytes);
                 store.insert(key, value);
             }
             Some(Mutation::Delete { key }) => {
@@ -63,7 +72,7 @@
     assert!(writes < 1_000, "{writes} writes");
 }
 
-/// The machines of a stored roster.
+/// The names of the machines on a stored roster.
 fn read_roster(store: &BTreeMap<String, Value>) -> BTreeSet<String> {
     let mut roster = Roster::default();
     let mut names = BTreeSet::new();
@@ -77,17 +86,17 @@
     names
 }
 
-/// Writing the placements of sixty thousand single tasks would take longer than the snapshot may be
-/// stale, so that nothing would be started any more.
+/// Writing the placements of sixty thousand single-task jobs would take longer than the maximum
+/// staleness of the snapshot, so that the shard would launch no more tasks.
 #[test]
 fn sixty_thousand_tasks_do_not_make_the_snapshot_stale() {
-    let policy = small_store();
+    let policy = small_store_policy();
     let staleness = policy.max_staleness;
     let machines = 2_000;
     let mut script = ScriptedShard::with_policy(policy, RecoveredState::default());
     for n in 0..60_000 {
         let id = format!("run-{n:06}");
-        let job = record(spec("blue", 0.25, 1));
+        let job = record(on_demand_spec("blue", 0.25, 1));
         script.shard.job_accepted(&id, TOKEN + 1, job, script.now);
     }
     for n in 0..machines {
@@ -95,23 +104,23 @@
             let task = format!("run-{:06}/0", n * 30 + k);
             running_task(&task, 7)
         });
-        let heartbeat = script.heartbeat_of(&name(n), TOKEN, tasks.collect());
+        let heartbeat = script.heartbeat_of(&machine_name(n), TOKEN, tasks.collect());
         script.shard.heartbeat(&heartbeat, script.now);
     }
-    let mut written = 0;
-    let mut stale = 0;
+    let mut mutations = 0;
+    let mut stale_seconds = 0;
     for _ in 0..40 {
         script.now += Duration::from_secs(1);
-        // Something starts every second.
+        // A task starts every second.
         script.shard.writes.progress_changed(script.now);
         script.shard.reconcile(script.now);
-        written += apply_writes(&mut script);
-        stale += usize::from(script.shard.writes.is_stale(script.now, staleness));
+        mutations += apply_writes(&mut script);
+        stale_seconds += usize::from(script.shard.writes.is_stale(script.now, staleness));
     }
-    assert_eq!(stale, 0, "{written} mutations were written");
+    assert_eq!(stale_seconds, 0, "{mutations} mutations were written");
 }
 
-/// Applies all writes until there are no more; returns the number of mutations.
+/// Applies the shard's writes until it decides no more; returns the number of their mutations.
 fn apply_writes(script: &mut ScriptedShard) -> usize {
     let mut mutations = 0;
     loop {
--- a/src/coordination/shard/tests/scale_in.rs
+++ b/src/coordination/shard/tests/scale_in.rs
@@ -1,4 +1,4 @@
-//! Scale-in of idle machines, also those held for a quota.
+//! Tests of the scale-in of idle machines, including those that are kept for a quota.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::coordination::shard::{Action, Policy, RecoveredState};
 use crate::protocol::users::{JobSpec, JobStage};
 
-/// Lets time pass, in which the machine sends heartbeats without tasks.
+/// Lets time pass while vm-1 sends heartbeats without tasks each second, until its deletion begins.
 fn idle_for(script: &mut ScriptedShard, seconds: u64) {
     for _ in 0..seconds {
         script.advance(Duration::from_secs(1));
@@ -18,8 +18,8 @@
     }
 }
 
-/// A team with a quota of 8 cores, and a machine that has run a job of it.
-fn after_job(job: JobSpec) -> ScriptedShard {
+/// A shard in which vm-1 has run a job of a team with a quota of 8 cores, and the job has ended.
+fn script_after_job(job: JobSpec) -> ScriptedShard {
     let policy = Policy {
         advance_delegation: Duration::ZERO,
         ..policy()
@@ -33,7 +33,7 @@
         let heartbeat = script.running_heartbeat("vm-1");
         script.shard.heartbeat(&heartbeat, script.now);
     }
-    assert_eq!(script.deletions(), 0, "it has tasks");
+    assert_eq!(script.deletions(), 0, "the machine has tasks");
     script
         .shard
         .job_finished("run-1", Some(JobStage::Cancelled));
@@ -41,33 +41,34 @@
     script
 }
 
-/// Found by users: machines held for an unused quota stayed rented for ever.
+/// Found by users: machines that were kept for an unused quota stayed rented forever.
 #[test]
 fn quota_capacity_is_scaled_in_some_time_after_the_last_job() {
-    let mut script = after_job(spec("red", 1.0, 1));
+    let mut script = script_after_job(spec("red", 1.0, 1));
     idle_for(&mut script, 25);
-    assert_eq!(script.deletions(), 0, "it had tasks lately");
+    assert_eq!(script.deletions(), 0, "the machine had tasks recently");
     idle_for(&mut script, 10);
     assert_eq!(script.deletions(), 1);
 }
 
-/// With the first job, capacity for the whole quota is rented again.
+/// As soon as a team has a job again, capacity for its whole quota is rented again.
 #[test]
-fn quota_capacity_is_scaled_out_again_with_work() {
-    let mut script = after_job(spec("red", 1.0, 1));
+fn quota_capacity_is_scaled_out_again_with_the_next_job() {
+    let mut script = script_after_job(spec("red", 1.0, 1));
     idle_for(&mut script, 40);
     assert_eq!(script.deletions(), 1);
     script.actions.clear();
     script.submit("run-2", spec("red", 1.0, 1));
     script.advance(Duration::from_secs(1));
-    // One for the job, which may use a spot machine, and one for the quota.
-    let ordinary = |action: &&Action| matches!(action, Action::Rent(rental) if !rental.spot);
-    assert_eq!(script.actions.iter().filter(ordinary).count(), 1);
+    // One machine is rented for the job, which may use a spot machine, and one for the quota.
+    let is_on_demand_rental =
+        |action: &&Action| matches!(action, Action::Rent(rental) if !rental.spot);
+    assert_eq!(script.actions.iter().filter(is_on_demand_rental).count(), 1);
 }
 
-/// Capacity for expected jobs of a class is held only while some come.
+/// Capacity for expected jobs of a class is kept only while jobs of that class arrive.
 #[test]
-fn capacity_for_a_job_class_is_scaled_in_when_no_job_of_it_comes() {
+fn capacity_for_a_job_class_is_scaled_in_when_no_job_of_it_arrives() {
     let mut script = ScriptedShard::without_quotas();
     let class = spec("red", 1.0, 1).class;
     script.shard.policy.start_objectives = [(class, Duration::from_secs(1))].into();
@@ -78,7 +79,11 @@
         .shard
         .job_finished("run-1", Some(JobStage::Cancelled));
     idle_for(&mut script, 100);
-    assert_eq!(script.deletions(), 0, "one came less than two minutes ago");
+    assert_eq!(
+        script.deletions(),
+        0,
+        "a job of the class arrived less than two minutes ago"
+    );
     idle_for(&mut script, 40);
     assert_eq!(script.deletions(), 1);
 }
