--- a/src/coordination/shard/tests/simulation/cloud.rs
+++ b/src/coordination/shard/tests/simulation/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: it rents, boots, lists and deletes machines.
+//! The simulated cloud, which rents out, boots, lists and deletes machines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,23 +12,22 @@
 use crate::protocol::MachineId;
 use crate::protocol::cloud::{ListedMachine, MachineState, Rental};
 
-/// Machines that the cloud has in all.
-const CAPACITY: usize = 6;
+/// The total number of machines that the cloud can rent out.
+const MACHINE_CAPACITY: usize = 6;
 /// How long a machine takes to boot, in milliseconds.
 const BOOT_TIME_MS: std::ops::Range<u64> = 1000..15_000;
 
 #[derive(Default)]
 pub(super) struct Cloud {
-    /// The machines rented under each request's name: a repeated request rents
-    /// nothing more.
+    /// By request name, the machines rented for it, so that a repeated request rents no more.
     rented: BTreeMap<String, Vec<String>>,
-    last_machine: u64,
+    last_machine_number: u64,
 }
 
 impl Cloud {
-    fn name_machine(&mut self) -> String {
-        self.last_machine += 1;
-        format!("vm-{:06}", self.last_machine)
+    fn next_machine_name(&mut self) -> String {
+        self.last_machine_number += 1;
+        format!("vm-{:06}", self.last_machine_number)
     }
 }
 
@@ -53,9 +52,9 @@
     }
 
     fn rent_new_machines(&mut self, rental: &Rental) -> Vec<String> {
-        let free = CAPACITY.saturating_sub(self.workers.len());
+        let free = MACHINE_CAPACITY.saturating_sub(self.workers.len());
         let count = rental.count.min(free as u32);
-        let names: Vec<String> = (0..count).map(|_| self.cloud.name_machine()).collect();
+        let names: Vec<String> = (0..count).map(|_| self.cloud.next_machine_name()).collect();
         for id in &names {
             let boot_time = Duration::from_millis(self.rng.random_range(BOOT_TIME_MS));
             let boot = Boot {
@@ -84,9 +83,9 @@
         self.send(Message::Deleted { leader, machines });
     }
 
-    /// The leader lists the cloud's machines.
+    /// Hands the leader a list of the cloud's machines.
     pub(super) fn list_machines(&mut self) {
-        let listed = |worker: &Worker| ListedMachine {
+        let to_listed = |worker: &Worker| ListedMachine {
             id: worker.id.clone(),
             addr: "10.0.0.1:9000".into(),
             machine_type: "m8".into(),
@@ -95,12 +94,12 @@
             state: MachineState::Running,
             age_s: 60.0,
         };
-        let list: Vec<ListedMachine> = self.workers.values().map(listed).collect();
+        let list: Vec<ListedMachine> = self.workers.values().map(to_listed).collect();
         let now = self.now;
-        self.on_leader(|shard| shard.apply_machine_list(&list, now));
+        self.apply_to_leader(|shard| shard.apply_machine_list(&list, now));
     }
 
-    /// The machines that are booted and not deleted.
+    /// The machines that have booted and are not deleted.
     pub(crate) fn machines(&self) -> Vec<String> {
         self.workers.keys().cloned().collect()
     }
--- a/src/coordination/shard/tests/simulation/delivery.rs
+++ b/src/coordination/shard/tests/simulation/delivery.rs
@@ -1,4 +1,4 @@
-//! Hands each message that arrives to the component that it is for.
+//! Delivers each message that has arrived to the component that it is addressed to.
 
 use super::Simulation;
 use super::network::Message;
@@ -14,7 +14,7 @@
         let now = self.now;
         match message {
             Message::Heartbeat { sent, heartbeat } => self.receive_heartbeat(sent, &heartbeat),
-            Message::DuplicateHeartbeat(heartbeat) => self.on_leader(|shard| {
+            Message::DuplicateHeartbeat(heartbeat) => self.apply_to_leader(|shard| {
                 shard.heartbeat(&heartbeat, now);
             }),
             Message::HeartbeatAnswer(answer) => self.receive_heartbeat_answer(&answer),
@@ -24,23 +24,23 @@
             }
             Message::Write(write) => self.apply_write(write),
             Message::Written { leader, write } => {
-                self.on_incarnation(leader, |shard| shard.write_applied(&write, now));
+                self.apply_to_incarnation(leader, |shard| shard.write_applied(&write, now));
             }
             Message::Finish(finish) => self.apply_finish(finish),
             Message::JobFinished { job, stage } => {
-                self.on_leader(|shard| shard.job_finished(&job, Some(stage)));
+                self.apply_to_leader(|shard| shard.job_finished(&job, Some(stage)));
             }
             Message::Rent { leader, rental } => self.rent_machines(leader, rental),
             Message::RentalAnswer {
                 leader,
                 request,
                 outcome,
-            } => self.on_incarnation(leader, |shard| {
+            } => self.apply_to_incarnation(leader, |shard| {
                 shard.rental_answered(&request, outcome, now);
             }),
             Message::Boot(boot) => self.boot_machine(&boot),
             Message::Delete { leader, machines } => self.delete_machines(leader, machines),
-            Message::Deleted { leader, machines } => self.on_incarnation(leader, |shard| {
+            Message::Deleted { leader, machines } => self.apply_to_incarnation(leader, |shard| {
                 shard.deletion_answered(&machines, true, now);
             }),
         }
--- a/src/coordination/shard/tests/simulation/gangs.rs
+++ b/src/coordination/shard/tests/simulation/gangs.rs
@@ -1,5 +1,5 @@
-//! Gangs on the workers: their tasks start when the last of them waits, complete
-//! together, and end when some are missing for too long.
+//! Simulates gangs on the workers: their tasks start when the last of them is ready, complete
+//! together, and end if some of them are missing for too long.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,12 +9,12 @@
 
 use super::worker::{Worker, WorkerTask};
 use super::workers::RUN_TIME_MS;
-use super::{GroundTruth, Simulation, lasts};
+use super::{GroundTruth, Simulation, is_fault_active};
 use crate::coordination::shard::tests::fixtures::GANG_WAIT;
 use crate::protocol::TaskId;
 use crate::protocol::workers::{AttemptOutcome, TaskState};
 
-/// How soon a gang's running task notices that another is missing.
+/// The time after which a running task of a gang ends because another task is missing.
 const GANG_PEER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// One attempt to run a gang; all its tasks carry the same attempt number.
@@ -24,10 +24,10 @@
     number: u64,
 }
 
-/// What the tasks of a gang's attempt see of each other.
+/// What the tasks of a gang attempt observe of each other.
 #[derive(Clone, Copy, PartialEq)]
 enum GangStatus {
-    /// Some tasks are not there, or hang.
+    /// Some tasks are missing, or their machines hang.
     Incomplete,
     Running,
     Completed,
@@ -36,21 +36,22 @@
 impl Simulation {
     pub(super) fn step_gangs(&mut self) {
         let now = self.now;
-        for (attempt, ready) in self.gang_attempts() {
-            let status = self.gang_status(&attempt, ready);
-            let active = |worker: &&mut Worker| !worker.dead && !lasts(worker.hangs_until, now);
-            for worker in self.workers.values_mut().filter(active) {
+        for (attempt, ready) in self.ready_tasks_by_attempt() {
+            let status = self.update_gang_status(&attempt, ready);
+            let is_active =
+                |worker: &&mut Worker| !worker.is_dead && !is_fault_active(worker.hangs_until, now);
+            for worker in self.workers.values_mut().filter(is_active) {
                 worker.advance_gang(&attempt, status, &mut self.truth, now);
             }
         }
     }
 
-    /// The attempts that have a task on a worker, with the number of their tasks that
-    /// are ready or running.
-    fn gang_attempts(&self) -> BTreeMap<GangAttempt, u32> {
+    /// The gang attempts that have a task on a worker, each with the number of its tasks that wait
+    /// or run on machines that do not hang.
+    fn ready_tasks_by_attempt(&self) -> BTreeMap<GangAttempt, u32> {
         let mut attempts: BTreeMap<GangAttempt, u32> = BTreeMap::new();
-        for worker in self.workers.values().filter(|worker| !worker.dead) {
-            let hangs = lasts(worker.hangs_until, self.now);
+        for worker in self.workers.values().filter(|worker| !worker.is_dead) {
+            let is_hanging = is_fault_active(worker.hangs_until, self.now);
             for ((task, number), state) in &worker.tasks {
                 if state.state == TaskState::Ended || !self.truth.is_gang(&task.job) {
                     continue;
@@ -59,17 +60,18 @@
                     job: task.job.clone(),
                     number: *number,
                 };
-                let ready = matches!(state.state, TaskState::Waiting | TaskState::Running);
-                *attempts.entry(attempt).or_default() += u32::from(ready && !hangs);
+                let is_ready = matches!(state.state, TaskState::Waiting | TaskState::Running);
+                *attempts.entry(attempt).or_default() += u32::from(is_ready && !is_hanging);
             }
         }
         attempts
     }
 
-    /// Starts the gang when it is first complete.
-    fn gang_status(&mut self, attempt: &GangAttempt, ready: u32) -> GangStatus {
-        let tasks = self.truth.specs.get(&*attempt.job);
-        if ready != tasks.map_or(0, |spec| spec.tasks) {
+    /// Returns the status of a gang attempt of which `ready` tasks wait or run; starts the attempt
+    /// when all of its tasks are ready for the first time.
+    fn update_gang_status(&mut self, attempt: &GangAttempt, ready: u32) -> GangStatus {
+        let spec = self.truth.specs.get(&*attempt.job);
+        if ready != spec.map_or(0, |spec| spec.tasks) {
             return GangStatus::Incomplete;
         }
         match self.truth.gang_ends.get(attempt) {
@@ -94,10 +96,10 @@
         truth: &mut GroundTruth,
         now: Instant,
     ) {
-        let of_attempt = |((task, number), state): &(&(TaskId, u64), &mut WorkerTask)| {
+        let is_of_attempt = |((task, number), state): &(&(TaskId, u64), &mut WorkerTask)| {
             task.job == attempt.job && *number == attempt.number && state.state != TaskState::Ended
         };
-        for ((task, _), state) in self.tasks.iter_mut().filter(of_attempt) {
+        for ((task, _), state) in self.tasks.iter_mut().filter(is_of_attempt) {
             if !state.advance_in_gang(status, now) {
                 continue;
             }
@@ -110,9 +112,10 @@
 }
 
 impl WorkerTask {
-    /// Returns whether the task's state has changed.
+    /// Advances a gang's task according to the status of its attempt; returns whether the task's
+    /// state has changed.
     fn advance_in_gang(&mut self, status: GangStatus, now: Instant) -> bool {
-        let incomplete = now.saturating_duration_since(self.incomplete_since);
+        let incomplete_for = now.saturating_duration_since(self.incomplete_since);
         match (status, self.state) {
             (GangStatus::Completed, _) => self.end(AttemptOutcome::Done),
             (GangStatus::Running, TaskState::Waiting) => self.state = TaskState::Running,
@@ -120,10 +123,10 @@
                 self.incomplete_since = now;
                 return false;
             }
-            (GangStatus::Incomplete, TaskState::Waiting) if incomplete > GANG_WAIT => {
+            (GangStatus::Incomplete, TaskState::Waiting) if incomplete_for > GANG_WAIT => {
                 self.end(AttemptOutcome::GangIncomplete);
             }
-            (GangStatus::Incomplete, TaskState::Running) if incomplete > GANG_PEER_TIMEOUT => {
+            (GangStatus::Incomplete, TaskState::Running) if incomplete_for > GANG_PEER_TIMEOUT => {
                 self.end(AttemptOutcome::GangPeerLost);
             }
             _ => return false,
--- a/src/coordination/shard/tests/simulation/kv_store.rs
+++ b/src/coordination/shard/tests/simulation/kv_store.rs
@@ -1,5 +1,5 @@
-//! The key-value store: jobs, final records, and the records that a shard's leader
-//! writes under its fencing token.
+//! The simulated key-value store: jobs, final records, and the records that a shard's leader writes
+//! under its fencing token.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -8,7 +8,7 @@
 
 use super::network::{FencedFinish, FencedWrite, Message};
 use super::rules::Rule;
-use super::{Simulation, lasts};
+use super::{Simulation, is_fault_active};
 use crate::coordination::shard::{RecoveredMachine, RecoveredState, UnfinishedJob};
 use crate::protocol::FencingToken;
 use crate::protocol::kv::Mutation;
@@ -29,7 +29,7 @@
 pub(super) struct KvStore {
     /// The fencing token in the shard's leader record.
     pub(super) leader_token: FencingToken,
-    /// The store takes no write until then.
+    /// The time until which the store refuses writes.
     pub(super) outage_until: Option<Instant>,
     revision: u64,
     jobs: BTreeMap<String, StoredJob>,
@@ -47,7 +47,7 @@
         self.leader_token
     }
 
-    /// Everything that a new leader reads.
+    /// The stored state that a new leader reads.
     pub(super) fn recovered_state(&self) -> RecoveredState {
         let rental = |value: &Value| serde_json::from_value(value.clone()).expect("a rental");
         RecoveredState {
@@ -75,7 +75,7 @@
         recovered
     }
 
-    /// Creates a job's record, and returns its revision.
+    /// Creates a job's record; returns its modification revision.
     pub(super) fn create_job(&mut self, id: &str, record: JobRecord) -> u64 {
         self.revision += 1;
         let mod_revision = self.revision;
@@ -87,17 +87,18 @@
         mod_revision
     }
 
-    /// Replaces a job's record with its final one; `None` if there is no such job.
+    /// Replaces a job's record by its final record; None if there is no unfinished job with this
+    /// id.
     pub(super) fn finish_job(&mut self, id: &str, stage: JobStage) -> Option<()> {
         let record = self.jobs.remove(id)?.record;
         self.revision += 1;
-        let last = FinalRecord {
+        let final_record = FinalRecord {
             format_version: FORMAT_VERSION,
             stage,
             tasks: record.spec.tasks,
             spec: record.spec,
         };
-        self.finals.insert(id.to_owned(), last);
+        self.finals.insert(id.to_owned(), final_record);
         Some(())
     }
 
@@ -105,7 +106,7 @@
         self.finals.get(id).cloned()
     }
 
-    /// The jobs without a final record.
+    /// The jobs without a final record, with their ids.
     pub(super) fn open_jobs(&self) -> impl Iterator<Item = (&String, &JobRecord)> {
         self.jobs.iter().map(|(id, job)| (id, &job.record))
     }
@@ -138,12 +139,13 @@
 }
 
 impl Simulation {
-    /// Applies a leader's write, unless there is a later leader by now.
+    /// Applies a leader's write unless a later leader has been elected. In an outage of the store
+    /// the write is retried.
     pub(super) fn apply_write(&mut self, write: FencedWrite) {
         if write.fencing_token != self.store.leader_token {
             return;
         }
-        if lasts(self.store.outage_until, self.now) {
+        if is_fault_active(self.store.outage_until, self.now) {
             self.send_after(RETRY_INTERVAL, Message::Write(write));
             return;
         }
@@ -155,9 +157,10 @@
         self.send(Message::Written { leader, write });
     }
 
-    /// Makes a job done, unless there is a later leader or the job has changed.
+    /// Records that a job is done, unless a later leader has been elected or the job has changed.
+    /// In an outage of the store the write is retried.
     pub(super) fn apply_finish(&mut self, finish: FencedFinish) {
-        if lasts(self.store.outage_until, self.now) {
+        if is_fault_active(self.store.outage_until, self.now) {
             self.send_after(RETRY_INTERVAL, Message::Finish(finish));
             return;
         }
@@ -172,7 +175,7 @@
             return;
         };
         if !self.truth.all_completed(&job, stored.record.spec.tasks) {
-            self.violate(Rule::DoneOnlyWhenCompleted, &job);
+            self.record_violation(Rule::DoneOnlyWhenCompleted, &job);
         }
         self.store.finish_job(&job, JobStage::Done);
         let stage = JobStage::Done;
--- a/src/coordination/shard/tests/simulation/leader.rs
+++ b/src/coordination/shard/tests/simulation/leader.rs
@@ -1,5 +1,5 @@
-//! The controller that leads the shard: its failover, its events, and the execution
-//! of the actions that the shard decides.
+//! The simulated leader of the shard: failover, the events that it passes to the shard, and the
+//! execution of the actions that the shard decides.
 
 use std::time::Instant;
 
@@ -7,25 +7,26 @@
 
 use super::network::{CommandBatch, FencedFinish, FencedWrite, HeartbeatAnswer, Message};
 use super::worker::Worker;
-use super::{Simulation, lasts};
+use super::{Simulation, is_fault_active};
 use crate::coordination::shard::tests::fixtures::{machine_types, policy};
 use crate::coordination::shard::{Action, CommandOutcome, HeartbeatOutcome, Shard};
 use crate::protocol::workers::WorkerHeartbeat;
 use crate::protocol::{FencingToken, MachineId};
 
-/// The present leader. Messages to an earlier incarnation do not reach it.
+/// The current leader. Messages to an earlier incarnation do not reach it.
 pub(super) struct Leader {
     incarnation: u64,
     shard: Shard,
 }
 
 impl Simulation {
-    /// The leader is lost; its messages that are under way still arrive.
+    /// Removes the leader. Its messages in flight still arrive.
     pub(crate) fn crash_leader(&mut self) {
         self.leader = None;
     }
 
-    /// A new leader recovers the shard, once the key-value store works.
+    /// Elects a new leader, which recovers the shard. In an outage of the key-value store the
+    /// simulation runs until the outage ends.
     pub(crate) fn elect_leader(&mut self) {
         if let Some(until) = self.store.outage_until.filter(|until| *until > self.now) {
             self.run(until - self.now);
@@ -43,7 +44,7 @@
     }
 
     /// Applies an event to the leader's shard, if there is a leader.
-    pub(super) fn on_leader(&mut self, event: impl FnOnce(&mut Shard)) {
+    pub(super) fn apply_to_leader(&mut self, event: impl FnOnce(&mut Shard)) {
         let now = self.now;
         if let Some(leader) = &mut self.leader {
             event(&mut leader.shard);
@@ -52,11 +53,15 @@
         self.execute_actions();
     }
 
-    /// Applies an event to the leader's shard, if the leader is this incarnation.
-    pub(super) fn on_incarnation(&mut self, incarnation: u64, event: impl FnOnce(&mut Shard)) {
+    /// Applies an event to the leader's shard, if the current leader is this incarnation.
+    pub(super) fn apply_to_incarnation(
+        &mut self,
+        incarnation: u64,
+        event: impl FnOnce(&mut Shard),
+    ) {
         let leader = self.leader.as_ref();
         if leader.is_some_and(|leader| leader.incarnation == incarnation) {
-            self.on_leader(event);
+            self.apply_to_leader(event);
         }
     }
 
@@ -64,23 +69,24 @@
         self.leader.as_ref().map(|leader| &leader.shard)
     }
 
-    /// Reports the delegates' answers to the leader, and lets its time pass.
+    /// Tells the leader when delegates last answered workers, and ticks its shard.
     pub(super) fn tick_leader(&mut self) {
         let now = self.now;
         let answered = self.last_delegated_answer(now);
-        self.on_leader(|shard| shard.note_advance_renewals(answered, now));
-        self.on_leader(|shard| shard.tick(now));
+        self.apply_to_leader(|shard| shard.note_advance_renewals(answered, now));
+        self.apply_to_leader(|shard| shard.tick(now));
     }
 
-    /// When workers were last answered under a delegation of the present leader. A
-    /// delegate that is partitioned with workers may answer them at any time.
+    /// When a delegate last answered a worker under a delegation of the current leader; None if
+    /// none did. Returns `now` while a delegate is partitioned together with workers, since it may
+    /// answer them at any time.
     fn last_delegated_answer(&self, now: Instant) -> Option<Instant> {
         let fencing_token = self.store.leader_token;
-        let may_be_answered = |worker: &Worker| {
+        let has_delegate = |worker: &Worker| {
             let delegation = worker.advance_delegation;
             delegation.is_some_and(|delegation| delegation.fencing_token == fencing_token)
         };
-        match self.workers.values().any(may_be_answered) {
+        match self.workers.values().any(has_delegate) {
             true => Some(now),
             false => self.delegated_answers.get(&fencing_token).copied(),
         }
@@ -124,7 +130,7 @@
             })),
             Action::ReadFinal { job } => {
                 let record = self.store.final_record(&job);
-                self.on_leader(|shard| shard.orphan_job_resolved(&job, record));
+                self.apply_to_leader(|shard| shard.orphan_job_resolved(&job, record));
             }
             Action::Rent(rental) => self.send(Message::Rent { leader, rental }),
             Action::Delete(machines) => self.send(Message::Delete { leader, machines }),
@@ -141,17 +147,18 @@
     }
 
     pub(super) fn receive_heartbeat(&mut self, sent: Instant, heartbeat: &WorkerHeartbeat) {
-        // Another controller would forward it; the worker's next one serves as well.
+        // Another controller would forward the heartbeat. The simulation drops it, since the
+        // worker's next heartbeat has the same effect.
         if self.rng.random_bool(self.faults.misdirection) {
             return;
         }
         let worker = self.workers.get(&heartbeat.machine);
-        if worker.is_some_and(|worker| lasts(worker.outbound_unreachable_until, sent)) {
+        if worker.is_some_and(|worker| is_fault_active(worker.outbound_unreachable_until, sent)) {
             return;
         }
         let now = self.now;
         let mut answer = None;
-        self.on_leader(|shard| {
+        self.apply_to_leader(|shard| {
             if let HeartbeatOutcome::Answer(commands) = shard.heartbeat(heartbeat, now) {
                 answer = Some((shard.fencing_token, commands));
             }
@@ -167,14 +174,15 @@
         }
     }
 
-    /// Only the first answer to a batch counts: then the leader stops waiting.
+    /// Applies only the first answer to a batch of commands: after it the leader does not wait for
+    /// another one.
     pub(super) fn receive_command_answer(&mut self, batch: &CommandBatch, outcome: CommandOutcome) {
         let now = self.now;
         let machine: MachineId = batch.machine.as_str().into();
         let number = batch.number;
-        self.on_incarnation(batch.leader, |shard| {
-            let known = shard.machines().get(&machine);
-            if known.is_some_and(|known| known.commands.awaits(number)) {
+        self.apply_to_incarnation(batch.leader, |shard| {
+            let known_machine = shard.machines().get(&machine);
+            if known_machine.is_some_and(|known| known.commands.awaits(number)) {
                 shard.command_answered(&machine, number, &batch.commands, outcome, now);
             }
         });
--- a/src/coordination/shard/tests/simulation/mod.rs
+++ b/src/coordination/shard/tests/simulation/mod.rs
@@ -1,11 +1,11 @@
-//! A simulation of everything around a shard: the key-value store, the cloud, the
-//! workers, the users, and a network that delays, loses and duplicates messages.
-//! All follow the semantics of PROTOCOL and are driven by one seeded random number
-//! generator, so that a seed always replays the same run.
+//! A simulation of a shard's environment: the key-value store, the cloud, the workers, the users,
+//! and a network that delays, loses and duplicates messages. All of them follow the semantics of
+//! PROTOCOL and draw from one seeded random number generator, so that a seed always replays the
+//! same run.
 //!
-//! [`Simulation::run`] lets time pass step by step and checks the rules on the way;
-//! tests inject faults between the steps and read [`Simulation::violations`] at the
-//! end. The simulation never looks into the shard except to check its counters.
+//! [`Simulation::run`] advances the time step by step and checks the rules as it goes. Tests
+//! inject faults between calls of it and read [`Simulation::violations`] at the end. The simulation
+//! looks into the shard only to check its counters.
 
 mod cloud;
 mod delivery;
@@ -37,41 +37,42 @@
 use crate::protocol::users::JobSpec;
 use crate::protocol::{FencingToken, TaskId};
 
-/// The resolution of the simulated clock.
+/// The step by which the simulated clock advances.
 const STEP: Duration = Duration::from_millis(100);
-/// Steps between two ticks of the shard.
+/// The number of steps between two ticks of the shard.
 const STEPS_PER_TICK: u32 = 2;
-/// Steps between two listings of the cloud's machines, with a check of all rules.
+/// The number of steps between two listings of the cloud's machines. Cancellations and counters
+/// are checked with each listing.
 const STEPS_PER_LISTING: u32 = 30;
 
-/// The odds of faults, for each message.
+/// The probability of each fault, per message.
 pub(super) struct Faults {
     pub(super) loss: f64,
-    /// Odds of a delay of up to one and a half minutes.
+    /// Probability of a delay of up to one and a half minutes.
     pub(super) long_delay: f64,
-    /// Odds that a heartbeat goes to a controller that is not the leader.
+    /// Probability that a heartbeat goes to a controller that is not the leader.
     pub(super) misdirection: f64,
 }
 
-/// Counts that show that a run has tested something.
+/// Counters by which a test shows that its runs have started tasks and gangs.
 #[derive(Default)]
 pub(super) struct Counts {
     pub(super) task_starts: usize,
     pub(super) gang_starts: usize,
-    /// Starts of tasks long after their job's cancellation was confirmed.
+    /// Starts of tasks more than 30 s after their job's cancellation was confirmed.
     pub(super) starts_after_cancellation: usize,
 }
 
-/// What has truly happened, whatever the controllers know of it.
+/// What has actually happened, independent of what the controllers know.
 #[derive(Default)]
 struct GroundTruth {
     specs: BTreeMap<String, Arc<JobSpec>>,
-    /// When a job's cancellation was confirmed to its user.
+    /// By job, when its cancellation was confirmed to the user.
     cancelled_at: BTreeMap<String, Instant>,
     completed: BTreeSet<TaskId>,
-    /// When each started attempt of a gang completes.
+    /// By started gang attempt, when it completes.
     gang_ends: BTreeMap<GangAttempt, Instant>,
-    /// The quota limit of each team, in cores; zero is no limit.
+    /// The quota limit of each team, in cores; zero means no limit.
     quota_limits: HashMap<String, f64>,
 }
 
@@ -80,7 +81,7 @@
         self.specs.get(job).is_some_and(|spec| spec.is_gang())
     }
 
-    /// Whether all of a job's tasks have been completed.
+    /// Whether all tasks of a job with this number of tasks have completed.
     fn all_completed(&self, job: &str, tasks: u32) -> bool {
         let job: Arc<str> = job.into();
         (0..tasks).all(|index| {
@@ -90,7 +91,7 @@
     }
 }
 
-/// A shard and its simulated surroundings.
+/// A shard and its simulated environment.
 pub(super) struct Simulation {
     pub(super) now: Instant,
     pub(super) rng: StdRng,
@@ -103,7 +104,7 @@
     workers: BTreeMap<String, Worker>,
     leader: Option<Leader>,
     leader_incarnations: u64,
-    /// By fencing token, when a delegate last answered a worker on its behalf.
+    /// By a leader's fencing token, when a delegate last answered a worker for that leader.
     delegated_answers: BTreeMap<FencingToken, Instant>,
     truth: GroundTruth,
 }
@@ -135,9 +136,9 @@
         }
     }
 
-    /// Lets time pass.
-    pub(super) fn run(&mut self, time: Duration) {
-        let end = self.now + time;
+    /// Runs the simulation for a duration.
+    pub(super) fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         let mut steps = 0_u32;
         while self.now < end {
             self.now += STEP;
@@ -156,14 +157,14 @@
         }
     }
 
-    /// The key-value store takes no write for a while: user requests are refused,
-    /// and nobody can acquire the shard's lease.
-    pub(super) fn start_store_outage(&mut self, time: Duration) {
-        self.store.outage_until = Some(self.now + time);
+    /// Makes the key-value store refuse writes for a duration: user requests are refused, and no
+    /// controller can acquire the shard's lease.
+    pub(super) fn start_store_outage(&mut self, duration: Duration) {
+        self.store.outage_until = Some(self.now + duration);
     }
 
-    /// From now on no message is lost, late or misdirected, and the store works.
-    /// Faults of single machines last as long as they were set to.
+    /// Ends the faults of the network and of the store: from now on no message is lost, delayed
+    /// long or misdirected. Faults of single machines last until the time for which they were set.
     pub(super) fn end_faults(&mut self) {
         self.faults = Faults {
             loss: 0.0,
@@ -174,7 +175,7 @@
     }
 }
 
-/// Whether a fault that ends then still lasts.
-fn lasts(until: Option<Instant>, now: Instant) -> bool {
+/// Whether a fault that lasts until `until` is still active; None means that no fault is set.
+fn is_fault_active(until: Option<Instant>, now: Instant) -> bool {
     until.is_some_and(|until| until > now)
 }
--- a/src/coordination/shard/tests/simulation/network.rs
+++ b/src/coordination/shard/tests/simulation/network.rs
@@ -1,5 +1,5 @@
-//! Messages under way, and the delays that the network adds to them (PROTOCOL, "Delayed
-//! messages").
+//! The simulated network: messages in flight, and the delays that the network adds to them
+//! (PROTOCOL, "Delayed messages").
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -17,12 +17,13 @@
 pub(super) const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
 /// The usual delay of a message, in milliseconds.
 const USUAL_DELAY_MS: std::ops::Range<u64> = 1..60;
-/// What a long delay adds, in milliseconds.
+/// The additional delay of a message with a long delay, in milliseconds.
 const LONG_DELAY_MS: std::ops::Range<u64> = 500..90_000;
-/// What it adds to watch events: a watch that hangs is soon dropped and renewed.
+/// The additional delay of a watch event with a long delay, in milliseconds. It is shorter because
+/// a watch that hangs is soon dropped and renewed.
 const LONG_WATCH_DELAY_MS: std::ops::Range<u64> = 500..5_000;
 
-/// Commands of a leader to one worker.
+/// A batch of commands from a leader to one worker.
 #[derive(Debug, Clone)]
 pub(super) struct CommandBatch {
     /// The incarnation of the leader that waits for the answer.
@@ -45,7 +46,7 @@
     pub(super) commands: Vec<Command>,
 }
 
-/// A write of a leader, on the condition that it still leads.
+/// A leader's write, which is applied only if the leader still leads.
 #[derive(Debug, Clone)]
 pub(super) struct FencedWrite {
     pub(super) leader: u64,
@@ -53,8 +54,8 @@
     pub(super) write: ShardWrite,
 }
 
-/// A leader's record that a job is done, on the condition that it still leads and
-/// that the job has not changed.
+/// A leader's record that a job is done, which is written only if the leader still leads and the
+/// job has not changed.
 #[derive(Debug, Clone)]
 pub(super) struct FencedFinish {
     pub(super) fencing_token: FencingToken,
@@ -62,7 +63,7 @@
     pub(super) mod_revision: u64,
 }
 
-/// A machine that the cloud boots.
+/// A rented machine that the cloud boots.
 #[derive(Debug, Clone)]
 pub(super) struct Boot {
     pub(super) id: String,
@@ -76,8 +77,8 @@
         sent: Instant,
         heartbeat: WorkerHeartbeat,
     },
-    /// A second copy of a heartbeat, seconds to well over a lease late. Nobody waits
-    /// for its answer.
+    /// A second copy of a heartbeat, which arrives one second to well over the duration of a lease
+    /// late. The answer to it reaches no worker.
     DuplicateHeartbeat(WorkerHeartbeat),
     HeartbeatAnswer(HeartbeatAnswer),
     Commands(CommandBatch),
@@ -91,7 +92,7 @@
         write: ShardWrite,
     },
     Finish(FencedFinish),
-    /// A watch event: the job has a final record.
+    /// The watch event that a job has a final record.
     JobFinished {
         job: String,
         stage: JobStage,
@@ -117,7 +118,8 @@
 }
 
 impl Message {
-    /// The worker that sends or receives it.
+    /// The worker that sends or receives the message; None for messages that no partition of a
+    /// worker holds back.
     fn worker(&self) -> Option<&str> {
         match self {
             Self::Heartbeat { heartbeat, .. } => Some(&heartbeat.machine),
@@ -128,21 +130,21 @@
     }
 }
 
-/// The messages under way, in the order of their arrival. Unbounded: a test's run
+/// The messages in flight, in the order of their arrival. The queue is unbounded because a test run
 /// sends a bounded number of messages.
 #[derive(Default)]
 pub(super) struct Network {
     queue: BTreeMap<(Instant, u64), Message>,
-    sent: u64,
+    sent_messages: u64,
 }
 
 impl Network {
     fn push(&mut self, arrival: Instant, message: Message) {
-        self.sent += 1;
-        self.queue.insert((arrival, self.sent), message);
+        self.sent_messages += 1;
+        self.queue.insert((arrival, self.sent_messages), message);
     }
 
-    /// Takes the next message that has arrived by then.
+    /// Removes and returns the next message that has arrived by `now`; None if there is none.
     pub(super) fn pop(&mut self, now: Instant) -> Option<Message> {
         let (&(arrival, _), _) = self.queue.first_key_value()?;
         if arrival > now {
@@ -153,13 +155,13 @@
 }
 
 impl Simulation {
-    /// Delivers a message after exactly this delay.
+    /// Sends a message that arrives after exactly this delay.
     pub(super) fn send_after(&mut self, delay: Duration, message: Message) {
         self.network.push(self.now + delay, message);
     }
 
-    /// Delivers a message after a random delay, and not before the partition of its
-    /// worker ends.
+    /// Sends a message that arrives after a random delay. If its worker is partitioned, the
+    /// remaining time of the partition is added.
     pub(super) fn send(&mut self, message: Message) {
         let mut delay = self.random_delay(&message);
         let partitioned_until = message
@@ -185,7 +187,8 @@
         usual + Duration::from_millis(self.rng.random_range(long))
     }
 
-    /// The leader stops waiting long before late commands or answers arrive.
+    /// Sends the leader a timeout if its commands or the answer to them are delayed by more than
+    /// [`COMMAND_TIMEOUT`].
     fn time_out_commands(&mut self, message: &Message, delay: Duration) {
         if delay <= COMMAND_TIMEOUT {
             return;
@@ -195,7 +198,7 @@
         }
     }
 
-    /// The leader's wait for an answer ends without one.
+    /// Ends the leader's wait for the answer to a batch after [`COMMAND_TIMEOUT`].
     pub(super) fn send_no_answer(&mut self, batch: CommandBatch) {
         let outcome = CommandOutcome::NoAnswer;
         self.send_after(COMMAND_TIMEOUT, Message::CommandAnswer { batch, outcome });
--- a/src/coordination/shard/tests/simulation/users.rs
+++ b/src/coordination/shard/tests/simulation/users.rs
@@ -1,16 +1,16 @@
-//! The users: they submit and cancel jobs. In an outage of the key-value store
-//! their requests are refused.
+//! The simulated users, who submit and cancel jobs. In an outage of the key-value store their
+//! requests are refused.
 
 use std::sync::Arc;
 
 use super::network::Message;
-use super::{Simulation, lasts};
+use super::{Simulation, is_fault_active};
 use crate::coordination::shard::tests::fixtures::record;
 use crate::protocol::users::{JobSpec, JobStage};
 
 impl Simulation {
     pub(crate) fn submit(&mut self, id: &str, spec: JobSpec) {
-        if lasts(self.store.outage_until, self.now) {
+        if is_fault_active(self.store.outage_until, self.now) {
             return;
         }
         let record = record(spec);
@@ -18,11 +18,11 @@
         self.truth.specs.insert(id.to_owned(), spec);
         let mod_revision = self.store.create_job(id, record.clone());
         let now = self.now;
-        self.on_leader(|shard| shard.job_accepted(id, mod_revision, record, now));
+        self.apply_to_leader(|shard| shard.job_accepted(id, mod_revision, record, now));
     }
 
     pub(crate) fn cancel(&mut self, id: &str) {
-        if lasts(self.store.outage_until, self.now) {
+        if is_fault_active(self.store.outage_until, self.now) {
             return;
         }
         if self.store.finish_job(id, JobStage::Cancelled).is_none() {
@@ -39,8 +39,8 @@
         self.store.open_jobs().map(|(id, _)| id.clone()).collect()
     }
 
-    /// Cancels the first job whose tasks are all completed while its final record is
-    /// not written yet, if there is one.
+    /// Cancels the first job of which all tasks have completed but the final record is not written
+    /// yet, if there is such a job.
     pub(crate) fn cancel_completed_job(&mut self) {
         let completed = self
             .store
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Cancels all services, which would never end; returns how many.
+    /// Cancels all services, since they never end by themselves; returns their number.
     pub(crate) fn cancel_services(&mut self) -> usize {
         let services = self.store.open_services();
         for id in &services {
--- a/src/coordination/shard/tests/simulation/worker.rs
+++ b/src/coordination/shard/tests/simulation/worker.rs
@@ -1,10 +1,10 @@
-//! One worker: its tasks, its agent epoch and lease, and the faults of its machine.
+//! One simulated worker: its tasks, its agent epoch and lease, and the faults of its machine.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use super::network::{Boot, CommandBatch, HeartbeatAnswer};
-use super::{GroundTruth, lasts};
+use super::{GroundTruth, is_fault_active};
 use crate::coordination::shard::tests::fixtures::{ADVANCE_DELEGATION, WORKER_LEASE};
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState, TaskStatus, WorkerHeartbeat};
@@ -17,11 +17,11 @@
 pub(super) struct WorkerTask {
     pub(super) state: TaskState,
     pub(super) outcome: Option<AttemptOutcome>,
-    /// When its image is fetched.
+    /// When the fetch of its image completes.
     fetched_at: Instant,
     ends_at: Instant,
-    /// A gang's task: since when it has waited for the others, or has run without
-    /// all of them.
+    /// For a task of a gang: since when it has waited for the other tasks, or has run although some
+    /// of them were missing.
     pub(super) incomplete_since: Instant,
 }
 
@@ -31,8 +31,8 @@
         self.outcome = Some(outcome);
     }
 
-    /// Starts the task once its image is fetched, and completes it when its time has
-    /// passed. A gang's tasks wait, to be started together.
+    /// Starts the task once its image is fetched, and completes it when its run time has passed. A
+    /// task of a gang waits instead, so that all tasks of the gang start together.
     fn advance(&mut self, task: &TaskId, truth: &mut GroundTruth, now: Instant) -> Transition {
         match self.state {
             TaskState::Fetching if self.fetched_at <= now => {
@@ -62,6 +62,7 @@
     }
 }
 
+/// How one step has changed a task.
 #[derive(PartialEq)]
 enum Transition {
     None,
@@ -69,14 +70,15 @@
     Ended,
 }
 
-/// Renewals of a worker's lease that a delegate may answer during a partition.
+/// A delegation granted in advance, under which a delegate renews a worker's lease during a
+/// partition.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AdvanceDelegation {
     pub(super) fencing_token: FencingToken,
     expires_at: Instant,
 }
 
-/// How long the image of a launched task takes, and how long the task then runs.
+/// How long the fetch of a launched task's image takes, and how long the task runs after it.
 pub(super) struct LaunchTimes {
     pub(super) fetch: Duration,
     pub(super) run: Duration,
@@ -90,22 +92,23 @@
     agent_epoch: u64,
     sequence: u64,
     fencing_token: FencingToken,
-    /// When the last heartbeat that was answered left, or the agent epoch began: its
-    /// lease runs from here.
+    /// When the worker sent the last heartbeat that was answered, or began its agent epoch. Its
+    /// lease runs from this time.
     lease_renewed_at: Instant,
     pub(super) next_heartbeat: Instant,
     /// By task and attempt number.
     pub(super) tasks: BTreeMap<(TaskId, u64), WorkerTask>,
-    /// All messages to and from it are held until then.
+    /// The time until which all messages to and from the worker are held back.
     pub(super) partitioned_until: Option<Instant>,
     pub(super) advance_delegation: Option<AdvanceDelegation>,
-    /// The process does nothing until then.
+    /// The time until which the worker process does nothing.
     pub(super) hangs_until: Option<Instant>,
-    /// Neither answers nor commands reach it until then.
+    /// The time until which neither answers nor commands reach the worker.
     pub(super) inbound_unreachable_until: Option<Instant>,
-    /// None of its heartbeats reaches a controller until then.
+    /// The time until which no heartbeat of the worker reaches a controller.
     pub(super) outbound_unreachable_until: Option<Instant>,
-    pub(super) dead: bool,
+    /// Whether the machine has stopped for good.
+    pub(super) is_dead: bool,
 }
 
 impl Worker {
@@ -125,7 +128,7 @@
             hangs_until: None,
             inbound_unreachable_until: None,
             outbound_unreachable_until: None,
-            dead: false,
+            is_dead: false,
         }
     }
 
@@ -151,29 +154,29 @@
         }
     }
 
-    /// Whether the worker takes an answer, which renews its lease.
+    /// Renews the lease if the worker accepts an answer to a heartbeat; returns whether it does.
     pub(super) fn accept_answer(&mut self, answer: &HeartbeatAnswer, now: Instant) -> bool {
-        let acceptable = !self.dead
+        let is_acceptable = !self.is_dead
             && now - answer.sent <= HEARTBEAT_TIMEOUT
-            && !lasts(self.inbound_unreachable_until, now)
+            && !is_fault_active(self.inbound_unreachable_until, now)
             && self.agent_epoch == answer.agent_epoch
             && answer.fencing_token >= self.fencing_token;
-        if acceptable {
+        if is_acceptable {
             self.fencing_token = answer.fencing_token;
             self.lease_renewed_at = self.lease_renewed_at.max(answer.sent);
         }
-        acceptable
+        is_acceptable
     }
 
-    /// Whether the worker takes commands: not those of an earlier leader, and not
-    /// those to an ended agent epoch.
+    /// Adopts the fencing token of commands that the worker accepts; returns whether it accepts
+    /// them. It refuses commands of an earlier leader and commands to an ended agent epoch.
     pub(super) fn accept_commands(&mut self, batch: &CommandBatch) -> bool {
-        let acceptable =
+        let is_acceptable =
             batch.fencing_token >= self.fencing_token && batch.agent_epoch == self.agent_epoch;
-        if acceptable {
+        if is_acceptable {
             self.fencing_token = batch.fencing_token;
         }
-        acceptable
+        is_acceptable
     }
 
     pub(super) fn execute(&mut self, command: &Command, times: &LaunchTimes, now: Instant) {
@@ -208,15 +211,16 @@
             ends_at: now + times.fetch + times.run,
             incomplete_since: now,
         };
-        let mut others = self.tasks.iter();
-        if others.any(|((other, _), state)| other == task && state.state != TaskState::Ended) {
+        let mut attempts = self.tasks.iter();
+        if attempts.any(|((other, _), state)| other == task && state.state != TaskState::Ended) {
             state.end(AttemptOutcome::Busy);
         }
         self.tasks.insert(key, state);
         self.next_heartbeat = now;
     }
 
-    /// A partition that ends ends the delegation with it.
+    /// Clears the partition if its time has passed. The delegation ends with the partition, or when
+    /// it expires.
     pub(super) fn expire_partition(&mut self, now: Instant) {
         self.partitioned_until = self.partitioned_until.filter(|until| *until > now);
         let partitioned = self.partitioned_until.is_some();
@@ -225,8 +229,8 @@
             .filter(|delegation| partitioned && delegation.expires_at > now);
     }
 
-    /// On lease expiry the worker kills its tasks and begins a new agent epoch; also
-    /// a process that hangs does, so that it can continue only within its lease.
+    /// If the lease has expired, kills the tasks and begins a new agent epoch. This also applies to
+    /// a process that hangs, so that its tasks can continue only within the lease.
     pub(super) fn expire_lease(&mut self, now: Instant) {
         if now - self.lease_renewed_at > WORKER_LEASE {
             self.agent_epoch += 1;
@@ -237,7 +241,7 @@
         }
     }
 
-    /// Advances all tasks; returns those that have started.
+    /// Advances all tasks by one step; returns those that have started.
     pub(super) fn advance_tasks(&mut self, truth: &mut GroundTruth, now: Instant) -> Vec<TaskId> {
         let mut started = Vec::new();
         for ((task, _), state) in &mut self.tasks {
@@ -252,7 +256,8 @@
         started
     }
 
-    /// Sets a partition. A worker that is partitioned already can't get a delegation.
+    /// Partitions the worker until a time; with a fencing token, a delegate renews its lease
+    /// meanwhile. A worker that is partitioned already gets no delegation.
     pub(super) fn partition(
         &mut self,
         until: Instant,
@@ -268,8 +273,9 @@
         self.partitioned_until = Some(until);
     }
 
-    /// A delegate renews the lease, and stops tasks whose jobs were cancelled before
-    /// the partition. Returns the fencing token of the delegation.
+    /// Lets the delegate renew the lease and stop tasks whose jobs were cancelled before the
+    /// partition. Returns the fencing token of the delegation; None if no delegate renews the
+    /// lease.
     pub(super) fn renew_by_delegate(
         &mut self,
         truth: &GroundTruth,
@@ -283,8 +289,9 @@
         self.lease_renewed_at = now;
         for ((task, _), state) in &mut self.tasks {
             let cancelled_at = truth.cancelled_at.get(&*task.job);
-            let before = |at: &Instant| *at + ADVANCE_DELEGATION <= delegation.expires_at;
-            if cancelled_at.is_some_and(before) && state.outcome.is_none() {
+            let is_before_partition =
+                |at: &Instant| *at + ADVANCE_DELEGATION <= delegation.expires_at;
+            if cancelled_at.is_some_and(is_before_partition) && state.outcome.is_none() {
                 state.end(AttemptOutcome::Stopped);
             }
         }
--- a/src/coordination/shard/tests/simulation/workers.rs
+++ b/src/coordination/shard/tests/simulation/workers.rs
@@ -1,4 +1,4 @@
-//! All workers together: their steps, the messages to them, and faults of their
+//! The simulated workers together: their steps, the messages to them, and the faults of their
 //! machines.
 
 use std::time::Duration;
@@ -7,19 +7,19 @@
 
 use super::network::{CommandBatch, HeartbeatAnswer, Message};
 use super::worker::{LaunchTimes, Worker};
-use super::{STEP, Simulation, lasts};
+use super::{STEP, Simulation, is_fault_active};
 use crate::coordination::shard::CommandOutcome;
 use crate::protocol::workers::{Command, WorkerHeartbeat};
 
-/// Share of the heartbeats that the network duplicates.
-const DUPLICATES: f64 = 0.1;
-/// How late a duplicate arrives, in milliseconds.
+/// The share of heartbeats that the network duplicates.
+const DUPLICATE_SHARE: f64 = 0.1;
+/// How long after the sending of a heartbeat its duplicate arrives, in milliseconds.
 const DUPLICATE_DELAY_MS: std::ops::Range<u64> = 1_000..60_000;
 /// The interval between two heartbeats, in milliseconds.
 const HEARTBEAT_INTERVAL_MS: std::ops::Range<u64> = 2250..3750;
-/// How long an image takes to fetch, in milliseconds.
+/// How long the fetch of an image takes, in milliseconds.
 const FETCH_TIME_MS: std::ops::Range<u64> = 0..3000;
-/// How long a task, or a gang, runs, in milliseconds.
+/// How long a task or a gang runs, in milliseconds.
 pub(super) const RUN_TIME_MS: std::ops::Range<u64> = 2000..20_000;
 
 impl Simulation {
@@ -31,12 +31,12 @@
 
     fn step_worker(&mut self, id: &str) {
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(id).filter(|worker| !worker.dead) else {
+        let Some(worker) = self.workers.get_mut(id).filter(|worker| !worker.is_dead) else {
             return;
         };
         worker.expire_partition(now);
         worker.expire_lease(now);
-        if lasts(worker.hangs_until, now) {
+        if is_fault_active(worker.hangs_until, now) {
             return;
         }
         worker.hangs_until = None;
@@ -56,7 +56,7 @@
     }
 
     fn send_heartbeat(&mut self, heartbeat: WorkerHeartbeat) {
-        if self.rng.random_bool(DUPLICATES) {
+        if self.rng.random_bool(DUPLICATE_SHARE) {
             let delay = Duration::from_millis(self.rng.random_range(DUPLICATE_DELAY_MS));
             self.send_after(delay, Message::DuplicateHeartbeat(heartbeat.clone()));
         }
@@ -75,10 +75,10 @@
     pub(super) fn receive_commands(&mut self, batch: CommandBatch) {
         let now = self.now;
         let worker = self.workers.get_mut(&batch.machine);
-        let Some(worker) = worker.filter(|worker| !worker.dead) else {
+        let Some(worker) = worker.filter(|worker| !worker.is_dead) else {
             return;
         };
-        if lasts(worker.inbound_unreachable_until, now) {
+        if is_fault_active(worker.inbound_unreachable_until, now) {
             self.send_no_answer(batch);
             return;
         }
@@ -94,7 +94,7 @@
         self.answer_commands(batch, accepted);
     }
 
-    /// A worker answers commands with a heartbeat, which may be lost.
+    /// Answers commands with a heartbeat, which the network may lose.
     fn answer_commands(&mut self, batch: CommandBatch, accepted: bool) {
         let Some(worker) = self.workers.get_mut(&batch.machine) else {
             return;
@@ -117,7 +117,7 @@
             return;
         };
         for command in commands {
-            // Drawn for each command, so that a seed replays the same run.
+            // The times are drawn for every kind of command, so that a seed replays the same run.
             let times = LaunchTimes {
                 fetch: Duration::from_millis(self.rng.random_range(FETCH_TIME_MS)),
                 run: Duration::from_millis(self.rng.random_range(RUN_TIME_MS)),
@@ -126,38 +126,39 @@
         }
     }
 
-    /// Holds all messages of a machine. Half of the time the leader has delegated
-    /// the renewal of its lease in advance.
-    pub(crate) fn partition(&mut self, id: &str, time: Duration) {
-        let delegated = self.rng.random_bool(0.5);
-        let fencing_token = delegated.then_some(self.store.leader_token);
+    /// Partitions a machine for a duration, which holds back the messages to and from it. With a
+    /// probability of one half, the leader has delegated the renewal of its lease in advance.
+    pub(crate) fn partition(&mut self, id: &str, duration: Duration) {
+        let is_delegated = self.rng.random_bool(0.5);
+        let fencing_token = is_delegated.then_some(self.store.leader_token);
         let now = self.now;
         self.set_fault(id, |worker| {
-            worker.partition(now + time, fencing_token, now);
+            worker.partition(now + duration, fencing_token, now);
         });
     }
 
-    pub(crate) fn hang(&mut self, id: &str, time: Duration) {
-        let until = Some(self.now + time);
+    /// Makes the worker process of a machine do nothing for a duration.
+    pub(crate) fn hang(&mut self, id: &str, duration: Duration) {
+        let until = Some(self.now + duration);
         self.set_fault(id, |worker| worker.hangs_until = until);
     }
 
-    /// Neither answers nor commands reach the machine for a while.
-    pub(crate) fn block_inbound(&mut self, id: &str, time: Duration) {
-        let until = Some(self.now + time);
+    /// Keeps answers and commands from reaching a machine for a duration.
+    pub(crate) fn block_inbound(&mut self, id: &str, duration: Duration) {
+        let until = Some(self.now + duration);
         self.set_fault(id, |worker| worker.inbound_unreachable_until = until);
     }
 
-    /// The machine's heartbeats reach no controller for a while.
-    pub(crate) fn block_outbound(&mut self, id: &str, time: Duration) {
-        let until = Some(self.now + time);
+    /// Keeps the heartbeats of a machine from reaching a controller for a duration.
+    pub(crate) fn block_outbound(&mut self, id: &str, duration: Duration) {
+        let until = Some(self.now + duration);
         self.set_fault(id, |worker| worker.outbound_unreachable_until = until);
     }
 
-    /// The machine stops for good, but stays listed until it is deleted.
+    /// Stops a machine for good. The cloud lists it until it is deleted.
     pub(crate) fn kill(&mut self, id: &str) {
         self.set_fault(id, |worker| {
-            worker.dead = true;
+            worker.is_dead = true;
             worker.tasks.clear();
         });
     }
