--- a/src/coordination/shard/tests/failing_jobs.rs
+++ b/src/coordination/shard/tests/failing_jobs.rs
@@ -127,7 +127,7 @@
     assert!(tried);
     run_one_second(&mut script, &MACHINES, &fixed);
     for id in MACHINES {
-        script.all_ended(id, AttemptOutcome::Done);
+        script.report_all_ended(id, AttemptOutcome::Done);
     }
     run_one_second(&mut script, &MACHINES, &fixed);
     let job = &script.shard.jobs()["run-9"];
@@ -151,13 +151,13 @@
     assert!(!machine.health.is_cordoned(), "the jobs may be faulty");
     assert!(!machine.is_schedulable(script.now, &script.shard.policy));
     for id in &MACHINES[1..] {
-        script.all_ended(id, AttemptOutcome::Done);
+        script.report_all_ended(id, AttemptOutcome::Done);
     }
     for _ in 0..3 {
         run_one_second(&mut script, &MACHINES, &faulty);
     }
     for id in &MACHINES[1..] {
-        script.all_ended(id, AttemptOutcome::Done);
+        script.report_all_ended(id, AttemptOutcome::Done);
     }
     run_one_second(&mut script, &MACHINES, &faulty);
     assert!(
--- a/src/coordination/shard/tests/gangs/attempts.rs
+++ b/src/coordination/shard/tests/gangs/attempts.rs
@@ -19,7 +19,7 @@
         script.submit("run-1", gang(2, 8.0));
         assert_eq!(script.execute_launches().len(), 2);
         for id in ["vm-1", "vm-2"] {
-            script.all_in_state(id, TaskState::Running);
+            script.report_all_in_state(id, TaskState::Running);
         }
         assert_eq!(script.execute_stops(), []);
         let mut preemption_notice = script.heartbeat_with_all("vm-1", TaskState::Running, None);
@@ -45,8 +45,8 @@
     let launches = script.execute_launches();
     let attempt_number = launches[0].attempt;
     let (waiting, lost) = (launches[0].machine.clone(), launches[1].machine.clone());
-    script.all_in_state(&waiting, TaskState::Waiting);
-    script.all_ended(&lost, AttemptOutcome::Error);
+    script.report_all_in_state(&waiting, TaskState::Waiting);
+    script.report_all_ended(&lost, AttemptOutcome::Error);
     let replacements = script.execute_launches();
     assert_eq!(replacements.len(), 1);
     assert_eq!(
@@ -60,15 +60,15 @@
     assert_eq!(script.execute_stops(), []);
     // The replacement is lost as well, and the time left to wait is too short to fetch another
     // image: the whole attempt is stopped.
-    script.all_ended(&replacements[0].machine, AttemptOutcome::Error);
+    script.report_all_ended(&replacements[0].machine, AttemptOutcome::Error);
     script.batches();
     script.now += GANG_WAIT / 2;
-    script.all_in_state(&waiting, TaskState::Waiting);
+    script.report_all_in_state(&waiting, TaskState::Waiting);
     assert_eq!(script.execute_stops(), [Stopped::new(&waiting, 0.0)]);
     // The next attempt has a new number, and starts only after all tasks of this attempt have
     // ended.
     assert_eq!(script.execute_launches(), []);
-    script.all_ended(&waiting, AttemptOutcome::Stopped);
+    script.report_all_ended(&waiting, AttemptOutcome::Stopped);
     script.add_machines(&["vm-4", "vm-5"]);
     script.advance(seconds(3));
     let next = script.execute_launches();
@@ -86,7 +86,7 @@
     let launches = script.execute_launches();
     let (lost, surviving) = (launches[0].machine.clone(), launches[1].machine.clone());
     for id in [&lost, &surviving] {
-        script.all_in_state(id, TaskState::Running);
+        script.report_all_in_state(id, TaskState::Running);
     }
     // The worker of the lost task begins a new agent epoch, so that the task has ended.
     let mut restarted = script.heartbeat_of(&lost, TOKEN, Vec::new());
@@ -101,7 +101,7 @@
     assert_eq!(stop.and_then(|a| a.stop_grace()), Some(Duration::ZERO));
     script.advance(seconds(1));
     script.execute_stops();
-    script.all_ended(&surviving, AttemptOutcome::GangPeerLost);
+    script.report_all_ended(&surviving, AttemptOutcome::GangPeerLost);
     let next = script.execute_launches();
     assert_eq!(next.len(), 2);
     assert!(
@@ -120,9 +120,9 @@
     let launches = script.execute_launches();
     let (done, lost) = (launches[0].machine.clone(), launches[1].machine.clone());
     for id in [&done, &lost] {
-        script.all_in_state(id, TaskState::Running);
+        script.report_all_in_state(id, TaskState::Running);
     }
-    script.all_ended(&done, AttemptOutcome::Done);
+    script.report_all_ended(&done, AttemptOutcome::Done);
     assert!(script.shard.jobs()["run-1"].all_done());
     let mut restarted = script.heartbeat_of(&lost, TOKEN, Vec::new());
     restarted.agent_epoch = 2;
@@ -141,7 +141,7 @@
     script.submit("run-1", gang(2, 8.0));
     let launches = script.execute_launches();
     for Launched { machine: id, .. } in &launches {
-        script.all_ended(id, AttemptOutcome::GangIncomplete);
+        script.report_all_ended(id, AttemptOutcome::GangIncomplete);
     }
     assert_eq!(script.execute_launches(), []);
     for id in ["vm-1", "vm-2"] {
@@ -161,8 +161,8 @@
     script.submit("run-1", gang(2, 8.0));
     let launches = script.execute_launches();
     let (waiting, refused) = (launches[0].machine.clone(), launches[1].machine.clone());
-    script.all_in_state(&waiting, TaskState::Waiting);
-    script.all_ended(&refused, AttemptOutcome::NoRoom);
+    script.report_all_in_state(&waiting, TaskState::Waiting);
+    script.report_all_ended(&refused, AttemptOutcome::NoRoom);
     // The retry is due, and the machine that refused the task has free capacity again.
     script.advance(seconds(1));
     assert_eq!(
--- a/src/coordination/shard/tests/gangs/faults.rs
+++ b/src/coordination/shard/tests/gangs/faults.rs
@@ -23,14 +23,14 @@
     assert_eq!(first.len(), 2, "16 of 16 cores");
     let hosts: Vec<String> = first.iter().map(|launch| launch.machine.clone()).collect();
     for id in &hosts {
-        script.all_in_state(id, TaskState::Running);
+        script.report_all_in_state(id, TaskState::Running);
     }
-    script.all_ended(&hosts[0], AttemptOutcome::Error);
+    script.report_all_ended(&hosts[0], AttemptOutcome::Error);
     for _ in 0..3 {
         script.advance(seconds(1));
         assert_eq!(script.execute_launches(), [], "one task may still run");
     }
-    script.all_ended(&hosts[1], AttemptOutcome::GangPeerLost);
+    script.report_all_ended(&hosts[1], AttemptOutcome::GangPeerLost);
     script.advance(seconds(1));
     let next = script.execute_launches();
     assert_eq!(next.len(), 2);
@@ -51,7 +51,7 @@
     };
     script.submit("run-1", bound);
     assert_eq!(script.execute_launches().len(), 1);
-    script.all_in_state("vm-3", TaskState::Running);
+    script.report_all_in_state("vm-3", TaskState::Running);
     script
         .shard
         .set_partitioned_zones(["south".to_owned()].into());
@@ -76,7 +76,7 @@
     script
         .shard
         .job_finished("run-1", Some(JobStage::Cancelled));
-    script.all_ended("vm-3", AttemptOutcome::Stopped);
+    script.report_all_ended("vm-3", AttemptOutcome::Stopped);
     script.advance(seconds(1));
     let mut started: Vec<String> = script
         .execute_launches()
@@ -102,12 +102,12 @@
         let late_heartbeat = script.heartbeat_with_all(&host, state, outcome);
         // The first attempt ends, and the second one runs.
         for id in [&host, &other] {
-            script.all_ended(id, AttemptOutcome::GangPeerLost);
+            script.report_all_ended(id, AttemptOutcome::GangPeerLost);
         }
         script.advance(seconds(4));
         let attempt_number = script.execute_launches()[0].attempt;
         for id in ["vm-1", "vm-2"] {
-            script.all_in_state(id, TaskState::Running);
+            script.report_all_in_state(id, TaskState::Running);
         }
         script.execute_launches();
         script.shard.heartbeat(&late_heartbeat, script.now);
@@ -128,7 +128,7 @@
 fn a_gang_cancelled_as_it_completes_is_not_started_again() {
     let mut script = ScriptedShard::empty();
     let (done, other) = run_gang_of_two(&mut script);
-    script.all_ended(&done, AttemptOutcome::Done);
+    script.report_all_ended(&done, AttemptOutcome::Done);
     let is_finish = |action: &Action| matches!(action, Action::Finish { .. });
     assert!(script.actions.iter().any(is_finish));
     script
@@ -136,7 +136,7 @@
         .job_finished("run-1", Some(JobStage::Cancelled));
     script.advance(seconds(1));
     assert_eq!(script.execute_launches(), []);
-    script.all_ended(&other, AttemptOutcome::Done);
+    script.report_all_ended(&other, AttemptOutcome::Done);
     script.advance(seconds(1));
     assert_eq!(script.execute_launches(), []);
     assert!(
@@ -153,7 +153,7 @@
     let mut script = ScriptedShard::empty();
     let (hanging, other) = run_gang_of_two(&mut script);
     script.add_machines(&["vm-3", "vm-4"]);
-    script.all_ended(&other, AttemptOutcome::GangPeerLost);
+    script.report_all_ended(&other, AttemptOutcome::GangPeerLost);
     for _ in 0..5 {
         script.advance(seconds(1));
         for batch in script.batches() {
@@ -175,7 +175,7 @@
         Some(Duration::ZERO)
     );
     assert_eq!(script.shard.jobs()["run-1"].live().len(), 1);
-    script.all_ended(&hanging, AttemptOutcome::GangPeerLost);
+    script.report_all_ended(&hanging, AttemptOutcome::GangPeerLost);
     script.advance(seconds(2));
     assert_eq!(
         script.shard.jobs()["run-1"].live().len(),
--- a/src/coordination/shard/tests/gangs/mod.rs
+++ b/src/coordination/shard/tests/gangs/mod.rs
@@ -34,7 +34,7 @@
     launches.sort_by_key(|launch| launch.task);
     let hosts = (launches[0].machine.clone(), launches[1].machine.clone());
     for id in ["vm-1", "vm-2"] {
-        script.all_in_state(id, TaskState::Running);
+        script.report_all_in_state(id, TaskState::Running);
     }
     hosts
 }
--- a/src/coordination/shard/tests/gangs/placement.rs
+++ b/src/coordination/shard/tests/gangs/placement.rs
@@ -48,7 +48,7 @@
     assert_eq!(script.execute_stops().len(), 3);
     for id in ["vm-1", "vm-2", "vm-3"] {
         if !script.machine(id).attempts.is_empty() {
-            script.all_ended(id, AttemptOutcome::Stopped);
+            script.report_all_ended(id, AttemptOutcome::Stopped);
         }
     }
     assert_eq!(script.execute_launches().len(), 2);
@@ -94,7 +94,7 @@
     script.advance(seconds(4));
     // One machine becomes free, then the other one.
     for (id, expected) in [("vm-1", 0), ("vm-2", 2)] {
-        script.all_ended(id, AttemptOutcome::Done);
+        script.report_all_ended(id, AttemptOutcome::Done);
         let launches = script.execute_launches();
         assert_eq!(launches.len(), expected, "{id}: {launches:?}");
     }
@@ -135,7 +135,7 @@
         .map(|launch| launch.machine.clone())
         .collect();
     for id in &hosts {
-        script.all_in_state(id, TaskState::Waiting);
+        script.report_all_in_state(id, TaskState::Waiting);
     }
     // Each gang loses one machine, and one new machine joins.
     let lost = ["run-1", "run-2"].map(|job| script.shard.jobs()[job].live()[&0].clone());
--- a/src/coordination/shard/tests/scripted_workers.rs
+++ b/src/coordination/shard/tests/scripted_workers.rs
@@ -76,13 +76,13 @@
     }
 
     /// Receives a heartbeat in which all attempts of a machine are in one state.
-    pub(super) fn all_in_state(&mut self, id: &str, state: TaskState) {
+    pub(super) fn report_all_in_state(&mut self, id: &str, state: TaskState) {
         let heartbeat = self.heartbeat_with_all(id, state, None);
         self.receive(&heartbeat);
     }
 
     /// Receives a heartbeat in which all attempts of a machine have ended.
-    pub(super) fn all_ended(&mut self, id: &str, outcome: AttemptOutcome) {
+    pub(super) fn report_all_ended(&mut self, id: &str, outcome: AttemptOutcome) {
         let heartbeat = self.heartbeat_with_all(id, TaskState::Ended, Some(outcome));
         self.receive(&heartbeat);
     }
