--- a/src/coordination/shard/machines/set.rs
+++ b/src/coordination/shard/machines/set.rs
@@ -142,7 +142,7 @@
 
     /// Whether the cached load of every machine that is not marked as changed equals a new count.
     #[cfg(test)]
-    pub fn loads_hold(&self) -> bool {
+    pub fn are_loads_consistent(&self) -> bool {
         self.all
             .values()
             .filter(|machine| !self.changed.contains(&machine.id))
--- a/src/coordination/shard/tests/simulation/rules.rs
+++ b/src/coordination/shard/tests/simulation/rules.rs
@@ -128,7 +128,7 @@
         let Some(shard) = self.leader_shard() else {
             return;
         };
-        let are_loads_consistent = shard.machines().loads_hold();
+        let are_loads_consistent = shard.machines().are_loads_consistent();
         let is_miscounted = |job: &&Job| job.waiting() != job.recount_waiting();
         let miscounted = shard.jobs().values().find(is_miscounted);
         let job = miscounted.map(|job| job.id.to_string());
