--- a/src/coordination/shard/tests/autoscaling.rs
+++ b/src/coordination/shard/tests/autoscaling.rs
@@ -1,4 +1,4 @@
-//! Scale-out requests, and capacity that is held back from scale-in.
+//! Scale-out requests, and capacity that scale-in keeps for expected services.
 
 use std::time::Duration;
 
@@ -7,7 +7,8 @@
 use crate::coordination::shard::RentalOutcome;
 use crate::protocol::users::{JobKind, JobSpec};
 
-/// The request's name makes it idempotent: the cloud rents nothing twice.
+/// A scale-out request is idempotent by its name: if the shard repeats an unanswered request under
+/// the same name, the cloud does not rent machines twice.
 #[test]
 fn an_unanswered_rental_is_repeated_as_the_same_request() {
     let mut script = ScriptedShard::empty();
@@ -21,8 +22,8 @@
     assert!(script.rentals().contains(&first));
 }
 
-/// Found in runs without faults: machines were drained until the others were full of
-/// services, and each service that came then waited for a machine to boot.
+/// Found in runs without faults: scale-in drained machines until the remaining ones were full of
+/// services, and each new service then waited for a machine to boot.
 #[test]
 fn drain_leaves_capacity_for_expected_services() {
     let mut script = ScriptedShard::without_quotas();
@@ -33,7 +34,7 @@
             .autoscaler_view()
             .forecast_service_cores(script.now),
         0.0,
-        "batch work"
+        "batch jobs add nothing to the forecast"
     );
     for n in 1..=12 {
         let service = JobSpec {
@@ -44,18 +45,20 @@
         script.submit(&format!("run-{n}"), service);
         script.advance(Duration::from_secs(10));
     }
-    // A task each 5 s, for the 20 s that a slow boot takes, and the root of that.
-    let to_come = script
+    // One task arrives every 5 s, and a slow boot takes 20 s: the forecast is 4 tasks plus the
+    // square root of that.
+    let forecast_cores = script
         .shard
         .autoscaler_view()
         .forecast_service_cores(script.now);
-    assert!((4.0..8.0).contains(&to_come), "{to_come}");
-    let held = ScriptedShard::empty();
-    assert!(held.shard.policy.holds_capacity());
+    assert!((4.0..8.0).contains(&forecast_cores), "{forecast_cores}");
+    let with_quotas = ScriptedShard::empty();
+    assert!(with_quotas.shard.policy.holds_capacity());
     assert_eq!(
-        held.shard
+        with_quotas
+            .shard
             .autoscaler_view()
-            .forecast_service_cores(held.now),
+            .forecast_service_cores(with_quotas.now),
         0.0
     );
 }
--- a/src/coordination/shard/tests/deadlines.rs
+++ b/src/coordination/shard/tests/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadlines of jobs and their service-level objectives.
+//! The order of jobs by their deadlines and their classes' service-level objectives.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 use super::scripted_shard::ScriptedShard;
 use crate::protocol::users::JobSpec;
 
-/// Found in a burst of jobs: those that had missed their deadline waited behind all others, and
-/// missed every later time at which the service-level objective counts them as well.
+/// Found in a burst of jobs: jobs that had missed their deadline waited behind all others, and so
+/// also missed each later time limit of the service-level objectives.
 #[test]
 fn a_late_job_is_due_at_the_next_deadline_that_it_can_meet() {
     let mut script = ScriptedShard::empty();
@@ -19,9 +19,9 @@
     };
     script.submit("run-1", job);
     let job = &script.shard.jobs()["run-1"];
-    let due = |wall| script.shard.scheduler_view().next_due(job, wall);
-    assert_eq!(due(1_000), Some(60_000));
-    assert_eq!(due(60_001), Some(90_000));
-    assert_eq!(due(90_001), Some(250_000));
-    assert_eq!(due(250_001), None);
+    let next_due = |now_ms| script.shard.scheduler_view().next_due(job, now_ms);
+    assert_eq!(next_due(1_000), Some(60_000));
+    assert_eq!(next_due(60_001), Some(90_000));
+    assert_eq!(next_due(90_001), Some(250_000));
+    assert_eq!(next_due(250_001), None);
 }
--- a/src/coordination/shard/tests/delegations.rs
+++ b/src/coordination/shard/tests/delegations.rs
@@ -1,4 +1,5 @@
-//! Lease renewals by other controllers, on behalf of the leader or in advance.
+//! Renewals of worker leases by controllers that are not the leader: as a delegate that the leader
+//! appointed, or under a delegation granted in advance.
 
 use std::time::Duration;
 
@@ -10,11 +11,11 @@
 use crate::protocol::TaskId;
 use crate::protocol::workers::{AttemptOutcome, Command};
 
-/// Found in a full-size run: a network partition between zones ended half of all replicas.
+/// Found in a full-size run: a network partition between zones ended half of all service replicas.
 #[test]
 fn a_lease_does_not_expire_while_a_delegate_may_renew_it() {
     let mut script = ScriptedShard::empty();
-    // The other machine is held, for a task that may start again there.
+    // vm-2 is not deleted as idle, so that the task can be restarted there.
     script.shard.policy.quota_hold = Duration::from_secs(3600);
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
@@ -22,37 +23,38 @@
     let Command::Launch { task, attempt } = batch.commands[0].clone() else {
         panic!("not a launch");
     };
-    let runs = vec![running_task(&task.to_string(), attempt)];
-    script.execute(&batch, runs.clone());
-    script.heartbeat("vm-1", runs);
+    let tasks = vec![running_task(&task.to_string(), attempt)];
+    script.execute(&batch, tasks.clone());
+    script.heartbeat("vm-1", tasks);
     script.shard.grant_delegation("beta", script.now);
     script.reconcile();
     advance_with_heartbeats_of(&mut script, "vm-2", 120);
-    assert!(script.launches().is_empty(), "it may still run there");
+    assert!(script.launches().is_empty(), "vm-1 may still run the task");
     assert!(!script.machine("vm-1").is_deleting());
-    // The revocation is written at once here. The delegate may answer a little longer, and
-    // the worker's lease runs from its last answer.
+    // The revocation is written immediately. The delegate may answer the worker for a short time
+    // after that, and the worker's lease runs from the delegate's last answer.
     script.shard.revoke_delegation("beta");
     script.reconcile();
     for _ in 0..26 {
         advance_with_heartbeats_of(&mut script, "vm-2", 1);
-        let at_once = script.machine("vm-1").is_deleting();
-        assert!(script.launches().is_empty() || at_once);
+        let is_deleting = script.machine("vm-1").is_deleting();
+        assert!(script.launches().is_empty() || is_deleting);
     }
     assert_eq!(
         script.machine("vm-1").epochs.ended(),
         0,
-        "its lease may not have expired"
+        "the worker's lease may not have expired"
     );
     advance_with_heartbeats_of(&mut script, "vm-2", 6);
     assert!(script.machine("vm-1").epochs.ended() > 0);
-    assert_eq!(script.launches().len(), 1, "it starts again elsewhere");
+    assert_eq!(script.launches().len(), 1, "the task restarts on vm-2");
 }
 
-/// A new leader that is partitioned from machines: the inventory that their delegate wrote
-/// reconciles them, so that lost work elsewhere starts again while their tasks run on.
+/// A new leader is partitioned from some machines. The inventory that their delegate wrote
+/// reconciles those machines, so that their tasks keep running while lost tasks restart on other
+/// machines.
 #[test]
-fn a_delegates_inventory_reconciles_machines_without_opening_them() {
+fn a_delegates_inventory_reconciles_machines_without_making_them_schedulable() {
     let mut script = ScriptedShard::new(RecoveredState {
         jobs: vec![UnfinishedJob::new(
             "run-1",
@@ -67,26 +69,28 @@
     script.reconcile();
     assert!(script.shard.wants_inventories());
     assert!(script.launches().is_empty(), "both tasks may run on vm-1");
-    let runs = vec![running_task("run-1/0", 7)];
-    let older = script.heartbeat_of("vm-1", TOKEN - 1, runs.clone());
-    script.shard.apply_relayed_heartbeat(&older, script.now);
+    let tasks = vec![running_task("run-1/0", 7)];
+    let under_old_token = script.heartbeat_of("vm-1", TOKEN - 1, tasks.clone());
+    script
+        .shard
+        .apply_relayed_heartbeat(&under_old_token, script.now);
     assert!(
         script.shard.wants_inventories(),
         "commands of the earlier leader may still arrive"
     );
-    let heartbeat = script.heartbeat_of("vm-1", TOKEN, runs);
+    let heartbeat = script.heartbeat_of("vm-1", TOKEN, tasks);
     script.shard.apply_relayed_heartbeat(&heartbeat, script.now);
     script.reconcile();
     assert!(!script.shard.wants_inventories());
     let launches = script.launches();
-    assert_eq!(launches.len(), 1, "the task that vm-1 doesn't hold");
+    assert_eq!(launches.len(), 1, "the task that vm-1 doesn't run");
     assert_eq!(&*launches[0].machine, "vm-2");
     let policy = script.shard.policy.clone();
     assert!(!script.machine("vm-1").is_schedulable(script.now, &policy));
 }
 
-/// Found in a replay of `inc-92c0`: a service whose user had cancelled it ran on for as long as
-/// a delegate answered its worker during a network partition.
+/// Found in a replay of incident `inc-92c0`: a cancelled service kept running during a network
+/// partition for as long as a delegate renewed its worker's lease.
 #[test]
 fn a_delegate_stops_tasks_of_finished_jobs() {
     let mut script = ScriptedShard::empty();
@@ -108,8 +112,8 @@
     assert_eq!(commands, vec![stop]);
 }
 
-/// A zone was partitioned from everything and the leader crashed: a controller on the same side
-/// may answer machines there for longer than their leases.
+/// A zone is partitioned from all others and the leader crashes: a controller inside the zone may
+/// renew the leases of machines there, so their tasks may run longer than one lease.
 #[test]
 fn an_advance_delegation_outlasts_the_lease_that_it_renews() {
     let mut script =
@@ -117,36 +121,37 @@
     let lease = script.shard.policy.worker_lease_bound();
     let start = script.now;
     let second = Duration::from_secs(1);
-    let unreconciled_tasks =
-        |script: &mut ScriptedShard, time: Duration, answered: Option<Duration>| {
-            script.now = start + time;
-            let answered = answered.map(|time| start + time);
-            script.shard.note_advance_renewals(answered, script.now);
+    let is_unreconciled_at =
+        |script: &mut ScriptedShard, elapsed: Duration, renewed: Option<Duration>| {
+            script.now = start + elapsed;
+            let renewed = renewed.map(|elapsed| start + elapsed);
+            script.shard.note_advance_renewals(renewed, script.now);
             script.advance(Duration::ZERO);
             script.shard.summary().contains("unreconciled 1")
         };
-    // Under an earlier fencing token, from just before this one began.
-    assert!(unreconciled_tasks(
+    // A lease renewed under the earlier fencing token, just before the new leader began.
+    assert!(is_unreconciled_at(
         &mut script,
         lease + ADVANCE_DELEGATION - second,
         None
     ));
-    // Under ours: someone may still be answering, or did until then.
+    // Under the new fencing token: a controller renewed leases in advance until `later`, and may
+    // still be renewing them.
     let later = lease + ADVANCE_DELEGATION + second;
-    assert!(unreconciled_tasks(&mut script, later, Some(later)));
-    assert!(unreconciled_tasks(
+    assert!(is_unreconciled_at(&mut script, later, Some(later)));
+    assert!(is_unreconciled_at(
         &mut script,
         later + lease - second,
         Some(later)
     ));
-    assert!(!unreconciled_tasks(
+    assert!(!is_unreconciled_at(
         &mut script,
         later + lease + second,
         Some(later)
     ));
 }
 
-/// Lets time pass in which only this machine sends heartbeats, without tasks.
+/// Advances the clock second by second; only the given machine sends heartbeats, without tasks.
 fn advance_with_heartbeats_of(script: &mut ScriptedShard, id: &str, seconds: u64) {
     for _ in 0..seconds {
         script.advance(Duration::from_secs(1));
--- a/src/coordination/shard/tests/failing_jobs.rs
+++ b/src/coordination/shard/tests/failing_jobs.rs
@@ -1,5 +1,5 @@
-//! Faulty jobs fail on every machine, and faulty machines fail sound jobs: the shard has to
-//! tell one from the other.
+//! Failures of tasks: the shard distinguishes faulty jobs, which fail on every machine, from faulty
+//! machines, on which healthy jobs fail.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 const MACHINES: [&str; 6] = ["vm-1", "vm-2", "vm-3", "vm-4", "vm-5", "vm-6"];
 
-/// A job that does not need spot machines.
+/// A batch job that may not run on spot machines.
 fn spec(team: &str, cores: f64, tasks: u32) -> JobSpec {
     JobSpec {
         spot: false,
@@ -19,27 +19,27 @@
     }
 }
 
-/// Open machines, without jobs and quotas.
-fn cluster(machines: &[&str]) -> ScriptedShard {
+/// A shard of schedulable machines, without jobs and quotas.
+fn shard_with_machines(machines: &[&str]) -> ScriptedShard {
     let mut script = ScriptedShard::without_quotas();
     script.shard.policy.idle_timeout = Duration::from_secs(86_400);
-    // One heartbeat admits a machine, the next finds it open.
+    // The first heartbeat admits a machine; after the second it is schedulable.
     for id in machines.iter().chain(machines) {
         script.heartbeat(id, Vec::new());
     }
     script
 }
 
-/// The state of a task, by its job and machine.
+/// Returns the state of a task from the ids of its job and its machine.
 type TaskBehavior = dyn Fn(&str, &str) -> TaskState;
 
-/// A heartbeat in which each attempt on the machine is in the state that its behavior gives.
+/// A heartbeat that lists each unended attempt on the machine in the state that `behavior` returns.
 fn heartbeat_with(
     script: &mut ScriptedShard,
     id: &str,
     behavior: &TaskBehavior,
 ) -> WorkerHeartbeat {
-    // What has ended and may be cleared is cleared before the next heartbeat.
+    // Ended attempts that may be cleared are cleared before the next heartbeat.
     let attempts = script.machine(id).attempts.iter();
     let listed = attempts.filter(|(_, attempt)| !attempt.ended());
     let tasks: Vec<TaskStatus> = listed
@@ -52,7 +52,7 @@
     script.heartbeat_of(id, TOKEN, tasks)
 }
 
-/// Lets a second pass in which all commands are executed and every machine sends a heartbeat;
+/// Executes all commands, sends a heartbeat of every machine and advances the clock by a second;
 /// returns the number of launches.
 fn run_one_second(script: &mut ScriptedShard, machines: &[&str], behavior: &TaskBehavior) -> usize {
     let mut launched = 0;
@@ -79,11 +79,11 @@
     }
 }
 
-/// Found in review: a machine was cordoned once any two jobs had failed on it, and failures of a
-/// job counted until it had failed on three machines.
+/// Found in review: a machine was cordoned as soon as any two jobs had failed on it, and a job's
+/// failures counted against machines until the job had failed on three of them.
 #[test]
 fn jobs_that_fail_everywhere_cordon_no_machine() {
-    let mut script = cluster(&MACHINES);
+    let mut script = shard_with_machines(&MACHINES);
     script.submit("run-1", spec("blue", 1.0, 6));
     script.submit("run-91", spec("blue", 1.0, 12));
     script.submit("run-92", spec("blue", 1.0, 12));
@@ -99,16 +99,17 @@
 }
 
 #[test]
-fn a_job_that_fails_everywhere_is_retried_with_backoff_for_ever() {
-    let mut script = cluster(&MACHINES);
+fn a_job_that_fails_everywhere_is_retried_with_backoff_indefinitely() {
+    let mut script = shard_with_machines(&MACHINES);
     script.submit("run-9", spec("blue", 1.0, 24));
     let mut launches = Vec::new();
     for _ in 0..4 {
         let launched = (0..90).map(|_| run_one_second(&mut script, &MACHINES, &fails_everywhere));
         launches.push(launched.sum::<usize>());
     }
-    // All of its tasks at first, and once more elsewhere; then two at a time, after a backoff that
-    // doubles up to 75 s: seven of them fit into the first minutes at the most.
+    // Each of the 24 tasks starts, and starts once more on another machine. After that, two tasks
+    // start per retry, after a backoff that doubles up to 75 s: at most seven retries fit into the
+    // first minutes.
     assert!((24..=62).contains(&launches[0]), "{launches:?}");
     assert!((2..=6).contains(&launches[2]), "{launches:?}");
     assert!((2..=6).contains(&launches[3]), "{launches:?}");
@@ -116,28 +117,28 @@
 
 #[test]
 fn a_job_that_failed_everywhere_completes_once_it_is_fixed() {
-    let mut script = cluster(&MACHINES);
+    let mut script = shard_with_machines(&MACHINES);
     script.submit("run-9", spec("blue", 1.0, 24));
     for _ in 0..100 {
         run_one_second(&mut script, &MACHINES, &fails_everywhere);
     }
     assert!(script.shard.jobs()["run-9"].is_crash_looping());
-    let fixed = |_: &str, _: &str| TaskState::Running;
-    let tried = (0..80).any(|_| run_one_second(&mut script, &MACHINES, &fixed) > 0);
-    assert!(tried);
-    run_one_second(&mut script, &MACHINES, &fixed);
+    let runs_everywhere = |_: &str, _: &str| TaskState::Running;
+    let was_retried = (0..80).any(|_| run_one_second(&mut script, &MACHINES, &runs_everywhere) > 0);
+    assert!(was_retried);
+    run_one_second(&mut script, &MACHINES, &runs_everywhere);
     for id in MACHINES {
         script.report_all_ended(id, AttemptOutcome::Done);
     }
-    run_one_second(&mut script, &MACHINES, &fixed);
+    run_one_second(&mut script, &MACHINES, &runs_everywhere);
     let job = &script.shard.jobs()["run-9"];
     assert_eq!(job.live().len() + job.done().len() as usize, 24);
 }
 
 #[test]
-fn a_machine_that_fails_sound_jobs_is_quarantined_and_deleted() {
-    let mut script = cluster(&MACHINES);
-    let faulty = |_: &str, machine: &str| match machine {
+fn a_machine_that_fails_healthy_jobs_is_quarantined_and_deleted() {
+    let mut script = shard_with_machines(&MACHINES);
+    let fails_on_vm_1 = |_: &str, machine: &str| match machine {
         "vm-1" => TaskState::Ended,
         _ => TaskState::Running,
     };
@@ -145,7 +146,7 @@
         script.submit(&format!("run-{n}"), spec("blue", 4.0, 1));
     }
     for _ in 0..3 {
-        run_one_second(&mut script, &MACHINES, &faulty);
+        run_one_second(&mut script, &MACHINES, &fails_on_vm_1);
     }
     let machine = script.machine("vm-1");
     assert!(!machine.health.is_cordoned(), "the jobs may be faulty");
@@ -154,53 +155,54 @@
         script.report_all_ended(id, AttemptOutcome::Done);
     }
     for _ in 0..3 {
-        run_one_second(&mut script, &MACHINES, &faulty);
+        run_one_second(&mut script, &MACHINES, &fails_on_vm_1);
     }
     for id in &MACHINES[1..] {
         script.report_all_ended(id, AttemptOutcome::Done);
     }
-    run_one_second(&mut script, &MACHINES, &faulty);
+    run_one_second(&mut script, &MACHINES, &fails_on_vm_1);
     assert!(
         script.machine("vm-1").is_deleting(),
-        "sound jobs failed there"
+        "healthy jobs failed on vm-1"
     );
 }
 
-/// One machine of many is faulty: the tasks that failed on it are not held back by a backoff.
+/// One of several machines is faulty: tasks that failed on it restart on other machines without a
+/// backoff.
 #[test]
 fn tasks_that_fail_together_on_one_machine_are_retried_elsewhere_at_once() {
-    let mut script = cluster(&MACHINES);
+    let mut script = shard_with_machines(&MACHINES);
     script.submit("run-1", spec("blue", 1.0, 24));
-    let faulty = |_: &str, machine: &str| match machine {
+    let fails_on_vm_1 = |_: &str, machine: &str| match machine {
         "vm-1" => TaskState::Ended,
         _ => TaskState::Running,
     };
     for _ in 0..4 {
-        run_one_second(&mut script, &MACHINES, &faulty);
+        run_one_second(&mut script, &MACHINES, &fails_on_vm_1);
     }
     assert_eq!(script.shard.jobs()["run-1"].live().len(), 24);
 }
 
-/// A service never completes: a replica that has run for longer than any that failed shows that the
-/// machines of the others are faulty.
+/// The replicas of a service never complete. A replica that has run longer than each failed one
+/// shows that the service works and that the machines of the failed replicas are faulty.
 #[test]
 fn a_service_with_a_running_replica_does_not_fail_everywhere() {
-    let mut script = cluster(&MACHINES);
+    let mut script = shard_with_machines(&MACHINES);
     let service = JobSpec {
         kind: JobKind::Service,
         ..spec("blue", 4.0, 8)
     };
     script.submit("run-1", service);
-    let faulty = |_: &str, machine: &str| match machine {
+    let fails_on_three_machines = |_: &str, machine: &str| match machine {
         "vm-1" | "vm-2" | "vm-3" => TaskState::Ended,
         _ => TaskState::Running,
     };
     for _ in 0..20 {
-        run_one_second(&mut script, &MACHINES, &faulty);
+        run_one_second(&mut script, &MACHINES, &fails_on_three_machines);
     }
     let job = &script.shard.jobs()["run-1"];
     assert!(!job.is_crash_looping());
-    assert_eq!(job.live().len(), 6, "all the capacity of sound machines");
+    assert_eq!(job.live().len(), 6, "all the capacity of healthy machines");
 }
 
 #[test]
@@ -213,7 +215,7 @@
     for id in MACHINES.iter().chain(&MACHINES) {
         script.heartbeat(id, Vec::new());
     }
-    // Its team's quota is eight cores; the waiting tasks would use all machines and more.
+    // The team's quota is eight cores; the waiting tasks need more cores than all machines have.
     script.submit("run-9", spec("red", 4.0, 40));
     for _ in 0..60 {
         run_one_second(&mut script, &MACHINES, &fails_everywhere);
@@ -234,14 +236,15 @@
 
 #[test]
 fn a_cancelled_job_that_failed_everywhere_is_stopped_also_during_a_retry() {
-    let mut script = cluster(&MACHINES);
+    let mut script = shard_with_machines(&MACHINES);
     script.submit("run-9", spec("blue", 1.0, 24));
     for _ in 0..60 {
         run_one_second(&mut script, &MACHINES, &fails_everywhere);
     }
-    let fetches = |_: &str, _: &str| TaskState::Fetching;
-    let tried = (0..80).any(|_| run_one_second(&mut script, &MACHINES, &fetches) > 0);
-    assert!(tried);
+    let fetches_everywhere = |_: &str, _: &str| TaskState::Fetching;
+    let was_retried =
+        (0..80).any(|_| run_one_second(&mut script, &MACHINES, &fetches_everywhere) > 0);
+    assert!(was_retried);
     assert!(!script.shard.jobs()["run-9"].live().is_empty());
     script
         .shard
@@ -259,8 +262,8 @@
     assert!(!script.shard.jobs().contains_key("run-9"));
 }
 
-/// The failure counts of an earlier leader are lost with it: the next one counts anew, and no
-/// task is lost.
+/// Failure counts are not stored: after a failover the new leader counts from zero, and no task is
+/// lost.
 #[test]
 fn a_job_that_fails_everywhere_survives_a_failover() {
     let mut script = ScriptedShard::new(RecoveredState {
--- a/src/coordination/shard/tests/failover.rs
+++ b/src/coordination/shard/tests/failover.rs
@@ -1,4 +1,5 @@
-//! What a new leader does before and after every machine of the roster is reconciled.
+//! Failovers: which tasks a new leader starts, and which machines it deletes, before and after all
+//! machines of the recovered roster are reconciled.
 
 use std::time::Duration;
 
@@ -7,8 +8,8 @@
 use crate::coordination::shard::{CommandOutcome, RecoveredState, UnfinishedJob};
 use crate::protocol::workers::Command;
 
-/// Tasks of jobs that an earlier leader knew may run on any machine of the roster that is not
-/// reconciled yet.
+/// The tasks of a job that an earlier leader knew may run on any unreconciled machine of the
+/// roster, so the new leader does not start them before all machines are reconciled.
 #[test]
 fn old_jobs_wait_until_every_machine_is_reconciled() {
     let mut script = ScriptedShard::new(RecoveredState {
@@ -22,12 +23,12 @@
     });
     let probes = script.batches();
     script.execute(&probes[0], Vec::new());
-    assert!(script.launches().is_empty(), "vm-2 may hold the task");
-    // A job that no earlier leader can have known starts at once.
+    assert!(script.launches().is_empty(), "vm-2 may run the task");
+    // No earlier leader can have known run-2, which starts at once.
     script.submit("run-2", spec("blue", 1.0, 1));
     assert_eq!(script.launches().len(), 1);
-    let line = running_task("run-1/0", 9);
-    script.heartbeat("vm-2", vec![line]);
+    let status = running_task("run-1/0", 9);
+    script.heartbeat("vm-2", vec![status]);
     assert!(script.launches().is_empty(), "the task runs on vm-2");
     assert_eq!(
         script.shard.task_counts("run-1").map(|v| v.running),
@@ -35,8 +36,8 @@
     );
 }
 
-/// A worker that has not acknowledged the new fencing token still takes commands of the
-/// earlier leader.
+/// A worker that has not acknowledged the new fencing token still executes commands of the earlier
+/// leader, so its heartbeats do not prove which tasks it runs.
 #[test]
 fn a_heartbeat_under_an_older_fencing_token_reconciles_nothing() {
     let mut script = ScriptedShard::new(RecoveredState {
@@ -62,14 +63,14 @@
     );
     assert!(
         script.shard.jobs()["run-1"].live().is_empty(),
-        "nor is it placed"
+        "the task is not placed either"
     );
     script.execute(&probes[0], Vec::new());
     assert_eq!(script.launches().len(), 1);
 }
 
-/// Found in a full-size run: a machine rented just before its leader crashed held up all
-/// work of old jobs for nine seconds.
+/// Found in a full-size run: one machine, rented just before the leader crashed, delayed all tasks
+/// of old jobs for nine seconds because it stayed unreconciled.
 #[test]
 fn the_last_unreconciled_machine_is_deleted_soon() {
     let ids: Vec<String> = (0..30).map(|n| format!("vm-{n:02}")).collect();
@@ -79,17 +80,20 @@
     });
     for step in 0..4 {
         for probe in script.probes() {
-            let answered = &*probe.machine != "vm-00" && (step > 0 || &*probe.machine < "vm-15");
+            let answers = &*probe.machine != "vm-00" && (step > 0 || &*probe.machine < "vm-15");
             let heartbeat = script.heartbeat_of(&probe.machine, TOKEN, Vec::new());
-            let outcome = if answered {
+            let outcome = if answers {
                 CommandOutcome::Executed(heartbeat)
             } else {
                 CommandOutcome::NoAnswer
             };
             script.answer(&probe, outcome);
         }
-        let deleted = script.machine("vm-00").is_deleting();
-        assert!(step > 0 || !deleted, "half of them are unreconciled");
+        let is_deleting = script.machine("vm-00").is_deleting();
+        assert!(
+            step > 0 || !is_deleting,
+            "half of the machines are unreconciled"
+        );
         script.advance(Duration::from_millis(1100));
     }
     assert!(script.machine("vm-00").is_deleting());
@@ -97,7 +101,7 @@
 }
 
 /// Found in a full-size run: after a failover during a network partition, hundreds of
-/// machines were deleted as idle before their work was reconciled.
+/// machines were deleted as idle before their tasks were reconciled.
 #[test]
 fn no_idle_machine_is_deleted_while_machines_are_unreconciled() {
     let mut script = ScriptedShard::new(RecoveredState {
@@ -109,22 +113,25 @@
         roster: ["vm-0", "vm-1", "vm-2", "vm-3"].map(roster_machine).into(),
         ..RecoveredState::default()
     });
-    // Their delegate renews the leases of vm-0 and vm-3, but has written no inventory.
+    // A delegate renews the leases of vm-0 and vm-3, but has not written an inventory.
     script.shard.grant_delegation("beta", script.now);
     for _ in 0..80 {
         script.heartbeat("vm-1", Vec::new());
         script.heartbeat("vm-2", Vec::new());
         script.advance(Duration::from_secs(1));
     }
-    assert!(script.shard.wants_inventories(), "two are unreconciled");
-    let deleted = ["vm-1", "vm-2"].map(|id| script.machine(id).is_deleting());
-    assert_eq!(deleted, [false, false], "run-1 may need both");
+    assert!(
+        script.shard.wants_inventories(),
+        "vm-0 and vm-3 are unreconciled"
+    );
+    let are_deleting = ["vm-1", "vm-2"].map(|id| script.machine(id).is_deleting());
+    assert_eq!(are_deleting, [false, false], "run-1 may need both machines");
 }
 
-/// While some machines are unreconciled, a task that was listed by another one and is not any
-/// more starts again at once; a task that no machine has listed waits.
+/// While some machines are unreconciled, a task that a reconciled machine listed earlier and no
+/// longer lists restarts at once; a task that no machine has listed waits.
 #[test]
-fn a_task_seen_and_lost_restarts_before_all_machines_are_reconciled() {
+fn a_listed_task_that_is_lost_restarts_before_all_machines_are_reconciled() {
     let mut script = ScriptedShard::new(recovered_job(2, &["vm-1", "vm-2"]));
     let running = running_task("run-1/0", 7);
     let probe = script.probes().remove(0);
@@ -142,10 +149,10 @@
     assert!(!script.machine("vm-2").token_acknowledged);
 }
 
-/// A job that scatters may have half of its tasks in one zone. Those that no machine has listed
-/// count in every zone with an unreconciled machine.
+/// A scattered job may have at most half of its tasks in one zone. Tasks that no machine has listed
+/// count in every zone that has an unreconciled machine.
 #[test]
-fn unseen_tasks_count_in_every_zone_where_they_may_run() {
+fn unlisted_tasks_count_in_every_zone_where_they_may_run() {
     let mut recovered = recovered_job(4, &["vm-1", "vm-2"]);
     recovered.jobs[0].record.spec.scatter = true;
     let mut script = ScriptedShard::new(recovered);
@@ -154,6 +161,6 @@
     script.execute(&probe, vec![running(0), running(1)]);
     script.heartbeat("vm-1", vec![running(0)]);
     script.advance(Duration::from_millis(300));
-    // Two others may be on vm-2, in the same zone.
+    // The two other tasks may run on vm-2, in the same zone.
     assert!(script.launches().is_empty());
 }
--- a/src/coordination/shard/tests/fixtures.rs
+++ b/src/coordination/shard/tests/fixtures.rs
@@ -1,4 +1,5 @@
-//! Jobs, machines, task states and the policy that the shard's tests start from.
+//! Sample values for the shard's tests: jobs, machines, task statuses, recovered states and a
+//! policy.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,17 +13,18 @@
 use crate::protocol::workers::{AttemptOutcome, TaskState, TaskStatus};
 use crate::storage::records::{FORMAT_VERSION, JobRecord, RosterRecord};
 
-/// How long a worker keeps its tasks without an answer from a controller.
+/// How long a worker keeps its tasks running without an answer from a controller.
 pub(super) const WORKER_LEASE: Duration = Duration::from_secs(27);
-/// The longest that a task may run after its job's cancellation was confirmed.
+/// The longest time that a task may run after its job's cancellation is confirmed to the user.
 pub(super) const CANCELLATION_BOUND: Duration = Duration::from_secs(52);
-/// How long renewals granted in advance last. Together with [`WORKER_LEASE`] this
-/// stays within [`CANCELLATION_BOUND`].
+/// How long controllers may renew worker leases in advance, without reaching the leader. The sum of
+/// this and [`WORKER_LEASE`] stays below [`CANCELLATION_BOUND`].
 pub(super) const ADVANCE_DELEGATION: Duration = Duration::from_secs(24);
-/// How long a gang's task waits for the others to be ready.
+/// How long a ready task of a gang waits for the gang's other tasks to be ready.
 pub(super) const GANG_WAIT: Duration = Duration::from_secs(30);
 
-/// A batch job of the class `sums` whose tasks run on any machine.
+/// A batch job of the class `sums` whose tasks may run on any machine type, in any zone and on spot
+/// machines.
 pub(in crate::coordination::shard) fn spec(team: &str, cores: f64, tasks: u32) -> JobSpec {
     JobSpec {
         class: "sums".into(),
@@ -47,7 +49,7 @@
     }
 }
 
-/// The stored record of a job submitted at time zero.
+/// The stored record of a job that was accepted at time zero.
 pub(in crate::coordination::shard) fn record(spec: JobSpec) -> JobRecord {
     JobRecord {
         format_version: FORMAT_VERSION,
@@ -72,7 +74,7 @@
     }]
 }
 
-/// Two teams: `red` with a quota and a limit, `blue` with neither.
+/// A policy with two teams: `red` has a quota of 8 cores and a limit of 16, `blue` has neither.
 pub(in crate::coordination::shard) fn policy() -> Policy {
     let team = |cores, cores_max| TeamPolicy {
         cores,
@@ -108,7 +110,7 @@
     }
 }
 
-/// A machine of the recovered roster.
+/// A machine of a recovered roster: type `m8`, in the zone `north`.
 pub(super) fn roster_machine(id: &str) -> RecoveredMachine {
     RecoveredMachine {
         id: id.to_owned(),
@@ -123,7 +125,8 @@
     }
 }
 
-/// A job of an earlier leader and a roster, as a new leader recovers them.
+/// The state that a new leader recovers: the job `run-1`, which an earlier leader had accepted, and
+/// a roster of the given machines.
 pub(super) fn recovered_job(tasks: u32, machines: &[&str]) -> RecoveredState {
     RecoveredState {
         jobs: vec![UnfinishedJob::new(
@@ -136,7 +139,7 @@
     }
 }
 
-/// A task as a worker's heartbeat lists it.
+/// The status of a task's attempt, as a worker's heartbeat lists it.
 pub(super) fn task_status(
     task: &str,
     attempt: u64,
--- a/src/coordination/shard/tests/health.rs
+++ b/src/coordination/shard/tests/health.rs
@@ -1,4 +1,5 @@
-//! Lost machines and slow machines.
+//! Machine health: lost machines are deleted, and machines that run tasks far too slowly are
+//! cordoned.
 
 use std::time::Duration;
 
@@ -9,7 +10,8 @@
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState, TaskStatus};
 
-/// A machine whose deletion was not confirmed may still run its tasks.
+/// A machine may still run its tasks until the cloud confirms its deletion: only then do they
+/// restart on other machines.
 #[test]
 fn only_a_confirmed_deletion_frees_a_machines_tasks() {
     let mut script = ScriptedShard::empty();
@@ -18,10 +20,10 @@
     job.kind = JobKind::Service;
     script.submit("run-1", job);
     let batch = script.launches().remove(0);
-    let line = running_task("run-1/0", launched_attempt(&batch.commands));
-    script.execute(&batch, vec![line]);
+    let status = running_task("run-1/0", launched_attempt(&batch.commands));
+    script.execute(&batch, vec![status]);
     script.heartbeat("vm-2", Vec::new());
-    // vm-1 misses its heartbeats, and its probes stay unanswered.
+    // vm-1 sends no heartbeats and answers no probes.
     for _ in 0..12 {
         script.advance(Duration::from_secs(1));
         for probe in script.batches() {
@@ -45,7 +47,8 @@
     assert_eq!(script.launches()[0].machine, "vm-2".into());
 }
 
-/// Its tasks move to other machines.
+/// A cordoned machine gets no tasks, and the tasks that it runs are stopped and move to other
+/// machines.
 #[test]
 fn a_machine_far_slower_than_others_is_cordoned() {
     let mut script = ScriptedShard::empty();
@@ -58,11 +61,14 @@
         let running = launched_tasks(batch, TaskState::Running, None);
         script.execute(batch, running);
     }
-    let (quick, slow) = (&batches[0], &batches[1]);
+    let (fast, slow) = (&batches[0], &batches[1]);
     script.now += Duration::from_secs(10);
-    let done = launched_tasks(quick, TaskState::Ended, Some(AttemptOutcome::Done));
-    assert!(done.len() >= 3, "enough tasks to compare with");
-    script.heartbeat(&quick.machine, done);
+    let done = launched_tasks(fast, TaskState::Ended, Some(AttemptOutcome::Done));
+    assert!(
+        done.len() >= 3,
+        "enough completed tasks to compare run times with"
+    );
+    script.heartbeat(&fast.machine, done);
     for _ in 0..21 {
         script.now += Duration::from_secs(1);
         script.heartbeat(
@@ -71,19 +77,20 @@
         );
         script.advance(Duration::ZERO);
     }
-    let stopped = script
+    let is_stopped = script
         .batches()
         .iter()
         .any(|batch| batch.machine == slow.machine && stops(&batch.commands) > 0);
-    assert!(stopped, "its tasks move");
+    assert!(is_stopped, "the tasks of the slow machine move");
     assert!(script.machine(&slow.machine).health.is_cordoned());
-    assert!(!script.machine(&quick.machine).health.is_cordoned());
+    assert!(!script.machine(&fast.machine).health.is_cordoned());
 }
 
-/// Found by fault injection: tasks that an earlier leader had started seemed to have run for a
-/// moment only, and sound machines appeared slow beside them.
+/// Found by fault injection: tasks that an earlier leader had started, and that ended right after
+/// the failover, appeared to have had very short run times. Compared with them, healthy machines
+/// appeared slow.
 #[test]
-fn tasks_of_an_earlier_leader_are_no_measure_of_run_times() {
+fn tasks_of_an_earlier_leader_do_not_count_as_run_time_samples() {
     let mut script = ScriptedShard::new(RecoveredState {
         jobs: vec![UnfinishedJob::new(
             "run-1",
@@ -93,27 +100,29 @@
         roster: vec![roster_machine("vm-1")],
         ..RecoveredState::default()
     });
-    let line = |n: u64, state, outcome| task_status(&format!("run-1/{n}"), 7 + n, state, outcome);
-    let running: Vec<_> = (0..8).map(|n| line(n, TaskState::Running, None)).collect();
+    let status = |n: u64, state, outcome| task_status(&format!("run-1/{n}"), 7 + n, state, outcome);
+    let running: Vec<_> = (0..8)
+        .map(|n| status(n, TaskState::Running, None))
+        .collect();
     script.heartbeat("vm-1", running);
-    // Five end right after the failover, the others run on.
-    let later = |ended: u64| {
+    // Five tasks end right after the failover, and the others keep running.
+    let with_ended = |ended: u64| {
         (0..8)
             .map(|n| match n < ended {
-                true => line(n, TaskState::Ended, Some(AttemptOutcome::Done)),
-                false => line(n, TaskState::Running, None),
+                true => status(n, TaskState::Ended, Some(AttemptOutcome::Done)),
+                false => status(n, TaskState::Running, None),
             })
             .collect::<Vec<_>>()
     };
     for _ in 0..20 {
         script.now += Duration::from_secs(1);
-        script.heartbeat("vm-1", later(5));
+        script.heartbeat("vm-1", with_ended(5));
         script.advance(Duration::ZERO);
     }
     assert!(!script.machine("vm-1").health.is_cordoned());
 }
 
-/// The tasks that a batch launches, all in one state.
+/// The statuses of the tasks that a batch launches, all in the same state.
 fn launched_tasks(
     batch: &CommandBatch,
     state: TaskState,
--- a/src/coordination/shard/tests/heartbeats.rs
+++ b/src/coordination/shard/tests/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Heartbeats that are late, duplicated or overtaken, and machines that answers do not reach.
+//! Heartbeats that are late, duplicated or overtaken by other messages, and machines that send
+//! heartbeats but receive neither answers nor commands.
 
 use std::time::Duration;
 
@@ -7,7 +8,8 @@
 use crate::coordination::shard::{CommandOutcome, HeartbeatOutcome};
 use crate::protocol::MachineId;
 
-/// It was sent before the launch, so that the task it does not list is still there.
+/// A heartbeat that a worker sent before it executed a launch arrives after the answer to that
+/// launch: that it does not list the task does not mean that the task is lost.
 #[test]
 fn a_heartbeat_with_an_older_sequence_changes_nothing() {
     let mut script = ScriptedShard::empty();
@@ -15,9 +17,9 @@
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
     let batch = script.launches().remove(0);
-    let line = running_task("run-1/0", launched_attempt(&batch.commands));
-    script.execute(&batch, vec![line]);
-    // Its sequence number is older than that of the answer.
+    let status = running_task("run-1/0", launched_attempt(&batch.commands));
+    script.execute(&batch, vec![status]);
+    // The sequence number of the late heartbeat is older than that of the answer.
     script.receive(&late);
     assert!(script.launches().is_empty());
     assert_eq!(
@@ -26,8 +28,9 @@
     );
 }
 
-/// Heartbeats arrive, but neither answers nor commands reach the machine, so that its agent
-/// epochs end one after the other. Its work moves, and it gets none until it has answered.
+/// A machine's heartbeats arrive, but neither answers nor commands reach it, so that its agent
+/// epochs end one after the other. Its tasks move to other machines, and it gets no tasks until it
+/// answers a probe.
 #[test]
 fn an_inbound_unreachable_machine_gets_no_work_until_it_answers() {
     let mut script = ScriptedShard::empty();
@@ -36,7 +39,10 @@
     let batch = script.launches().remove(0);
     script.answer(&batch, CommandOutcome::NoAnswer);
     script.heartbeat("vm-2", Vec::new());
-    assert!(script.launches().is_empty(), "it may still land on vm-1");
+    assert!(
+        script.launches().is_empty(),
+        "the launch may still reach vm-1"
+    );
     let mut heartbeat = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     heartbeat.agent_epoch = 2;
     script.receive(&heartbeat);
@@ -49,20 +55,20 @@
     script.submit("run-2", spec("blue", 8.0, 1));
     script.advance(Duration::from_secs(2));
     let batches = script.batches();
-    let empty = |batch: &CommandBatch| batch.commands.is_empty();
-    assert!(batches.iter().all(empty), "only vm-1 has the capacity");
+    let is_empty = |batch: &CommandBatch| batch.commands.is_empty();
+    assert!(batches.iter().all(is_empty), "only vm-1 has the capacity");
     let probe = batches
         .into_iter()
         .find(|batch| &*batch.machine == "vm-1")
-        .expect("it is probed");
+        .expect("vm-1 is probed");
     let mut answer = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     answer.agent_epoch = 2;
     script.answer(&probe, CommandOutcome::Executed(answer));
     assert_eq!(script.launches().len(), 1);
 }
 
-/// The answer to a duplicate reaches nobody. If it moved the expected lease expiry, lost tasks
-/// would wait for as long as duplicates arrive.
+/// No worker receives the answer to a duplicated heartbeat. If a duplicate moved the lease expiry
+/// that the shard expects, lost tasks would wait for as long as duplicates arrive.
 #[test]
 fn a_duplicated_heartbeat_renews_no_lease() {
     let mut script = ScriptedShard::empty();
@@ -78,12 +84,12 @@
     let since_last_contact = script.machine("vm-1").since_last_contact(script.now);
     assert!(
         since_last_contact >= Duration::from_secs(40),
-        "a duplicate is no contact"
+        "a duplicate does not count as contact"
     );
 }
 
-/// The answer to a command may overtake a heartbeat that is under way. That heartbeat is no
-/// duplicate: its worker takes the answer, and renews its lease.
+/// The answer to a command may overtake a heartbeat that was sent before it. That heartbeat is not
+/// a duplicate: its worker receives the answer to it and renews its lease.
 #[test]
 fn a_heartbeat_overtaken_by_a_command_answer_renews_the_lease() {
     let mut script = ScriptedShard::empty();
@@ -97,7 +103,8 @@
     assert!(script.machine("vm-1").lease.expires_at() > script.now + Duration::from_secs(26));
 }
 
-/// Neither a duplicate of a heartbeat nor a stale listing brings a deleted machine back.
+/// Neither a duplicated heartbeat nor a stale machine list may add a deleted machine again: a
+/// duplicate is refused once its machine is deleted.
 #[test]
 fn a_duplicated_heartbeat_does_not_revive_a_deleted_machine() {
     let mut script = ScriptedShard::empty();
--- a/src/coordination/shard/tests/launches.rs
+++ b/src/coordination/shard/tests/launches.rs
@@ -1,11 +1,12 @@
-//! Admission of machines, and launches that are repeated, stopped or lost.
+//! Admission of machines to the roster, and launches that are repeated, stopped or lost.
 
 use super::fixtures::{ended_task, policy, record, spec, task_status};
 use super::scripted_shard::{ScriptedShard, TOKEN, launched_attempt};
 use crate::coordination::shard::{Action, CommandOutcome, RecoveredState, WritePurpose};
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState};
 
-/// The next leader must find every machine that may run a task on the roster.
+/// A new leader recovers the roster and must find every machine there that may run a task, so a
+/// machine gets no task before its admission is written.
 #[test]
 fn a_machine_is_admitted_to_the_roster_before_it_gets_a_task() {
     let mut script = ScriptedShard::empty();
@@ -14,60 +15,67 @@
     script.shard.heartbeat(&heartbeat, script.now);
     script.shard.reconcile(script.now);
     let actions = script.shard.take_actions();
-    let admit = actions
+    let admission = actions
         .iter()
         .find_map(|action| match action {
             Action::Write(write) => Some(write.clone()),
             _ => None,
         })
         .expect("the admission is written");
-    assert!(matches!(admit.purposes[0], WritePurpose::Admit(_)));
+    assert!(matches!(admission.purposes[0], WritePurpose::Admit(_)));
     assert!(!actions.iter().any(|a| matches!(a, Action::Command { .. })));
-    script.shard.write_applied(&admit, script.now);
+    script.shard.write_applied(&admission, script.now);
     script.reconcile();
     assert_eq!(script.launches().len(), 1);
 }
 
-/// A launch without an answer may still arrive: it is repeated until the worker lists it, and
-/// its end is not cleared, or a late copy would start the task again.
+/// A launch without an answer may still arrive. It is repeated until the worker lists the attempt,
+/// and the ended attempt is not cleared: after a clear, a late copy of the launch would start the
+/// task again.
 #[test]
 fn an_unanswered_launch_is_repeated_and_never_cleared() {
-    for (outcome_known, cleared) in [(true, true), (false, false)] {
+    for (is_answered, expects_clear) in [(true, true), (false, false)] {
         let mut script = ScriptedShard::empty();
         script.heartbeat("vm-1", Vec::new());
         script.submit("run-1", spec("blue", 1.0, 1));
         let batch = script.launches().remove(0);
         let attempt_number = launched_attempt(&batch.commands);
-        if outcome_known {
-            let line = task_status("run-1/0", attempt_number, TaskState::Fetching, None);
-            script.execute(&batch, vec![line]);
+        if is_answered {
+            let status = task_status("run-1/0", attempt_number, TaskState::Fetching, None);
+            script.execute(&batch, vec![status]);
         } else {
             script.answer(&batch, CommandOutcome::NoAnswer);
             // The next heartbeat is answered with the same launch.
             let commands = script.heartbeat("vm-1", Vec::new());
             assert_eq!(launched_attempt(&commands), attempt_number);
         }
-        let line = ended_task("run-1/0", attempt_number, AttemptOutcome::Error);
-        script.heartbeat("vm-1", vec![line.clone()]);
+        let status = ended_task("run-1/0", attempt_number, AttemptOutcome::Error);
+        script.heartbeat("vm-1", vec![status.clone()]);
         script.batches();
-        let commands = script.heartbeat("vm-1", vec![line]);
-        let clears = commands
+        let commands = script.heartbeat("vm-1", vec![status]);
+        let has_clear = commands
             .iter()
             .any(|c| matches!(c, Command::Clear { attempt, .. } if *attempt == attempt_number));
-        // A late launch would start the task again once it is cleared.
-        assert_eq!(clears, cleared);
+        // Once the attempt is cleared, a late launch would start the task again.
+        assert_eq!(has_clear, expects_clear);
     }
 }
 
-/// A leader does not know which attempts an earlier one has launched since its last snapshot.
+/// A leader does not know which attempts an earlier leader launched after its last snapshot, so the
+/// attempt numbers of different leaders must differ.
 #[test]
 fn attempt_numbers_are_unique_across_fencing_tokens() {
-    let (first, second) = (attempts_launched_under(7), attempts_launched_under(8));
-    assert_eq!(first.len(), 5);
-    assert!(second.iter().all(|attempt| !first.contains(attempt)));
+    let (under_first_token, under_second_token) =
+        (attempts_launched_under(7), attempts_launched_under(8));
+    assert_eq!(under_first_token.len(), 5);
+    assert!(
+        under_second_token
+            .iter()
+            .all(|attempt| !under_first_token.contains(attempt))
+    );
 }
 
-/// The attempt numbers that a leader with this fencing token launches.
+/// The attempt numbers of the launches of a leader with the given fencing token.
 fn attempts_launched_under(fencing_token: u64) -> Vec<u64> {
     let mut script = ScriptedShard::recover(policy(), fencing_token, RecoveredState::default());
     let heartbeat = script.heartbeat_of("vm-1", fencing_token, Vec::new());
@@ -89,9 +97,10 @@
         .collect()
 }
 
-/// The launch may reach the worker after the cancellation was confirmed to the user.
+/// A launch may reach its worker after the cancellation of its job was confirmed to the user: the
+/// launch is repeated and followed by a stop.
 #[test]
-fn cancelling_a_job_stops_a_launch_under_way() {
+fn cancelling_a_job_stops_a_launch_in_flight() {
     let mut script = ScriptedShard::empty();
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
@@ -104,7 +113,7 @@
     assert_eq!(
         launched_attempt(&commands),
         attempt_number,
-        "repeated, so that it can't arrive after the stop"
+        "the launch is repeated, so that it can't arrive after the stop"
     );
     assert!(matches!(
         commands.last(),
--- a/src/coordination/shard/tests/leader_pause.rs
+++ b/src/coordination/shard/tests/leader_pause.rs
@@ -1,5 +1,6 @@
-//! The leader's process is paused while its clocks advance, and keeps its lease: the key-value
-//! store was unavailable, and no other controller could campaign.
+//! Pauses of the leader's process, during which its clocks advance. The leader keeps its lease
+//! after the pause, because the key-value store was unavailable and no other controller could
+//! campaign.
 
 use std::time::Duration;
 
@@ -9,7 +10,7 @@
 
 const MACHINES: [&str; 6] = ["vm-1", "vm-2", "vm-3", "vm-4", "vm-5", "vm-6"];
 
-/// Machines that are full with one task each.
+/// A shard whose machines are each filled by one task.
 fn full_machines() -> ScriptedShard {
     let mut script = ScriptedShard::empty();
     for id in MACHINES.iter().chain(&MACHINES) {
@@ -26,14 +27,14 @@
     batches.iter().map(CommandBatch::launches).sum()
 }
 
-/// The controller was paused, not the machines: none is deleted for missed heartbeats, and none of
-/// their tasks is started again.
+/// After a pause the leader has missed heartbeats of all machines because of its own pause: it
+/// deletes no machine for that, and restarts no task.
 #[test]
 fn a_paused_leader_counts_no_machine_as_unreachable() {
     for seconds in [3, 14, 20] {
         let mut script = full_machines();
         script.advance(Duration::from_secs(seconds));
-        // Late timers all fire together.
+        // Timers that are overdue after the pause fire together.
         for _ in 0..5 {
             script.advance(Duration::from_millis(200));
         }
@@ -52,12 +53,12 @@
     }
 }
 
-/// Tasks may have been restarted elsewhere: a task that a machine still lists from before is
-/// stopped or counted, and never runs a second time.
+/// After a pause longer than the leases, tasks may have been restarted on other machines. A task
+/// that a machine still lists from before the pause is stopped or counted, and never runs twice.
 #[test]
 fn after_a_pause_longer_than_the_leases_running_tasks_are_counted_once() {
     let mut script = full_machines();
-    let lines: Vec<_> = MACHINES
+    let statuses: Vec<_> = MACHINES
         .iter()
         .map(|id| {
             let attempts = &script.machine(id).attempts;
@@ -68,15 +69,15 @@
         .collect();
     script.advance(Duration::from_secs(40));
     script.batches();
-    // Their workers begin new agent epochs, all but one that a delegate has answered: its agent
-    // epoch counts as ended, and gets no more tasks.
+    // All workers but one begin new agent epochs. A delegate has answered that one, which goes on
+    // in its old agent epoch; the leader counts that epoch as ended and gives it no more tasks.
     for id in &MACHINES[1..] {
         let mut heartbeat = script.heartbeat_of(id, TOKEN, Vec::new());
         heartbeat.agent_epoch = 2;
         script.shard.heartbeat(&heartbeat, script.now);
     }
-    let late = script.heartbeat_of(MACHINES[0], TOKEN, vec![lines[0].clone()]);
+    let late = script.heartbeat_of(MACHINES[0], TOKEN, vec![statuses[0].clone()]);
     script.receive(&late);
-    let launched = script.launches();
-    assert!(launched.iter().all(|batch| *batch.machine != *MACHINES[0]));
+    let launches = script.launches();
+    assert!(launches.iter().all(|batch| *batch.machine != *MACHINES[0]));
 }
--- a/src/coordination/shard/tests/mod.rs
+++ b/src/coordination/shard/tests/mod.rs
@@ -1,5 +1,5 @@
-//! The shard's state machine on a fake clock: with scripted events, one failure at a
-//! time, and in a simulated cluster with random faults ([`simulation`]).
+//! Tests of the shard's state machine with a simulated time: with scripted events
+//! ([`scripted_shard`]), and in a simulated cluster with random faults ([`simulation`]).
 
 mod agent_epochs;
 mod autoscaling;
--- a/src/coordination/shard/tests/preemption.rs
+++ b/src/coordination/shard/tests/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption of work of lower priority.
+//! Preemption of tasks by tasks of higher priority.
 
 use std::time::Duration;
 
@@ -9,23 +9,23 @@
 use crate::protocol::users::{JobKind, JobSpec, Priority};
 use crate::protocol::workers::Command;
 
-/// Found by the simulation: a task that was placed, and preempted before its launch was sent,
-/// held its capacity for ever.
+/// Found by the simulation: a task that was placed and then preempted before its launch was sent
+/// kept its capacity allocated forever.
 #[test]
 fn a_preempted_launch_that_was_never_sent_is_withdrawn() {
     let mut script = ScriptedShard::new(RecoveredState {
         roster: vec![roster_machine("vm-1")],
         ..RecoveredState::default()
     });
-    // The probe is under way, so that launches wait for its answer.
+    // Launches on vm-1 wait until its probe is answered.
     let probe = script.batches().remove(0);
-    let sync = script.heartbeat_of("vm-1", TOKEN, Vec::new());
-    script.receive(&sync);
+    let heartbeat = script.heartbeat_of("vm-1", TOKEN, Vec::new());
+    script.receive(&heartbeat);
     script.submit("run-1", spec("blue", 8.0, 1));
     assert!(script.launches().is_empty());
-    let mut first = spec("blue", 8.0, 1);
-    first.priority = Priority::Prod;
-    script.submit("run-2", first);
+    let mut higher_priority = spec("blue", 8.0, 1);
+    higher_priority.priority = Priority::Prod;
+    script.submit("run-2", higher_priority);
     script.execute(&probe, Vec::new());
     let batches = script.launches();
     assert_eq!(batches.len(), 1);
@@ -35,8 +35,8 @@
     ));
 }
 
-/// Found in a burst of jobs: each pass counted the one task being stopped as capacity for all
-/// that waited, so that a thousand cores were preempted one by one.
+/// Found in a burst of jobs: each scheduling pass counted a single task that was being stopped as
+/// capacity for all waiting tasks, so that a thousand cores were preempted one at a time.
 #[test]
 fn capacity_is_preempted_for_all_waiting_tasks() {
     let mut script = ScriptedShard::empty();
@@ -53,12 +53,14 @@
     assert_eq!(
         stops(&run_commands(&mut script, "vm-1")),
         0,
-        "capacity is being freed for all"
+        "capacity is already being freed for all waiting tasks"
     );
 }
 
-/// Found in a burst of jobs: machines rented for batch work could not be deleted for minutes,
-/// because of one service replica each that was placed there meanwhile.
+/// Found in a burst of jobs: machines that were rented for batch jobs could not be deleted for
+/// minutes, because one service replica had been placed on each of them. A service therefore
+/// preempts tasks on a machine that already runs services, even if another machine has free
+/// capacity.
 #[test]
 fn services_preempt_lower_priority_work_on_machines_with_services() {
     let mut script = ScriptedShard::without_quotas();
@@ -73,7 +75,7 @@
     run_commands(&mut script, "vm-1");
     script.submit("run-2", spec("blue", 1.0, 7));
     run_commands(&mut script, "vm-1");
-    assert!(script.machine("vm-1").load.tasks.len() == 2, "full");
+    assert!(script.machine("vm-1").load.tasks.len() == 2, "vm-1 is full");
     // Another machine has free capacity, but no services.
     script.heartbeat("vm-2", Vec::new());
     script.advance(Duration::from_secs(1));
--- a/src/coordination/shard/tests/quotas.rs
+++ b/src/coordination/shard/tests/quotas.rs
@@ -6,25 +6,25 @@
 use super::scripted_shard::{ScriptedShard, TOKEN};
 use crate::coordination::shard::{Policy, RecoveredState, TeamPolicy};
 
-/// A launch that is not answered yet may start, and uses its cores from then on.
+/// An unanswered launch may start its task at any time, so its cores count against the quota limit.
 #[test]
-fn a_quota_limit_counts_launches_under_way() {
+fn a_quota_limit_counts_launches_in_flight() {
     let mut script = ScriptedShard::empty();
     script.heartbeat("vm-1", Vec::new());
     script.heartbeat("vm-2", Vec::new());
     script.heartbeat("vm-3", Vec::new());
-    // Red may use 16 cores; 5 tasks of 4 want 20.
+    // The team `red` may use 16 cores; five tasks of 4 cores each need 20.
     script.submit("run-1", spec("red", 4.0, 5));
     let launched: usize = script
         .launches()
         .iter()
         .map(|batch| batch.commands.len())
         .sum();
-    assert_eq!(launched, 4, "launches under way count");
+    assert_eq!(launched, 4, "launches in flight count");
 }
 
-/// Found in review: a team without a quota had a fair share of one core, and got next to nothing
-/// of the capacity that others borrowed beyond their quotas.
+/// Found in review: a team without a quota had a fair share of only one core, and got almost
+/// nothing of the capacity beyond all quotas, which other teams borrowed.
 #[test]
 fn a_team_without_a_quota_gets_its_fair_share_beyond_all_quotas() {
     let with_quota = TeamPolicy {
@@ -53,7 +53,8 @@
     assert_eq!((placed("run-1"), placed("run-2")), (16, 16));
 }
 
-/// A quota itself is met first, however little the teams without one have.
+/// A team gets its quota before capacity is shared fairly, however little the teams without a quota
+/// have.
 #[test]
 fn quotas_are_met_before_fair_shares() {
     let mut script = ScriptedShard::empty();
--- a/src/coordination/shard/tests/random.rs
+++ b/src/coordination/shard/tests/random.rs
@@ -1,4 +1,5 @@
-//! Random runs of the simulation, at a fixed set of seeds, and runs with one kind of fault each.
+//! Simulated runs with fixed seeds: runs with random events and faults of all kinds, and runs with
+//! one kind of fault each.
 
 use std::time::Duration;
 
@@ -9,18 +10,19 @@
 use super::simulation::Simulation;
 use crate::protocol::users::{JobKind, JobSpec, Priority};
 
+/// The number of seeds, counted from 0, for which the rules are checked.
 const SEEDS: u64 = 64;
 
-/// Events in one run.
-const EVENTS: u32 = 60;
+/// The number of events in one random run.
+const EVENTS_PER_RUN: u32 = 60;
 
-/// A run of submissions, cancellations, leader crashes, and faults of machines and of
+/// Runs a simulation of submissions, cancellations, leader crashes, and faults of machines and of
 /// the key-value store, all drawn from the simulation's random number generator.
 fn random_run(seed: u64) -> Simulation {
     let mut simulation = Simulation::new(seed);
     simulation.elect_leader();
     let mut submitted = 0_u32;
-    for _ in 0..EVENTS {
+    for _ in 0..EVENTS_PER_RUN {
         let event: f64 = simulation.rng.random();
         if event < 0.35 {
             let job = random_job(&mut simulation.rng);
@@ -33,8 +35,8 @@
         } else if event < 0.9 {
             fail_random_machine(&mut simulation);
         } else if event < 0.93 {
-            let time = Duration::from_millis(simulation.rng.random_range(1_000..40_000));
-            simulation.start_store_outage(time);
+            let duration = Duration::from_millis(simulation.rng.random_range(1_000..40_000));
+            simulation.start_store_outage(duration);
         } else if event < 0.96 {
             simulation.cancel_completed_job();
         }
@@ -64,22 +66,22 @@
 }
 
 fn cancel_random_job(simulation: &mut Simulation) {
-    let open = simulation.open_jobs();
-    if !open.is_empty() {
-        let at = simulation.rng.random_range(0..open.len());
-        simulation.cancel(&open[at]);
+    let open_jobs = simulation.open_jobs();
+    if !open_jobs.is_empty() {
+        let index = simulation.rng.random_range(0..open_jobs.len());
+        simulation.cancel(&open_jobs[index]);
     }
 }
 
-/// Sometimes the next leader follows at once, sometimes after a while without one.
+/// Crashes the leader and elects the next one, after 1 ms or 9 s without a leader.
 fn fail_over(simulation: &mut Simulation) {
     simulation.crash_leader();
-    let gap = if simulation.rng.random_bool(0.5) {
+    let leaderless_ms = if simulation.rng.random_bool(0.5) {
         1
     } else {
         9_000
     };
-    simulation.run(Duration::from_millis(gap));
+    simulation.run(Duration::from_millis(leaderless_ms));
     simulation.elect_leader();
 }
 
@@ -89,13 +91,13 @@
         return;
     }
     let id = &machines[simulation.rng.random_range(0..machines.len())];
-    let time = Duration::from_millis(simulation.rng.random_range(2_000..60_000));
+    let duration = Duration::from_millis(simulation.rng.random_range(2_000..60_000));
     match simulation.rng.random_range(0..6) {
-        0 => simulation.hang(id, time),
+        0 => simulation.hang(id, duration),
         1 => simulation.kill(id),
-        2 => simulation.block_inbound(id, time),
-        3 => simulation.block_outbound(id, time),
-        _ => simulation.partition(id, time),
+        2 => simulation.block_inbound(id, duration),
+        3 => simulation.block_outbound(id, duration),
+        _ => simulation.partition(id, duration),
     }
 }
 
@@ -114,7 +116,7 @@
     }
     assert!(
         starts > 500,
-        "only {starts} tasks started: the runs test nothing"
+        "only {starts} tasks started, too few to test the rules"
     );
     assert!(gangs > 100, "only {gangs} gangs started");
 }
@@ -139,21 +141,23 @@
     }
 }
 
-/// Ends all faults, and checks that all jobs finish.
-fn assert_all_jobs_finish(mut simulation: Simulation, what: &str) {
+/// Ends all faults, cancels all services, and checks that all jobs finish and no rule is violated.
+/// Failure messages begin with `context`.
+fn assert_all_jobs_finish(mut simulation: Simulation, context: &str) {
     simulation.end_faults();
     simulation.cancel_services();
     simulation.run(Duration::from_secs(600));
-    assert_eq!(simulation.open_jobs(), Vec::<String>::new(), "{what}");
+    assert_eq!(simulation.open_jobs(), Vec::<String>::new(), "{context}");
     assert!(
         simulation.violations.is_empty(),
-        "{what}: {:?}",
+        "{context}: {:?}",
         simulation.violations
     );
-    assert_eq!(simulation.counts.starts_after_cancellation, 0, "{what}");
+    assert_eq!(simulation.counts.starts_after_cancellation, 0, "{context}");
 }
 
-/// Submits jobs for all machines, some of them bound to one zone, some scattered.
+/// Submits jobs of which every third is bound to one zone, every third is scattered over zones, and
+/// every fourth has a high priority.
 fn submit_jobs(simulation: &mut Simulation, jobs: u32) {
     for n in 0..jobs {
         let mut job = spec(if n % 2 == 0 { "red" } else { "blue" }, 2.0, 3 + n % 4);
@@ -166,28 +170,29 @@
     }
 }
 
-/// Also during an outage of the key-value store, and within a fraction of a second.
+/// Five of the failovers take 100 ms, the others three seconds, and one happens during an outage of
+/// the key-value store.
 #[test]
-fn ten_failovers_in_two_minutes_lose_nothing() {
+fn ten_failovers_in_two_minutes_lose_no_job() {
     for seed in 0..8 {
         let mut simulation = Simulation::new(seed);
         simulation.elect_leader();
         submit_jobs(&mut simulation, 12);
-        for change in 0..10 {
+        for failover in 0..10 {
             simulation.run(Duration::from_secs(9));
-            if change == 4 {
+            if failover == 4 {
                 simulation.start_store_outage(Duration::from_secs(20));
             }
             simulation.crash_leader();
-            let gap = if change % 2 == 0 { 100 } else { 3_000 };
-            simulation.run(Duration::from_millis(gap));
+            let leaderless_ms = if failover % 2 == 0 { 100 } else { 3_000 };
+            simulation.run(Duration::from_millis(leaderless_ms));
             simulation.elect_leader();
         }
         assert_all_jobs_finish(simulation, &format!("seed {seed}"));
     }
 }
 
-/// The workers end all tasks, and the next leader starts them again.
+/// When their leases expire, the workers end all tasks; the next leader starts the tasks again.
 #[test]
 fn an_outage_of_all_controllers_longer_than_a_lease_loses_no_job() {
     for seed in 0..8 {
@@ -203,7 +208,7 @@
     }
 }
 
-/// More jobs than capacity, of several priorities, over links that delay messages for seconds, so
+/// Jobs of several priorities need more than the capacity, and links delay messages for seconds, so
 /// that commands and answers arrive late and out of order.
 #[test]
 fn overload_over_slow_links_violates_no_rule() {
@@ -216,18 +221,18 @@
         for round in 0..12 {
             simulation.run(Duration::from_secs(10));
             if round % 3 == 2 {
-                let open = simulation.open_jobs();
-                simulation.cancel(&open[round % open.len()]);
+                let open_jobs = simulation.open_jobs();
+                simulation.cancel(&open_jobs[round % open_jobs.len()]);
             }
         }
         assert_all_jobs_finish(simulation, &format!("seed {seed}"));
     }
 }
 
-/// Machines that reach no controller, and machines that no controller reaches, while leaders change
-/// and jobs are cancelled.
+/// Some machines cannot reach any controller and others cannot be reached by any controller, while
+/// leaders change and jobs are cancelled: no task runs longer after a cancellation than is allowed.
 #[test]
-fn partly_unreachable_machines_outlast_no_cancellation() {
+fn partly_unreachable_machines_run_no_cancelled_task_for_too_long() {
     for seed in 0..8 {
         let mut simulation = Simulation::new(seed);
         simulation.elect_leader();
@@ -236,10 +241,10 @@
             simulation.run(Duration::from_secs(8));
             let machines = simulation.machines();
             for (n, id) in machines.iter().enumerate() {
-                let time = Duration::from_secs(10 + 8 * n as u64);
+                let duration = Duration::from_secs(10 + 8 * n as u64);
                 match (n + round) % 3 {
-                    0 => simulation.block_inbound(id, time),
-                    1 => simulation.block_outbound(id, time),
+                    0 => simulation.block_inbound(id, duration),
+                    1 => simulation.block_outbound(id, duration),
                     _ => {}
                 }
             }
--- a/src/coordination/shard/tests/scripted_shard.rs
+++ b/src/coordination/shard/tests/scripted_shard.rs
@@ -1,5 +1,5 @@
-//! A shard whose surroundings do exactly what a test says: the test passes events to it
-//! and looks at the actions that it decides. Writes are applied at once.
+//! A shard in a scripted environment: a test passes events to it one by one and inspects the
+//! actions that it decides. Its writes to the key-value store are applied at once.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -18,17 +18,19 @@
 /// The fencing token of the shard's leader.
 pub(super) const TOKEN: u64 = 100;
 
+/// A shard, its simulated time, and the actions that the test has not inspected yet.
 pub(super) struct ScriptedShard {
     pub(super) shard: Shard,
     pub(super) now: Instant,
-    /// The sequence number of the last heartbeat, of whichever machine.
+    /// The sequence number of the last heartbeat of any machine; the machines share one sequence.
     pub(super) sequence: u64,
-    /// The actions decided and not looked at yet, other than writes.
+    /// The actions, other than writes, that the shard decided and the test has not inspected yet.
     pub(super) actions: Vec<Action>,
+    /// The chunks of the snapshots that the shard has written, by key.
     pub(super) snapshot_chunks: BTreeMap<String, serde_json::Value>,
 }
 
-/// Commands to one machine that wait for its answer.
+/// Commands that the shard sent to a machine in one message, and the message's number.
 #[derive(Debug, Clone)]
 pub(super) struct CommandBatch {
     pub(super) machine: MachineId,
@@ -37,25 +39,27 @@
 }
 
 impl CommandBatch {
+    /// The number of launches in the batch.
     pub(super) fn launches(&self) -> usize {
-        let launch = |command: &&Command| matches!(command, Command::Launch { .. });
-        self.commands.iter().filter(launch).count()
+        let is_launch = |command: &&Command| matches!(command, Command::Launch { .. });
+        self.commands.iter().filter(is_launch).count()
     }
 }
 
 /// Construction.
 impl ScriptedShard {
-    /// Without jobs and machines.
+    /// A shard without jobs and machines.
     pub(super) fn empty() -> Self {
         Self::new(RecoveredState::default())
     }
 
-    /// Without other controllers.
+    /// A shard without other controllers that may renew leases.
     pub(super) fn new(recovered: RecoveredState) -> Self {
         Self::with_advance_delegation(Duration::ZERO, recovered)
     }
 
-    /// Among controllers that may renew workers' leases on their own for so long.
+    /// A shard among controllers that may renew workers' leases without the leader for the given
+    /// time.
     pub(super) fn with_advance_delegation(
         advance_delegation: Duration,
         recovered: RecoveredState,
@@ -67,7 +71,7 @@
         Self::with_policy(policy, recovered)
     }
 
-    /// Where no team has a quota: machines that are not needed are deleted.
+    /// A shard in which no team has a quota, so that machines that are not needed are deleted.
     pub(super) fn without_quotas() -> Self {
         let mut policy = Policy {
             advance_delegation: Duration::ZERO,
@@ -79,13 +83,14 @@
         Self::with_policy(policy, RecoveredState::default())
     }
 
+    /// A shard with the given policy, after its first pass over the recovered state.
     pub(super) fn with_policy(policy: Policy, recovered: RecoveredState) -> Self {
         let mut script = Self::recover(policy, TOKEN, recovered);
         script.reconcile();
         script
     }
 
-    /// A leader that has recovered the shard and not decided anything yet.
+    /// A shard that a leader has recovered, before its first decision.
     pub(super) fn recover(policy: Policy, fencing_token: u64, recovered: RecoveredState) -> Self {
         let now = Instant::now();
         let fencing_token = FencingToken::new(fencing_token);
@@ -103,7 +108,8 @@
 
 /// Events.
 impl ScriptedShard {
-    /// Reconciles, and applies writes at once; other actions are kept for the test.
+    /// Lets the shard decide until it decides nothing more. Writes are applied at once; other
+    /// actions are kept in `actions`.
     pub(super) fn reconcile(&mut self) {
         self.shard.reconcile(self.now);
         loop {
@@ -131,12 +137,14 @@
         self.shard.write_applied(write, self.now);
     }
 
+    /// Advances the clock and lets the shard decide.
     pub(super) fn advance(&mut self, time: Duration) {
         self.now += time;
         self.shard.tick(self.now);
         self.reconcile();
     }
 
+    /// Delivers the acceptance of a new job.
     pub(super) fn submit(&mut self, id: &str, spec: JobSpec) {
         let mod_revision = TOKEN + 1 + self.sequence;
         self.shard
@@ -144,7 +152,7 @@
         self.reconcile();
     }
 
-    /// The next heartbeat of a machine, not delivered yet.
+    /// Returns the next heartbeat of a machine without delivering it.
     pub(super) fn heartbeat_of(
         &mut self,
         id: &str,
@@ -166,13 +174,14 @@
         }
     }
 
-    /// Delivers a heartbeat whose answer is of no interest.
+    /// Delivers a heartbeat and ignores the answer.
     pub(super) fn receive(&mut self, heartbeat: &WorkerHeartbeat) {
         self.shard.heartbeat(heartbeat, self.now);
         self.reconcile();
     }
 
-    /// Delivers the next heartbeat of a machine; returns the commands in its answer.
+    /// Delivers the next heartbeat of a machine; returns the commands in the answer. Panics if the
+    /// heartbeat is refused.
     pub(super) fn heartbeat(&mut self, id: &str, tasks: Vec<TaskStatus>) -> Vec<Command> {
         let heartbeat = self.heartbeat_of(id, TOKEN, tasks);
         let outcome = self.shard.heartbeat(&heartbeat, self.now);
@@ -183,6 +192,7 @@
         }
     }
 
+    /// Delivers the outcome of a batch of commands.
     pub(super) fn answer(&mut self, batch: &CommandBatch, outcome: CommandOutcome) {
         let CommandBatch {
             machine,
@@ -194,7 +204,7 @@
         self.reconcile();
     }
 
-    /// A worker executes a batch and answers with the tasks it lists.
+    /// Delivers a worker's answer that it executed a batch and now lists the given tasks.
     pub(super) fn execute(&mut self, batch: &CommandBatch, tasks: Vec<TaskStatus>) {
         let heartbeat = self.heartbeat_of(&batch.machine, TOKEN, tasks);
         self.answer(batch, CommandOutcome::Executed(heartbeat));
@@ -207,7 +217,7 @@
         self.shard.machines().get(id).expect("a known machine")
     }
 
-    /// The batches of commands decided since the last call.
+    /// Removes all batches of commands from `actions` and returns them.
     pub(super) fn batches(&mut self) -> Vec<CommandBatch> {
         let mut batches = Vec::new();
         self.actions.retain(|action| match action {
@@ -229,21 +239,22 @@
         batches
     }
 
-    /// Of the batches, those without commands, which only ask for a heartbeat.
+    /// Removes all batches from `actions`; returns those without commands, which only request a
+    /// heartbeat, and discards the others.
     pub(super) fn probes(&mut self) -> Vec<CommandBatch> {
         let mut batches = self.batches();
         batches.retain(|batch| batch.commands.is_empty());
         batches
     }
 
-    /// Of the batches, those that launch something.
+    /// Removes all batches from `actions`; returns those with a launch, and discards the others.
     pub(super) fn launches(&mut self) -> Vec<CommandBatch> {
         let mut batches = self.batches();
         batches.retain(|batch| batch.launches() > 0);
         batches
     }
 
-    /// How many deletions of machines were decided since the last call.
+    /// Removes all deletions of machines from `actions` and returns their number.
     pub(super) fn deletions(&mut self) -> usize {
         let before = self.actions.len();
         self.actions
@@ -251,7 +262,7 @@
         before - self.actions.len()
     }
 
-    /// The scale-out requests decided since the last call.
+    /// Removes all scale-out requests from `actions` and returns them.
     pub(super) fn rentals(&mut self) -> Vec<Rental> {
         let mut rentals = Vec::new();
         self.actions.retain(|action| match action {
@@ -265,7 +276,7 @@
     }
 }
 
-/// The attempt number of the first launch.
+/// The attempt number of the first launch among the commands.
 pub(super) fn launched_attempt(commands: &[Command]) -> u64 {
     commands
         .iter()
@@ -276,7 +287,8 @@
         .expect("a launch")
 }
 
+/// The number of stops among the commands.
 pub(super) fn stops(commands: &[Command]) -> usize {
-    let stop = |command: &&Command| matches!(command, Command::Stop { .. });
-    commands.iter().filter(stop).count()
+    let is_stop = |command: &&Command| matches!(command, Command::Stop { .. });
+    commands.iter().filter(is_stop).count()
 }
--- a/src/coordination/shard/tests/scripted_workers.rs
+++ b/src/coordination/shard/tests/scripted_workers.rs
@@ -1,5 +1,5 @@
-//! Workers that do what the shard expects of them: they execute all commands, and their
-//! heartbeats list the attempts that the shard has on record for their machines.
+//! Workers of a [`ScriptedShard`] that behave as the shard expects: they execute all commands, and
+//! their heartbeats list the attempts that the shard has recorded for their machines.
 
 use super::fixtures::{running_task, task_status};
 use super::scripted_shard::{CommandBatch, ScriptedShard, TOKEN};
@@ -7,7 +7,7 @@
 use crate::protocol::AttemptId;
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState, WorkerHeartbeat};
 
-/// A launch that was executed.
+/// A launch command that a worker executed.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Launched {
     pub(super) machine: String,
@@ -15,7 +15,7 @@
     pub(super) attempt: u64,
 }
 
-/// A stop that was executed, with the time that the task has to save.
+/// A stop command that a worker executed, with the time that the task has to save its state.
 #[derive(Debug, PartialEq)]
 pub(super) struct Stopped {
     pub(super) machine: String,
@@ -32,23 +32,24 @@
 }
 
 impl ScriptedShard {
-    /// Machines of eight cores in the zone `north` join, in this order.
+    /// Adds machines of eight cores in the zone `north`, in the given order.
     pub(super) fn add_machines(&mut self, ids: &[&str]) {
         for id in ids {
             self.add_machine(id, "north");
         }
     }
 
+    /// Adds a machine of eight cores in the given zone.
     pub(super) fn add_machine(&mut self, id: &str, zone: &str) {
         let mut heartbeat = self.heartbeat_of(id, TOKEN, Vec::new());
         heartbeat.zone = zone.into();
         self.shard.heartbeat(&heartbeat, self.now);
-        // Once for its admission, and once for what that allows.
+        // The first pass admits the machine, and the second one may place tasks on it.
         self.reconcile();
         self.reconcile();
     }
 
-    /// A heartbeat of a machine on which all attempts of the shard's record run.
+    /// A heartbeat in which all attempts that the shard has recorded for a machine run.
     pub(super) fn running_heartbeat(&mut self, id: &str) -> WorkerHeartbeat {
         let attempts = self.machine(id).attempts.keys();
         let tasks = attempts
@@ -57,7 +58,7 @@
         self.heartbeat_of(id, TOKEN, tasks)
     }
 
-    /// A heartbeat of a machine on which all attempts of the shard's record are in one
+    /// A heartbeat in which all attempts that the shard has recorded for a machine are in the given
     /// state.
     pub(super) fn heartbeat_with_all(
         &mut self,
@@ -75,19 +76,19 @@
         heartbeat
     }
 
-    /// Receives a heartbeat in which all attempts of a machine are in one state.
+    /// Delivers a heartbeat in which all attempts of a machine are in the given state.
     pub(super) fn report_all_in_state(&mut self, id: &str, state: TaskState) {
         let heartbeat = self.heartbeat_with_all(id, state, None);
         self.receive(&heartbeat);
     }
 
-    /// Receives a heartbeat in which all attempts of a machine have ended.
+    /// Delivers a heartbeat in which all attempts of a machine have ended with the given outcome.
     pub(super) fn report_all_ended(&mut self, id: &str, outcome: AttemptOutcome) {
         let heartbeat = self.heartbeat_with_all(id, TaskState::Ended, Some(outcome));
         self.receive(&heartbeat);
     }
 
-    /// A heartbeat of a machine in the state of the shard's record.
+    /// A heartbeat in which each attempt of a machine is in the phase that the shard has recorded.
     pub(super) fn recorded_heartbeat(&mut self, id: &str) -> WorkerHeartbeat {
         let status = |(id, attempt): (&AttemptId, &Attempt)| {
             let (state, outcome) = match attempt.phase {
@@ -108,10 +109,10 @@
         heartbeat
     }
 
-    /// Executes all commands decided since the last call; returns the launches.
+    /// Executes all pending commands; returns the launches.
     pub(super) fn execute_launches(&mut self) -> Vec<Launched> {
         let mut launches = Vec::new();
-        // What waits for the answer to another batch comes in the next round.
+        // Commands that wait for the answer to another batch are sent in the next round.
         for _ in 0..3 {
             for batch in self.batches() {
                 let mut heartbeat = self.recorded_heartbeat(&batch.machine);
@@ -134,7 +135,7 @@
         launches
     }
 
-    /// Executes all commands decided since the last call; returns the stops, by machine.
+    /// Executes all pending commands; returns the stops, sorted by machine.
     pub(super) fn execute_stops(&mut self) -> Vec<Stopped> {
         let mut stops = Vec::new();
         for batch in self.batches() {
@@ -151,7 +152,7 @@
     }
 }
 
-/// Executes all commands decided since the last call: every launched task runs.
+/// Executes all pending commands, so that every launched task runs; returns the batches.
 pub(super) fn run_batches(script: &mut ScriptedShard) -> Vec<CommandBatch> {
     let batches = script.batches();
     for batch in &batches {
@@ -161,7 +162,8 @@
     batches
 }
 
-/// The same; returns the commands to one of the machines.
+/// Executes all pending commands, so that every launched task runs; returns the commands to one
+/// machine.
 pub(super) fn run_commands(script: &mut ScriptedShard, id: &str) -> Vec<Command> {
     let mut batches = run_batches(script);
     batches.retain(|batch| *batch.machine == *id);
--- a/src/coordination/shard/tests/slow_boots.rs
+++ b/src/coordination/shard/tests/slow_boots.rs
@@ -1,4 +1,4 @@
-//! Machines that boot slowly, together after they were rented twice, or never.
+//! Machines that boot slowly or never, and how many more the autoscaler rents meanwhile.
 
 use std::time::Duration;
 
@@ -8,31 +8,32 @@
 use crate::protocol::cloud::Rental;
 use crate::protocol::users::{JobSpec, Priority};
 
-/// How long these machines usually take to boot.
+/// How long machines of the test type usually take to boot, from rental to first heartbeat.
 const USUAL_BOOT_S: u64 = 10;
 
-/// A machine that was rented, and may not be booted yet.
+/// A rented machine, booted or not, and the request that rented it.
 struct RentedMachine {
     name: String,
     rental: Rental,
 }
 
-/// A shard in a cloud that grants all rentals, and whose machines boot when a test says.
+/// A shard in a cloud that grants all rentals. Machines boot only when a test boots them.
 struct BootingCluster {
     script: ScriptedShard,
     machines: Vec<RentedMachine>,
+    /// The number of deletions that the shard has decided.
     deleted: usize,
 }
 
 impl BootingCluster {
-    /// Tasks for ten machines, none of which is booted.
+    /// A cluster without machines, and a job of ten tasks that each fill a machine.
     fn with_job() -> Self {
         let mut script = ScriptedShard::without_quotas();
-        let urgent = JobSpec {
+        let job = JobSpec {
             spot: false,
             ..spec("blue", 8.0, 10)
         };
-        script.submit("run-1", urgent);
+        script.submit("run-1", job);
         Self {
             script,
             machines: Vec::new(),
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Lets time pass, in which the cloud rents all machines that are asked for.
+    /// Advances the clock second by second; the cloud grants all rentals that the shard requests.
     fn advance(&mut self, seconds: u64) {
         for _ in 0..seconds {
             self.script.advance(Duration::from_secs(1));
@@ -51,6 +52,7 @@
         }
     }
 
+    /// Adds the machines of a rental and answers the request.
     fn grant(&mut self, rental: Rental) {
         let first = self.machines.len();
         let names: Vec<String> = (first..first + rental.count as usize)
@@ -62,14 +64,14 @@
                 rental: rental.clone(),
             });
         }
-        let rented = RentalOutcome::Rented(names);
+        let outcome = RentalOutcome::Rented(names);
         self.script
             .shard
-            .rental_answered(&rental.request, rented, self.script.now);
+            .rental_answered(&rental.request, outcome, self.script.now);
         self.script.reconcile();
     }
 
-    /// A machine boots; its worker sends a heartbeat.
+    /// Boots a machine: its worker sends a first heartbeat.
     fn boot(&mut self, name: &str) {
         let mut machines = self.machines.iter();
         let machine = machines.find(|machine| machine.name == name);
@@ -81,20 +83,21 @@
     }
 }
 
-/// Before, each machine was deleted after 70 s, and none ever booted.
+/// A fault of the past: each machine was deleted 70 s after its rental, so that none ever booted.
 #[test]
-fn machines_that_all_boot_twenty_times_slower_are_awaited_in_the_end() {
+fn machines_that_all_boot_twenty_times_slower_are_eventually_awaited() {
     let mut cluster = BootingCluster::with_job();
     let mut booted = std::collections::BTreeSet::new();
-    let mut most_rented = 0;
+    let mut max_present = 0;
     for _ in 0..60 * USUAL_BOOT_S {
         cluster.advance(1);
         let machines = cluster.script.shard.machines().values();
-        let due = |rented: std::time::Instant| rented + Duration::from_secs(20 * USUAL_BOOT_S);
+        let booted_at =
+            |rented: std::time::Instant| rented + Duration::from_secs(20 * USUAL_BOOT_S);
         let now = cluster.script.now;
         let present: Vec<_> = machines.filter(|m| !m.is_deleting()).collect();
-        most_rented = most_rented.max(present.len());
-        let ready = present.into_iter().filter(|m| due(m.rented) <= now);
+        max_present = max_present.max(present.len());
+        let ready = present.into_iter().filter(|m| booted_at(m.rented) <= now);
         let ready: Vec<String> = ready.map(|m| m.id.to_string()).collect();
         for name in ready {
             cluster.boot(&name);
@@ -102,11 +105,11 @@
         }
     }
     assert_eq!(cluster.script.shard.jobs()["run-1"].live().len(), 10);
-    // Ten are wanted, in either of two zones, and as many again at the most.
-    assert!(most_rented <= 40, "{most_rented} at a time");
+    // Ten machines are needed in either of two zones, and at most as many again replace them.
+    assert!(max_present <= 40, "{max_present} machines at a time");
     assert!(
         cluster.machines.len() <= 80,
-        "{} in all",
+        "{} machines in total",
         cluster.machines.len()
     );
 }
@@ -132,9 +135,9 @@
         cluster.boot(name);
     }
     cluster.advance(2 * USUAL_BOOT_S);
-    assert_eq!(cluster.machines.len(), 11, "one in its place");
+    assert_eq!(cluster.machines.len(), 11, "one machine replaces vm-000");
     assert!(cluster.script.machine(&names[0]).last_contact.is_none());
-    // The others send heartbeats, so that only the one is unreachable.
+    // The other machines send heartbeats, so that only the first one is unreachable.
     for _ in 0..5 * USUAL_BOOT_S {
         for name in &names[1..] {
             let heartbeat = cluster.script.running_heartbeat(name);
@@ -149,19 +152,19 @@
     assert!(first.is_none_or(|machine| machine.is_deleting()));
 }
 
-/// Best-effort jobs use free capacity: full-price machines are rented for their first start only,
-/// however long they wait.
+/// Best-effort jobs without a deadline use free capacity: however long their tasks wait, full-price
+/// machines are rented only until the job has first started.
 #[test]
 fn best_effort_jobs_without_deadline_rent_no_full_price_machines_beyond_their_start() {
     let mut script = ScriptedShard::without_quotas();
-    let idle_time = JobSpec {
+    let best_effort = JobSpec {
         priority: Priority::BestEffort,
         ..spec("blue", 8.0, 10)
     };
     script.heartbeat("vm-1", Vec::new());
     script.heartbeat("vm-1", Vec::new());
-    script.submit("run-1", idle_time);
-    let mut ordinary = 0;
+    script.submit("run-1", best_effort);
+    let mut full_price_rented = 0;
     for _ in 0..1000 {
         for batch in script.batches() {
             let heartbeat = script.running_heartbeat(&batch.machine);
@@ -174,38 +177,39 @@
         script.shard.heartbeat(&heartbeat, script.now);
         script.advance(Duration::from_secs(1));
         for rental in script.rentals() {
-            ordinary += u32::from(!rental.spot);
-            let none = RentalOutcome::NoCapacity;
+            full_price_rented += u32::from(!rental.spot);
+            let no_capacity = RentalOutcome::NoCapacity;
             script
                 .shard
-                .rental_answered(&rental.request, none, script.now);
+                .rental_answered(&rental.request, no_capacity, script.now);
         }
     }
     assert_eq!(script.shard.jobs()["run-1"].live().len(), 1);
-    assert_eq!(ordinary, 0);
+    assert_eq!(full_price_rented, 0);
 }
 
-/// A zone is partitioned while machines boot there: these may be booted, and are no measure of how
-/// long others take.
+/// A zone is partitioned while machines boot there. These machines may have booted unseen, so that
+/// their missing heartbeats do not count as slow boots.
 #[test]
 fn machines_booting_in_an_unreachable_zone_do_not_count_as_slow_boots() {
     let mut cluster = BootingCluster::with_job();
     cluster.advance(1);
-    let first: Vec<String> = cluster
+    let names: Vec<String> = cluster
         .machines
         .iter()
         .map(|machine| machine.name.clone())
         .collect();
-    for name in &first {
+    for name in &names {
         cluster.boot(name);
     }
-    let zone = cluster.script.machine(&first[0]).zone.clone();
-    let more = JobSpec {
+    let zone = cluster.script.machine(&names[0]).zone.clone();
+    let second_job = JobSpec {
         spot: false,
         ..spec("blue", 8.0, 10)
     };
-    cluster.script.submit("run-2", more);
-    // Longer than machines take to boot, and shorter than these are awaited.
+    cluster.script.submit("run-2", second_job);
+    // 65 s is longer than machines take to boot, and shorter than the shard waits for these
+    // machines.
     for _ in 0..65 {
         cluster.advance(1);
         let machines = cluster.script.shard.machines().values();
--- a/src/coordination/shard/tests/snapshots.rs
+++ b/src/coordination/shard/tests/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots of placements and progress.
+//! Snapshots of the tasks' placements and progress, which a new leader recovers.
 
 use std::time::Duration;
 
@@ -7,14 +7,15 @@
 use crate::coordination::shard::{Action, HeartbeatOutcome, ShardWrite};
 use crate::protocol::workers::{AttemptOutcome, Command};
 
-/// What the snapshot does not record, the next leader would have to find out.
+/// A new leader has to find out from the workers whatever the last snapshot does not record, so the
+/// shard starts no tasks while its snapshot is too old.
 #[test]
 fn nothing_starts_while_the_snapshot_is_stale() {
     let mut script = ScriptedShard::empty();
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
     assert_eq!(script.launches().len(), 1);
-    // From here on no write is applied.
+    // From now on no write is applied, so that the snapshot becomes stale.
     for _ in 0..18 {
         script.now += Duration::from_secs(1);
         script.shard.tick(script.now);
@@ -22,10 +23,10 @@
         script.shard.heartbeat(&heartbeat, script.now);
         script.shard.take_actions();
     }
-    let late = record(spec("blue", 1.0, 1));
+    let late_job = record(spec("blue", 1.0, 1));
     script
         .shard
-        .job_accepted("run-2", TOKEN + 99, late, script.now);
+        .job_accepted("run-2", TOKEN + 99, late_job, script.now);
     script.shard.reconcile(script.now);
     assert!(
         !script
@@ -36,7 +37,8 @@
     );
 }
 
-/// Until then the worker's list is the only record that the task is done.
+/// Until a snapshot records that a task is done, the list of the task's worker is the only record
+/// of it, and must not be cleared.
 #[test]
 fn a_completed_task_is_cleared_only_after_a_snapshot_records_it() {
     let mut script = ScriptedShard::empty();
@@ -47,12 +49,12 @@
     let running = |n: u64| running_task(&format!("run-1/{n}"), attempt_number + n);
     script.execute(&batch, vec![running(0), running(1)]);
     let done = ended_task("run-1/0", attempt_number, AttemptOutcome::Done);
-    let clears = |commands: &[Command]| {
+    let has_clear = |commands: &[Command]| {
         commands
             .iter()
             .any(|command| matches!(command, Command::Clear { .. }))
     };
-    // The snapshot is taken, but not written yet.
+    // The snapshot is taken, but its write has not been applied yet.
     script.now += Duration::from_secs(4);
     let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![done.clone(), running(1)]);
     script.shard.heartbeat(&heartbeat, script.now);
@@ -60,16 +62,17 @@
     let snapshot = next_write(&mut script);
     let heartbeat = script.heartbeat_of("vm-1", TOKEN, vec![done.clone(), running(1)]);
     match script.shard.heartbeat(&heartbeat, script.now) {
-        HeartbeatOutcome::Answer(commands) => assert!(!clears(&commands)),
+        HeartbeatOutcome::Answer(commands) => assert!(!has_clear(&commands)),
         HeartbeatOutcome::Refuse => panic!("refused"),
     }
     script.shard.write_applied(&snapshot, script.now);
     script.reconcile();
     script.advance(Duration::from_secs(4));
     let commands = script.heartbeat("vm-1", vec![done, running(1)]);
-    assert!(clears(&commands));
+    assert!(has_clear(&commands));
 }
 
+/// The first write among the pending actions; the other actions are discarded.
 fn next_write(script: &mut ScriptedShard) -> ShardWrite {
     let mut actions = script.shard.take_actions().into_iter();
     actions
--- a/src/coordination/shard/tests/zones.rs
+++ b/src/coordination/shard/tests/zones.rs
@@ -1,4 +1,5 @@
-//! Jobs bound to one zone: scale-out plans for the zone where they can run.
+//! Jobs bound to one zone: their tasks run, and scale-out rents machines for them, in one zone
+//! only.
 
 use std::time::Duration;
 
@@ -10,23 +11,24 @@
 use crate::protocol::users::JobSpec;
 use crate::protocol::workers::WorkerHeartbeat;
 
-fn bound(tasks: u32, cores: f64) -> JobSpec {
+/// A batch job bound to one zone.
+fn one_zone_job(tasks: u32, cores: f64) -> JobSpec {
     JobSpec {
         one_zone: true,
         ..spec("blue", cores, tasks)
     }
 }
 
-/// The rentals asked for within a while; none is granted.
-fn rentals(script: &mut ScriptedShard) -> Vec<Rental> {
+/// The rentals that the shard requests within four seconds; none is granted.
+fn request_rentals(script: &mut ScriptedShard) -> Vec<Rental> {
     let mut rentals = Vec::new();
     for _ in 0..4 {
         script.advance(Duration::from_secs(1));
         for rental in script.rentals() {
-            let none = RentalOutcome::Rented(Vec::new());
+            let no_machines = RentalOutcome::Rented(Vec::new());
             script
                 .shard
-                .rental_answered(&rental.request, none, script.now);
+                .rental_answered(&rental.request, no_machines, script.now);
             rentals.push(rental);
         }
         for id in ["vm-1", "vm-2"] {
@@ -40,18 +42,18 @@
     rentals
 }
 
-/// Found in review: free capacity for a part of the job in each of two zones counted as capacity
-/// for all of it, and the tasks without capacity in the zone where the job had started waited for
-/// ever.
+/// Found in review: two zones each had free capacity for some tasks of the job, and together these
+/// counted as capacity for the whole job. Tasks that did not fit into the zone where the job had
+/// started waited forever.
 #[test]
-fn free_capacity_in_another_zone_does_not_serve_a_started_one_zone_array() {
+fn free_capacity_in_another_zone_does_not_serve_a_started_one_zone_job() {
     let mut script = ScriptedShard::without_quotas();
     script.add_machine("vm-1", "north");
-    script.submit("run-1", bound(3, 4.0));
+    script.submit("run-1", one_zone_job(3, 4.0));
     run_commands(&mut script, "vm-1");
     assert_eq!(script.shard.jobs()["run-1"].live().len(), 2);
     script.add_machine("vm-2", "south");
-    let rentals = rentals(&mut script);
+    let rentals = request_rentals(&mut script);
     assert!(
         !rentals.is_empty(),
         "there is no capacity for the third task"
@@ -63,31 +65,33 @@
 
 /// Before the job has started, all of its capacity is planned in one zone.
 #[test]
-fn a_one_zone_array_is_planned_in_the_zone_with_most_free_capacity() {
+fn a_one_zone_job_is_planned_in_the_zone_with_most_free_capacity() {
     let mut script = ScriptedShard::without_quotas();
     script.add_machine("vm-1", "north");
     script.add_machine("vm-2", "south");
     script.submit("run-1", spec("blue", 4.0, 1));
-    script.submit("run-2", bound(4, 4.0));
+    script.submit("run-2", one_zone_job(4, 4.0));
     for id in ["vm-1", "vm-2"] {
         run_commands(&mut script, id);
     }
-    let zones: std::collections::BTreeSet<String> =
-        rentals(&mut script).into_iter().map(|r| r.zone).collect();
-    let host = script.shard.jobs()["run-2"].live().values().next().cloned();
-    let host = host.expect("it has started");
-    let zone = script.machine(&host).zone.to_string();
-    assert_eq!(zones.into_iter().collect::<Vec<_>>(), [zone]);
+    let rental_zones: std::collections::BTreeSet<String> = request_rentals(&mut script)
+        .into_iter()
+        .map(|r| r.zone)
+        .collect();
+    let machine = script.shard.jobs()["run-2"].live().values().next().cloned();
+    let machine = machine.expect("it has started");
+    let job_zone = script.machine(&machine).zone.to_string();
+    assert_eq!(rental_zones.into_iter().collect::<Vec<_>>(), [job_zone]);
 }
 
-/// A job bound to one zone loses the machine for which the zone was chosen, while others of its
-/// tasks run: lost tasks restart in that zone and no other.
+/// A job bound to one zone loses the machine for which its zone was chosen, while other tasks of
+/// the job run: the lost tasks restart in the same zone only.
 #[test]
 fn lost_tasks_of_a_one_zone_job_restart_in_its_zone_only() {
     let mut script = ScriptedShard::empty();
     script.heartbeat("vm-1", Vec::new());
     script.heartbeat("vm-2", Vec::new());
-    script.submit("run-1", bound(3, 4.0));
+    script.submit("run-1", one_zone_job(3, 4.0));
     run_commands(&mut script, "vm-1");
     let tasks_on = |script: &ScriptedShard, id: &str| script.machine(id).attempts.len();
     let (lost, other) = match tasks_on(&script, "vm-1") {
@@ -95,7 +99,7 @@
         _ => ("vm-2", "vm-1"),
     };
     assert_eq!((tasks_on(&script, lost), tasks_on(&script, other)), (1, 2));
-    // There is free capacity in the south.
+    // The zone `south` has free capacity.
     let mut south = script.heartbeat_of("vm-9", TOKEN, Vec::new());
     south.zone = "south".into();
     heartbeat_again(&mut script, &south);
@@ -108,7 +112,7 @@
     let launches = script.launches();
     assert!(
         launches.iter().all(|batch| &*batch.machine != "vm-9"),
-        "two of its tasks run in the north"
+        "two tasks of run-1 run in the zone `north`"
     );
     for batch in &launches {
         let heartbeat = script.heartbeat_of(&batch.machine, TOKEN, Vec::new());
@@ -119,7 +123,7 @@
     assert_eq!(tasks_on(&script, "vm-9"), 0);
 }
 
-/// The machine of a heartbeat sends the same with the next sequence number.
+/// Delivers a heartbeat again with the next sequence number.
 fn heartbeat_again(script: &mut ScriptedShard, heartbeat: &WorkerHeartbeat) {
     let mut heartbeat = heartbeat.clone();
     script.sequence += 1;
--- a/src/coordination/tests/cancellation_freshness.rs
+++ b/src/coordination/tests/cancellation_freshness.rs
@@ -1,11 +1,12 @@
-//! Cancellations of which a leader cannot learn from the key-value store.
+//! Cancellations that a leader cannot read from the key-value store during an outage: it learns of
+//! them from its peers, or stops renewing worker leases.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use serde_json::json;
 
-use super::peering::lead_recovered;
+use super::peering::make_leader_with_state;
 use super::{heartbeat, node, peer};
 use crate::clock::FakeClock;
 use crate::coordination::leadership::lease::ShardLease;
@@ -27,12 +28,14 @@
 use crate::storage::records::{FORMAT_VERSION, FinalRecord, JobRecord};
 
 const TOKEN: u64 = 9;
-/// The revisions of the job's acceptance, of the last catch-up read, and of the cancellation.
-const ACCEPTED: u64 = 10;
-const CAUGHT_UP: u64 = 12;
-const CANCELLED: u64 = 13;
+/// The revision of the job's acceptance.
+const ACCEPTED_REVISION: u64 = 10;
+/// The revision of the last catch-up read.
+const CATCH_UP_REVISION: u64 = 12;
+/// The revision of the job's cancellation.
+const CANCELLED_REVISION: u64 = 13;
 
-fn second(n: u64) -> Duration {
+fn seconds(n: u64) -> Duration {
     Duration::from_secs(n)
 }
 
@@ -46,10 +49,10 @@
     spec
 }
 
-/// A leader whose shard runs one job, and its peer, both started at the same time. The leader has
-/// just caught up with the key-value store, which answers nobody any more; the peer votes for
-/// lease extensions all along.
-struct Outage {
+/// A leader whose shard runs one job, and its peer, both started at the same time, during an outage
+/// of the key-value store. The leader's last catch-up read was just before the outage, and the peer
+/// votes for all extensions of the leader's lease.
+struct StoreOutage {
     clock: Arc<FakeClock>,
     leader: Arc<Node>,
     peer: Arc<Node>,
@@ -57,11 +60,11 @@
     sequence: u64,
 }
 
-impl Outage {
+impl StoreOutage {
     async fn new() -> Self {
         let clock = Arc::new(FakeClock::new());
         let (leader, peer) = (node(clock.clone()), peer(clock.clone()));
-        clock.advance(second(5));
+        clock.advance(seconds(5));
         let now = leader.now();
         let record = JobRecord {
             format_version: FORMAT_VERSION,
@@ -69,19 +72,24 @@
             spec: spec(),
         };
         let recovered = RecoveredState {
-            jobs: vec![UnfinishedJob::new("run-000001", ACCEPTED, record.clone())],
+            jobs: vec![UnfinishedJob::new(
+                "run-000001",
+                ACCEPTED_REVISION,
+                record.clone(),
+            )],
             ..RecoveredState::default()
         };
-        let opened = WatchEvent::Put {
+        let accepted = WatchEvent::Put {
             key: keys::job("run-000001"),
             value: serde_json::to_value(&record).expect("a record"),
-            mod_revision: ACCEPTED,
+            mod_revision: ACCEPTED_REVISION,
         };
         for node in [&leader, &peer] {
-            node.job_index.apply(vec![opened.clone()], CAUGHT_UP);
+            node.job_index
+                .apply(vec![accepted.clone()], CATCH_UP_REVISION);
             node.lock().cancellations.record_catch_up(now);
         }
-        let lease = lead_recovered(&leader, TOKEN, recovered);
+        let lease = make_leader_with_state(&leader, TOKEN, recovered);
         let _ = leader.clients.kv.get("o/0/owner", KV_DEADLINE).await;
         Self {
             clock,
@@ -92,21 +100,23 @@
         }
     }
 
-    /// The key-value store refuses the leader only, and serves the peer, which cancels the
-    /// job and confirms that to its user.
-    fn peer_cancels(&self) {
-        let last = FinalRecord::new(JobStage::Cancelled, spec());
+    /// Cancels the job through the peer, which confirms that to the user: the key-value store still
+    /// serves the peer, but not the leader.
+    fn cancel_through_peer(&self) {
+        let final_record = FinalRecord::new(JobStage::Cancelled, spec());
         self.peer
             .job_index
-            .record_final("run-000001", &last, CANCELLED);
+            .record_final("run-000001", &final_record, CANCELLED_REVISION);
     }
 
-    /// Lets time pass in the outage; the leader extends its lease by votes.
+    /// Advances the clock; the leader extends its lease by votes to a second from then.
     fn advance(&self, time: Duration) {
         self.clock.advance(time);
-        self.lease.extend(self.leader.now() + second(1));
+        self.lease.extend(self.leader.now() + seconds(1));
     }
 
+    /// The answer of a controller to the leader's request for its confirmed cancellations, with
+    /// both frames encoded and decoded.
     fn confirmations_of(&self, peer: &Node) -> ConfirmedCancellations {
         let after = self.leader.job_index.revision().expect("a catch-up read");
         let request = CancellationsRequest { after }.encode();
@@ -115,8 +125,8 @@
         ConfirmedCancellations::decode(&answer).expect("a frame")
     }
 
-    /// The leader asks a controller for the cancellations that it has confirmed.
-    fn exchange_confirmations(&self, peer: &Node) {
+    /// Records at the leader the cancellations that a controller has confirmed.
+    fn record_confirmations_of(&self, peer: &Node) {
         record_peer_cancellations(
             &self.leader,
             "n1",
@@ -125,8 +135,8 @@
         );
     }
 
-    /// The worker that runs the job's task sends a heartbeat to the leader; returns the
-    /// commands of the answer, if its lease is renewed.
+    /// Delivers to the leader a heartbeat of the worker that runs the job's task; returns the
+    /// commands of the answer, or None if the worker's lease is not renewed.
     fn heartbeat(&mut self) -> Option<Vec<Command>> {
         self.sequence += 1;
         let mut heartbeat = heartbeat(TOKEN);
@@ -144,30 +154,34 @@
     }
 }
 
-fn stops(commands: Option<Vec<Command>>) -> bool {
+/// Whether an answer stops a task. Panics if the worker was not answered.
+fn has_stop(commands: Option<Vec<Command>>) -> bool {
     let commands = commands.expect("the worker is answered");
     commands.iter().any(|c| matches!(c, Command::Stop { .. }))
 }
 
-/// The key-value store refuses only the leader, a job is cancelled through another controller,
-/// and then the store fails for all: the leader learns of the cancellation from that controller,
-/// and no worker loses its lease, however long the outage lasts.
+/// The key-value store refuses only the leader, a job is cancelled through another controller, and
+/// then the store fails for all controllers. The leader learns of the cancellation from that
+/// controller, and keeps all worker leases renewed, however long the outage lasts.
 #[tokio::test]
 async fn a_leader_learns_from_its_peers_what_they_cancelled_before_an_outage() {
-    let mut outage = Outage::new().await;
-    assert!(!stops(outage.heartbeat()));
-    outage.advance(second(1));
-    outage.peer_cancels();
-    outage.advance(second(1));
-    assert!(!stops(outage.heartbeat()), "no peer has reported it yet");
-    outage.exchange_confirmations(&outage.peer.clone());
+    let mut outage = StoreOutage::new().await;
+    assert!(!has_stop(outage.heartbeat()));
+    outage.advance(seconds(1));
+    outage.cancel_through_peer();
+    outage.advance(seconds(1));
     assert!(
-        stops(outage.heartbeat()),
+        !has_stop(outage.heartbeat()),
+        "no peer has reported the cancellation yet"
+    );
+    outage.record_confirmations_of(&outage.peer.clone());
+    assert!(
+        has_stop(outage.heartbeat()),
         "the task is stopped within a heartbeat"
     );
     for _ in 0..100 {
-        outage.advance(second(1));
-        outage.exchange_confirmations(&outage.peer.clone());
+        outage.advance(seconds(1));
+        outage.record_confirmations_of(&outage.peer.clone());
         assert!(
             outage.heartbeat().is_some(),
             "a confirmation a second keeps all leases renewed"
@@ -175,19 +189,21 @@
     }
 }
 
-/// The same beside a controller that confirms nothing, because it is an older version or
-/// unreachable. Votes alone must not be enough to renew leases.
+/// A job is cancelled in the same way through a controller that confirms nothing to the leader,
+/// because it runs an older version or is unreachable. The votes that extend the leader's own lease
+/// must not be enough to renew worker leases.
 #[tokio::test]
 async fn a_leader_without_fresh_cancellations_suspends_lease_renewals() {
-    let mut outage = Outage::new().await;
+    let mut outage = StoreOutage::new().await;
     let bound = staleness_bound(&outage.leader.settings);
     let workers = &outage.leader.settings.platform.settings.workers;
-    let latest = outage.leader.now() + workers.max_cancellation_time() - workers.lease_duration();
-    outage.peer_cancels();
-    outage.advance(bound - second(1));
+    let must_suspend_by =
+        outage.leader.now() + workers.max_cancellation_time() - workers.lease_duration();
+    outage.cancel_through_peer();
+    outage.advance(bound - seconds(1));
     assert!(outage.heartbeat().is_some());
-    outage.advance(second(1));
-    assert!(outage.leader.now() < latest);
+    outage.advance(seconds(1));
+    assert!(outage.leader.now() < must_suspend_by);
     assert!(
         outage.lease.is_live(outage.leader.now()),
         "the lease is still extended by votes"
@@ -202,87 +218,101 @@
     assert!(outage.heartbeat().is_some());
 }
 
-/// The controller that cancelled has crashed: its next incarnation does not remember the
-/// cancellation, so that its confirmation does not count.
+/// The controller that cancelled the job has crashed. Its next incarnation does not know of the
+/// cancellation, so that its confirmations do not count.
 #[tokio::test]
 async fn confirmations_of_a_later_incarnation_do_not_count() {
-    let mut outage = Outage::new().await;
-    outage.peer_cancels();
-    outage.advance(second(2));
+    let mut outage = StoreOutage::new().await;
+    outage.cancel_through_peer();
+    outage.advance(seconds(2));
     let restarted = peer(outage.clock.clone());
-    restarted.job_index.apply(Vec::new(), CAUGHT_UP);
+    restarted.job_index.apply(Vec::new(), CATCH_UP_REVISION);
     for _ in 0..40 {
-        outage.advance(second(1));
-        outage.exchange_confirmations(&restarted);
+        outage.advance(seconds(1));
+        outage.record_confirmations_of(&restarted);
     }
     assert_eq!(outage.heartbeat(), None);
 }
 
-/// A controller that does not remember all of its cancellations confirms none.
+/// A controller that no longer has all of its cancellations in memory confirms none, so that its
+/// answer is never taken for a complete list.
 #[tokio::test]
 async fn confirmed_cancellations_are_complete_or_absent() {
-    let mut outage = Outage::new().await;
-    let last = FinalRecord::new(JobStage::Cancelled, spec());
+    let mut outage = StoreOutage::new().await;
+    let final_record = FinalRecord::new(JobStage::Cancelled, spec());
     for n in 0..3_000 {
         let id = format!("run-1{n:05}");
         outage
             .peer
             .job_index
-            .record_final(&id, &last, CANCELLED + n);
+            .record_final(&id, &final_record, CANCELLED_REVISION + n);
     }
     assert_eq!(outage.confirmations_of(&outage.peer).jobs, None);
     for _ in 0..40 {
-        outage.advance(second(1));
-        outage.exchange_confirmations(&outage.peer.clone());
+        outage.advance(seconds(1));
+        outage.record_confirmations_of(&outage.peer.clone());
     }
     assert_eq!(outage.heartbeat(), None);
 }
 
-/// The shard learns at once what a catch-up read shows: its own watch may hang.
+/// A job that a catch-up read shows as finished is reported to the shard at once, since the watch
+/// that normally delivers it may hang.
 #[tokio::test]
 async fn a_job_that_a_catch_up_read_shows_finished_is_stopped_without_the_watch() {
-    let mut outage = Outage::new().await;
+    let mut outage = StoreOutage::new().await;
     let deleted = WatchEvent::Delete {
         key: keys::job("run-000001"),
-        mod_revision: CANCELLED,
+        mod_revision: CANCELLED_REVISION,
     };
-    outage.leader.job_index.apply(vec![deleted], CANCELLED);
+    outage
+        .leader
+        .job_index
+        .apply(vec![deleted], CANCELLED_REVISION);
     outage.leader.notify_finished_jobs();
-    assert!(stops(outage.heartbeat()));
-    // The watch, far behind, still delivers its acceptance.
+    assert!(has_stop(outage.heartbeat()));
+    // The watch is far behind and still delivers the job's acceptance.
     let lease = outage.lease.clone();
     let record = JobRecord {
         format_version: FORMAT_VERSION,
         accepted_at_ms: 0,
         spec: spec(),
     };
-    let known = outage.leader.with_shard(&lease, "jobs", |shard, now| {
+    let is_open = outage.leader.with_shard(&lease, "jobs", |shard, now| {
         outage
             .leader
-            .notify_job_accepted(shard, "run-000001", ACCEPTED, record, now);
+            .notify_job_accepted(shard, "run-000001", ACCEPTED_REVISION, record, now);
         let job = shard.jobs().get("run-000001");
         job.is_some_and(|job| job.final_stage.is_none())
     });
-    assert_eq!(known, Some(false), "it does not become an open job again");
+    assert_eq!(
+        is_open,
+        Some(false),
+        "run-000001 does not become unfinished again"
+    );
 }
 
 #[test]
 fn freshness_is_that_of_the_oldest_confirmation() {
     let start = Instant::now();
-    let at = |s: u64| start + second(s);
+    let at = |s: u64| start + seconds(s);
     let others = || ["b", "c"].into_iter();
     let mut freshness = CancellationFreshness::default();
     assert!(
         !freshness.record_peer_answer("b", at(1), start),
-        "no catch-up read to extend"
+        "there is no catch-up read whose freshness could be extended"
     );
     assert_eq!(freshness.known_up_to(others(), at(1)), None);
     freshness.record_catch_up(at(2));
     assert!(freshness.record_peer_answer("b", at(9), start));
-    assert_eq!(freshness.known_up_to(others(), at(9)), Some(at(2)), "c");
+    assert_eq!(
+        freshness.known_up_to(others(), at(9)),
+        Some(at(2)),
+        "c has not confirmed yet"
+    );
     assert!(freshness.record_peer_answer("c", at(8), at(1)));
     assert_eq!(freshness.known_up_to(others(), at(9)), Some(at(8)));
-    // It started after its last confirmation: an earlier incarnation may have confirmed more.
+    // `c` restarted after its last confirmation: its earlier incarnation may have confirmed more
+    // cancellations.
     assert!(!freshness.record_peer_answer("c", at(12), at(8)));
     assert!(freshness.record_peer_answer("b", at(12), start));
     assert_eq!(freshness.known_up_to(others(), at(12)), Some(at(8)));
--- a/src/coordination/tests/eligibility.rs
+++ b/src/coordination/tests/eligibility.rs
@@ -1,4 +1,4 @@
-//! Eligibility of a leader that received heartbeats from too few workers.
+//! Eligibility for leadership of a former leader that received heartbeats from too few workers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use axum::routing::get;
 use tokio::net::TcpListener;
 
-use super::peering::lead;
+use super::peering::make_leader;
 use super::{heartbeat, node};
 use crate::clock::FakeClock;
 use crate::coordination::node::Node;
@@ -17,9 +17,10 @@
 
 const TOKEN: u64 = 7;
 
-/// Makes the controller a leader that has received no heartbeat from its only worker for a while.
+/// Makes the controller a leader that has received no heartbeat from its only worker for 20 s, and
+/// that then gives up the leadership as ineligible.
 fn leader_of_an_unreachable_worker(clock: &FakeClock, node: &Arc<Node>, addr: SocketAddr) {
-    let lease = lead(node, TOKEN);
+    let lease = make_leader(node, TOKEN);
     let mut heartbeat = heartbeat(TOKEN);
     heartbeat.addr = addr.to_string();
     node.with_shard(&lease, "reports", |shard, now| {
@@ -30,8 +31,8 @@
     node.lock().leadership = None;
 }
 
-/// Found in review: after 30 s a leader that still received no heartbeat was eligible, and was
-/// handed the leadership again because it was nearer to the machines.
+/// Found in review: a leader that still received no heartbeats became eligible again after 30 s,
+/// and the leadership was handed back to it because it was nearer to the machines.
 #[tokio::test]
 async fn a_leader_with_too_few_heartbeats_stays_ineligible_while_workers_do_not_answer() {
     let clock = Arc::new(FakeClock::new());
@@ -43,7 +44,7 @@
         probe_unreachable_workers(&node).await;
         assert!(own_heartbeat(&node).ineligible);
     }
-    // The machines may be lost: the leader does not wait for them for ever.
+    // The machines may be lost, so the controller does not stay ineligible forever.
     clock.advance(Duration::from_secs(600));
     probe_unreachable_workers(&node).await;
     clock.advance(Duration::from_secs(60));
@@ -64,7 +65,7 @@
     probe_unreachable_workers(&node).await;
     assert!(
         own_heartbeat(&node).ineligible,
-        "for half a minute in any case"
+        "the controller stays ineligible for at least half a minute"
     );
     clock.advance(Duration::from_secs(30));
     probe_unreachable_workers(&node).await;
--- a/src/coordination/tests/mod.rs
+++ b/src/coordination/tests/mod.rs
@@ -1,4 +1,5 @@
-//! Controllers on a fake clock, without workers, and with a key-value store that never answers.
+//! Tests of controllers with a fake clock, without worker processes, and with a key-value store
+//! that never answers; and the controllers and heartbeats that these tests share.
 
 mod cancellation_freshness;
 mod eligibility;
@@ -20,7 +21,7 @@
     controller(clock, EXAMPLE)
 }
 
-/// The other one.
+/// The controller `n1`, whose only peer is `n0`.
 fn peer(clock: Arc<FakeClock>) -> Arc<Node> {
     let text = EXAMPLE
         .replace("\"n1\"", "\"n2\"")
@@ -28,6 +29,7 @@
     controller(clock, &text.replace("\"n2\"", "\"n0\""))
 }
 
+/// A controller with the given settings and an unreachable key-value store.
 fn controller(clock: Arc<FakeClock>, text: &str) -> Arc<Node> {
     // Nothing listens on port 1: every request to the key-value store fails.
     let text = text.replace("127.0.0.1:4", "127.0.0.1:1");
@@ -38,6 +40,7 @@
     Node::new(settings, clock)
 }
 
+/// A heartbeat of the worker on `vm-1`, which runs no tasks.
 fn heartbeat(fencing_token: u64) -> WorkerHeartbeat {
     WorkerHeartbeat {
         machine: "vm-1".into(),
--- a/src/coordination/tests/peering.rs
+++ b/src/coordination/tests/peering.rs
@@ -1,4 +1,5 @@
-//! Lease extension votes and advance delegations among partitioned controllers.
+//! Controllers that are partitioned from the store or from each other: votes for the extension and
+//! the revival of a leader's lease, and lease renewals under advance delegations.
 
 use crate::protocol::FencingToken;
 use std::sync::Arc;
@@ -21,12 +22,13 @@
 use crate::protocol::peers::PeerHeartbeat;
 
 /// Makes a controller the leader of an empty shard.
-pub(super) fn lead(node: &Node, fencing_token: u64) -> Arc<ShardLease> {
-    lead_recovered(node, fencing_token, RecoveredState::default())
+pub(super) fn make_leader(node: &Node, fencing_token: u64) -> Arc<ShardLease> {
+    make_leader_with_state(node, fencing_token, RecoveredState::default())
 }
 
-/// Makes a controller the leader of a recovered shard, with a lease of three seconds.
-pub(super) fn lead_recovered(
+/// Makes a controller the leader of a shard with the recovered state, with a lease of three
+/// seconds.
+pub(super) fn make_leader_with_state(
     node: &Node,
     fencing_token: u64,
     recovered: RecoveredState,
@@ -68,12 +70,15 @@
 async fn a_lease_extension_vote_needs_an_outage_and_blocks_campaigns() {
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
-    let time = Duration::from_secs(1);
-    assert!(!grant_extension(&node, time), "nothing shows an outage yet");
+    let extension = Duration::from_secs(1);
+    assert!(
+        !grant_extension(&node, extension),
+        "nothing shows an outage yet"
+    );
     let _ = node.clients.kv.get("o/0/owner", KV_DEADLINE).await;
-    assert!(grant_extension(&node, time));
+    assert!(grant_extension(&node, extension));
     assert!(
-        !grant_extension(&node, time * 10),
+        !grant_extension(&node, extension * 10),
         "longer than any leader may request"
     );
     assert!(node.campaign_blocked_until().is_some());
@@ -83,17 +88,18 @@
         "until the extension ends"
     );
     clock.advance(Duration::from_millis(10));
-    // A process that has just started also waits out the votes of its earlier incarnation.
+    // A process that has just started also waits until votes of its earlier incarnation have
+    // expired.
     assert!(node.campaign_blocked_until().is_none());
     node.lock().candidacy.acquiring = true;
     assert!(
-        !grant_extension(&node, time),
+        !grant_extension(&node, extension),
         "a campaign of its own is under way"
     );
 }
 
-/// A controller that reaches neither the key-value store nor any peer, but its workers: it answers
-/// neither users nor workers, and the load balancer removes it.
+/// A controller that reaches its workers, but neither the key-value store nor any peer, answers
+/// neither users nor workers and reports itself as not ready, so that the load balancer removes it.
 #[tokio::test]
 async fn a_fully_partitioned_controller_is_unready_and_answers_503() {
     use crate::coordination::requests::{RequestOrigin, UserRequest, answer};
@@ -121,9 +127,9 @@
     assert!(node.is_ready());
 }
 
-/// A controller that reaches neither the store nor the leader renews workers' leases under the
-/// leader's last fencing token, within the time for which a cancelled job's tasks may run, and no
-/// longer.
+/// A controller that reaches neither the key-value store nor the leader renews workers' leases
+/// under the leader's last fencing token. It stops early enough that no lease outlasts the time for
+/// which the tasks of a cancelled job may run.
 #[tokio::test]
 async fn a_partitioned_controller_renews_leases_under_an_advance_delegation() {
     let clock = Arc::new(FakeClock::new());
@@ -151,9 +157,10 @@
         "the worker follows a later leader"
     );
     heartbeat.fencing_token = FencingToken::new(7);
-    // The leader is reachable again, even by an old message: it renews the leases itself.
+    // A message from the leader, even an old one, shows that it is reachable and renews the leases
+    // itself.
     record_heartbeat(&node, peer_heartbeat("beta", Some(7)));
-    // A late heartbeat without a fencing token, from before it led, changes nothing.
+    // A late heartbeat without a fencing token, from before it became leader, changes nothing.
     record_heartbeat(&node, peer_heartbeat("beta", None));
     assert_eq!(node.delegated_fencing_token(&heartbeat), None);
     clock.advance(advance_delegation::LEADER_UNREACHABLE_AFTER);
@@ -171,15 +178,15 @@
     );
 }
 
-/// Refused by the key-value store alone, a leader is replaced, and then the store fails for all:
-/// the new leader needs the vote of the old one, which does not know that its lease has ended.
-/// The fencing token in the new leader's heartbeat shows it.
+/// The key-value store refuses only the leader, another controller replaces it, and then the store
+/// fails for all controllers. The new leader needs the vote of the old one, which does not know
+/// that its lease has ended, and learns it from the fencing token in the new leader's heartbeat.
 #[tokio::test]
 async fn a_superseded_leader_steps_down_and_votes_for_its_successor() {
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
     let now = node.now();
-    let lease = lead(&node, 9);
+    let lease = make_leader(&node, 9);
     let _ = node.clients.kv.get("o/0/owner", KV_DEADLINE).await;
     clock.advance(Duration::from_secs(4));
     record_heartbeat(&node, peer_heartbeat("n1", Some(8)));
@@ -189,7 +196,7 @@
     );
     assert!(
         !grant_extension(&node, Duration::from_secs(1)),
-        "it may still extend its lease"
+        "the old leader may still extend its own lease"
     );
     record_heartbeat(&node, peer_heartbeat("n1", Some(10)));
     assert!(lease.has_ended());
@@ -199,15 +206,16 @@
     assert!(grant_extension(&node, Duration::from_secs(1)));
 }
 
-/// Refused by the key-value store alone, a leader passes its lease deadline just before the store
-/// fails for all. It may continue if all peers abstain from campaigning, and none of them, nor an
-/// earlier incarnation of theirs, can have led the shard since.
+/// The key-value store refuses only the leader, whose lease deadline passes just before the store
+/// fails for all controllers. The leader may revive its lease if all peers abstain from
+/// campaigning, and neither they nor their earlier incarnations can have led the shard since its
+/// last renewal.
 #[tokio::test]
 async fn a_later_leader_does_not_vote_for_lease_revival() {
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
     clock.advance(Duration::from_secs(2));
-    let renewed = node.now();
+    let renewed_at = node.now();
     clock.advance(Duration::from_secs(4));
     let vote = |fencing_token| {
         let frame = ReviveLease {
@@ -221,36 +229,40 @@
     };
     assert!(
         !vote(9).granted,
-        "the store serves it, and it campaigns itself"
+        "the key-value store serves the peer, which campaigns itself"
     );
     let _ = node.clients.kv.get("o/0/owner", KV_DEADLINE).await;
     let answer = vote(9);
-    assert!(proves_no_successor(&answer, node.now(), renewed));
+    assert!(proves_no_successor(&answer, node.now(), renewed_at));
     assert!(node.campaign_blocked_until().is_some());
-    // Its incarnation started after that renewal: an earlier one may have led the shard.
-    let before = renewed - Duration::from_secs(3);
-    assert!(!proves_no_successor(&answer, node.now(), before));
+    // The peer's incarnation started after this renewal: an earlier one may have led the shard.
+    let before_start = renewed_at - Duration::from_secs(3);
+    assert!(!proves_no_successor(&answer, node.now(), before_start));
     node.lock().candidacy.latest_fencing_token = FencingToken::new(10);
-    assert!(!vote(9).granted, "it has led the shard since");
+    assert!(
+        !vote(9).granted,
+        "the peer has led the shard under a later fencing token"
+    );
     assert!(vote(10).granted);
     node.lock().candidacy.acquiring = true;
     assert!(!vote(10).granted);
-    // Two leaders, both past their deadlines: the later one's request shows the earlier one
-    // that it has been superseded.
+    // Both of two leaders are past their lease deadlines: the request of the later one shows the
+    // earlier one that it has been superseded.
     node.lock().candidacy.acquiring = false;
-    let earlier = lead(&node, 10);
+    let earlier = make_leader(&node, 10);
     assert!(!vote(9).granted && !vote(10).granted && !earlier.has_ended());
     vote(11);
     assert!(earlier.has_ended());
 }
 
-/// A leader that is partitioned from the key-value store and all peers.
+/// A leader that is partitioned from the key-value store and all peers passes its lease deadline.
+/// Until it knows that its lease has ended, it renews worker leases and sends no commands.
 #[tokio::test]
 async fn a_leader_past_its_lease_deadline_renews_worker_leases_and_sends_no_commands() {
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
     node.lock().cancellations.record_catch_up(node.now());
-    let lease = lead(&node, 9);
+    let lease = make_leader(&node, 9);
     let _ = node.clients.kv.get("o/0/owner", KV_DEADLINE).await;
     clock.advance(Duration::from_secs(4));
     let heartbeat = heartbeat(9);
@@ -263,6 +275,6 @@
     assert_eq!(
         node.delegated_fencing_token(&heartbeat),
         None,
-        "its lease is known to have ended"
+        "the leader knows that its lease has ended"
     );
 }
--- a/src/coordination/tests/scale.rs
+++ b/src/coordination/tests/scale.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between controllers about very many jobs.
+//! Heartbeats between controllers when the leader has 100,000 jobs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use hyper::{Method, StatusCode};
 use tokio::net::TcpListener;
 
-use super::peering::lead;
+use super::peering::make_leader;
 use super::{heartbeat, node, peer};
 use crate::api;
 use crate::clock::FakeClock;
@@ -21,9 +21,10 @@
 use crate::transport::client::HttpClient;
 
 const TOKEN: u64 = 7;
+/// The number of unfinished jobs.
 const JOBS: u32 = 100_000;
-/// The jobs of which a task runs.
-const STARTED: u32 = 40_000;
+/// The number of jobs whose task runs.
+const STARTED_JOBS: u32 = 40_000;
 const TASKS_PER_MACHINE: usize = 200;
 
 const SUBMISSION: &str = r#"{"NameId":"run-1","Repertoire":"sums","Section":"red","Form":"batch",
@@ -31,9 +32,10 @@
     "ImageGb":1.0,"Instruments":null,"Hall":null,"OneZone":false,"Scatter":false,"Borrowed":true,
     "DurationS":10.0,"BreathS":0.0,"FermataS":0.0,"CurtainS":null}"#;
 
-/// A leader of very many jobs of one task, some of which run.
+/// Makes the controller the leader of [`JOBS`] jobs of one task each, of which the first
+/// [`STARTED_JOBS`] run.
 fn leader_of_many_jobs(node: &Arc<Node>) {
-    let lease = lead(node, TOKEN);
+    let lease = make_leader(node, TOKEN);
     let parsed = crate::protocol::users::parse_submission(SUBMISSION.as_bytes());
     let Submission { spec, .. } = parsed.expect("a submission");
     node.with_shard(&lease, "jobs", |shard, now| {
@@ -45,7 +47,7 @@
             };
             shard.job_accepted(&format!("run-{n:06}"), TOKEN + 1, record, now);
         }
-        for first in (0..STARTED).step_by(TASKS_PER_MACHINE) {
+        for first in (0..STARTED_JOBS).step_by(TASKS_PER_MACHINE) {
             let mut running = heartbeat(TOKEN);
             running.machine = format!("vm-{first:06}");
             running.tasks = (first..first + TASKS_PER_MACHINE as u32)
@@ -62,17 +64,17 @@
     });
 }
 
-/// A heartbeat once listed every unfinished job, and at 75,000 jobs it
-/// was larger than what its receiver reads, so that its sender seemed to have crashed.
+/// A fault of the past: the leader's heartbeat listed every unfinished job. At 75,000 jobs it was
+/// larger than the receiver's limit, and the leader appeared to have crashed.
 #[tokio::test]
-async fn the_heartbeat_of_a_leader_of_a_hundred_thousand_jobs_is_read() {
+async fn the_heartbeat_of_a_leader_of_a_hundred_thousand_jobs_is_accepted() {
     let clock = Arc::new(FakeClock::new());
     let (sender, receiver) = (node(clock.clone()), peer(clock.clone()));
     leader_of_many_jobs(&sender);
     let heartbeat = leader_heartbeat(&sender);
-    assert_eq!(heartbeat.progress.len(), STARTED as usize);
+    assert_eq!(heartbeat.progress.len(), STARTED_JOBS as usize);
     let frame = PeerRequest::Heartbeat(heartbeat.clone()).encode();
-    // The largest frame that older versions read.
+    // Older versions accept frames of up to 2 MiB.
     assert!(frame.len() < 2 << 20, "{} bytes", frame.len());
 
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
@@ -89,15 +91,20 @@
         running: 1,
     };
     assert_eq!(counts("run-000007"), Some(running));
-    assert_eq!(counts("run-099999"), None, "no task of it has started");
+    assert_eq!(
+        counts("run-099999"),
+        None,
+        "no task of run-099999 has started"
+    );
 }
 
-/// A heartbeat also reports that nothing runs any more.
+/// A job that the heartbeat of the leader does not list has no running or completed tasks: the
+/// receiver drops the counts that it has kept for the job.
 #[test]
 fn counts_of_jobs_that_no_longer_run_are_dropped() {
     let clock = Arc::new(FakeClock::new());
     let (sender, receiver) = (node(clock.clone()), peer(clock.clone()));
-    let lease = lead(&sender, TOKEN);
+    let lease = make_leader(&sender, TOKEN);
     let parsed = crate::protocol::users::parse_submission(SUBMISSION.as_bytes());
     let Submission { id, spec } = parsed.expect("a submission");
     let record = JobRecord {
