--- a/src/coordination/shard/tests/scripted_shard.rs
+++ b/src/coordination/shard/tests/scripted_shard.rs
@@ -30,7 +30,8 @@
     pub(super) snapshot_chunks: BTreeMap<String, serde_json::Value>,
 }
 
-/// Commands that the shard sent to a machine in one message, and the message's number.
+/// A numbered batch of commands that the shard sent to a machine. The shard waits for the answer to
+/// it, which a test delivers with [`ScriptedShard::answer`].
 #[derive(Debug, Clone)]
 pub(super) struct CommandBatch {
     pub(super) machine: MachineId,
--- a/src/coordination/shard/tests/slow_boots.rs
+++ b/src/coordination/shard/tests/slow_boots.rs
@@ -1,4 +1,5 @@
-//! Machines that boot slowly or never, and how many more the autoscaler rents meanwhile.
+//! Machines that boot slowly, that boot together after replacements for them were rented, or that
+//! never boot.
 
 use std::time::Duration;
 
@@ -152,8 +153,8 @@
     assert!(first.is_none_or(|machine| machine.is_deleting()));
 }
 
-/// Best-effort jobs without a deadline use free capacity: however long their tasks wait, full-price
-/// machines are rented only until the job has first started.
+/// Best-effort jobs without a deadline use free capacity: full-price machines are rented only for
+/// the first start of such a job, however long its other tasks wait.
 #[test]
 fn best_effort_jobs_without_deadline_rent_no_full_price_machines_beyond_their_start() {
     let mut script = ScriptedShard::without_quotas();
--- a/src/coordination/shard/tests/zones.rs
+++ b/src/coordination/shard/tests/zones.rs
@@ -112,7 +112,7 @@
     let launches = script.launches();
     assert!(
         launches.iter().all(|batch| &*batch.machine != "vm-9"),
-        "two tasks of run-1 run in the zone `north`"
+        "two tasks of run-1 run in the zone north"
     );
     for batch in &launches {
         let heartbeat = script.heartbeat_of(&batch.machine, TOKEN, Vec::new());
