--- a/src/coordination/shard/tests/combined_faults.rs
+++ b/src/coordination/shard/tests/combined_faults.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::fixtures::{record, recovered_job, roster_machine, running_task, spec, task_status};
-use super::scripted_shard::{ScriptedShard, TOKEN, stops};
+use super::scripted_shard::{ScriptedShard, TOKEN, count_stops};
 use super::scripted_workers::run_commands;
 use crate::coordination::shard::{CommandOutcome, RecoveredState, UnfinishedJob};
 use crate::protocol::cloud::{ListedMachine, MachineState};
@@ -165,7 +165,7 @@
     script.reconcile();
     let delayed = script.batches();
     assert_eq!(delayed.len(), 1);
-    assert_eq!(stops(&delayed[0].commands), 1);
+    assert_eq!(count_stops(&delayed[0].commands), 1);
     let attempt_number = script
         .machine("vm-1")
         .attempts
@@ -174,7 +174,7 @@
         .map(|id| id.number);
     let status = running_task("run-1/0", attempt_number.expect("vm-1 runs the task"));
     let commands = script.heartbeat("vm-1", vec![status]);
-    assert_eq!(stops(&commands), 1);
+    assert_eq!(count_stops(&commands), 1);
 }
 
 /// A delayed heartbeat arrives after the new leader has received a newer one. It lists a past
--- a/src/coordination/shard/tests/failing_jobs.rs
+++ b/src/coordination/shard/tests/failing_jobs.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::fixtures::{self, policy, record, task_status};
-use super::scripted_shard::{ScriptedShard, TOKEN, stops};
+use super::scripted_shard::{ScriptedShard, TOKEN, count_stops};
 use crate::coordination::shard::{CommandOutcome, Policy, RecoveredState, UnfinishedJob};
 use crate::protocol::users::{JobKind, JobSpec, JobStage};
 use crate::protocol::workers::{AttemptOutcome, Command, TaskState, TaskStatus, WorkerHeartbeat};
@@ -57,7 +57,7 @@
 fn run_one_second(script: &mut ScriptedShard, machines: &[&str], behavior: &TaskBehavior) -> usize {
     let mut launched = 0;
     for batch in script.batches() {
-        launched += batch.launches();
+        launched += batch.launch_count();
         let heartbeat = heartbeat_with(script, &batch.machine, behavior);
         script.answer(&batch, CommandOutcome::Executed(heartbeat));
     }
@@ -255,7 +255,7 @@
         .into_iter()
         .flat_map(|batch| batch.commands)
         .collect();
-    assert!(stops(&commands) > 0);
+    assert!(count_stops(&commands) > 0);
     for id in MACHINES {
         script.heartbeat(id, Vec::new());
     }
--- a/src/coordination/shard/tests/health.rs
+++ b/src/coordination/shard/tests/health.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::fixtures::{record, roster_machine, running_task, spec, task_status};
-use super::scripted_shard::{CommandBatch, ScriptedShard, launched_attempt, stops};
+use super::scripted_shard::{CommandBatch, ScriptedShard, count_stops, launched_attempt};
 use crate::coordination::shard::{Action, CommandOutcome, RecoveredState, UnfinishedJob};
 use crate::protocol::MachineId;
 use crate::protocol::users::JobKind;
@@ -80,7 +80,7 @@
     let is_stopped = script
         .batches()
         .iter()
-        .any(|batch| batch.machine == slow.machine && stops(&batch.commands) > 0);
+        .any(|batch| batch.machine == slow.machine && count_stops(&batch.commands) > 0);
     assert!(is_stopped, "the tasks of the slow machine move");
     assert!(script.machine(&slow.machine).health.is_cordoned());
     assert!(!script.machine(&fast.machine).health.is_cordoned());
--- a/src/coordination/shard/tests/leader_pause.rs
+++ b/src/coordination/shard/tests/leader_pause.rs
@@ -24,7 +24,7 @@
 /// Executes all commands; returns the number of launches.
 fn execute(script: &mut ScriptedShard) -> usize {
     let batches = run_batches(script);
-    batches.iter().map(CommandBatch::launches).sum()
+    batches.iter().map(CommandBatch::launch_count).sum()
 }
 
 /// After a pause the leader has missed heartbeats of all machines because of its own pause: it
--- a/src/coordination/shard/tests/preemption.rs
+++ b/src/coordination/shard/tests/preemption.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::fixtures::{roster_machine, spec};
-use super::scripted_shard::{ScriptedShard, TOKEN, stops};
+use super::scripted_shard::{ScriptedShard, TOKEN, count_stops};
 use super::scripted_workers::run_commands;
 use crate::coordination::shard::RecoveredState;
 use crate::protocol::users::{JobKind, JobSpec, Priority};
@@ -48,10 +48,10 @@
     script.submit("run-1", lower_priority);
     run_commands(&mut script, "vm-1");
     script.submit("run-2", spec("blue", 1.0, 5));
-    assert_eq!(stops(&run_commands(&mut script, "vm-1")), 5);
+    assert_eq!(count_stops(&run_commands(&mut script, "vm-1")), 5);
     script.advance(Duration::from_millis(300));
     assert_eq!(
-        stops(&run_commands(&mut script, "vm-1")),
+        count_stops(&run_commands(&mut script, "vm-1")),
         0,
         "capacity is already being freed for all waiting tasks"
     );
@@ -80,6 +80,6 @@
     script.heartbeat("vm-2", Vec::new());
     script.advance(Duration::from_secs(1));
     script.submit("run-3", service(1));
-    assert_eq!(stops(&run_commands(&mut script, "vm-1")), 1);
+    assert_eq!(count_stops(&run_commands(&mut script, "vm-1")), 1);
     assert!(script.machine("vm-2").load.is_idle());
 }
--- a/src/coordination/shard/tests/scripted_shard.rs
+++ b/src/coordination/shard/tests/scripted_shard.rs
@@ -41,7 +41,7 @@
 
 impl CommandBatch {
     /// The number of launches in the batch.
-    pub(super) fn launches(&self) -> usize {
+    pub(super) fn launch_count(&self) -> usize {
         let is_launch = |command: &&Command| matches!(command, Command::Launch { .. });
         self.commands.iter().filter(is_launch).count()
     }
@@ -251,7 +251,7 @@
     /// Removes all batches from `actions`; returns those with a launch, and discards the others.
     pub(super) fn launches(&mut self) -> Vec<CommandBatch> {
         let mut batches = self.batches();
-        batches.retain(|batch| batch.launches() > 0);
+        batches.retain(|batch| batch.launch_count() > 0);
         batches
     }
 
@@ -289,7 +289,7 @@
 }
 
 /// The number of stops among the commands.
-pub(super) fn stops(commands: &[Command]) -> usize {
+pub(super) fn count_stops(commands: &[Command]) -> usize {
     let is_stop = |command: &&Command| matches!(command, Command::Stop { .. });
     commands.iter().filter(is_stop).count()
 }
