--- a/src/coordination/shard/tests/agent_epochs.rs
+++ b/src/coordination/shard/tests/agent_epochs.rs
@@ -14,11 +14,11 @@
 fn a_new_agent_epoch_has_its_own_lease() {
     // Two machines are unreachable, too many for the shard to delete them as lost.
     let mut script = ScriptedShard::new(recovered_job(1, &["vm-1", "vm-2"]));
-    for probe in script.batches() {
+    for probe in script.take_batches() {
         script.answer(&probe, CommandOutcome::NoAnswer);
     }
     script.advance(Duration::from_secs(26));
-    let probe = script.batches().remove(0);
+    let probe = script.take_batches().remove(0);
     script.now += Duration::from_millis(1900);
     script.shard.tick(script.now);
     script.reconcile();
@@ -33,7 +33,10 @@
         script.now > lease_expires_at,
         "the lease of the former agent epoch has expired"
     );
-    assert!(script.launches().is_empty(), "vm-1 still runs the task");
+    assert!(
+        script.take_launches().is_empty(),
+        "vm-1 still runs the task"
+    );
     assert_eq!(
         script.shard.task_counts("run-1").map(|v| v.running),
         Some(1)
@@ -46,14 +49,14 @@
     let mut script = ScriptedShard::empty();
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
-    assert_eq!(script.launches().len(), 1);
+    assert_eq!(script.take_launches().len(), 1);
     // vm-1 sends no heartbeat until its lease expires. A late heartbeat of the same agent epoch
     // changes nothing.
     script.advance(Duration::from_secs(28));
-    script.batches();
+    script.take_batches();
     let late = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.receive(&late);
-    assert!(script.launches().is_empty());
+    assert!(script.take_launches().is_empty());
 }
 
 /// A worker may restart within a fraction of a second, and its sequence numbers then start over.
@@ -69,7 +72,7 @@
     let mut old = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     old.sequence = 1;
     script.receive(&old);
-    let probe = script.probes().remove(0);
+    let probe = script.take_probes().remove(0);
     assert!(
         !script.machine("vm-1").is_deleting(),
         "the heartbeat may be a duplicate"
@@ -79,7 +82,7 @@
     assert!(!script.machine("vm-1").is_deleting());
     script.now += Duration::from_secs(3);
     script.receive(&old);
-    let probe = script.probes().remove(0);
+    let probe = script.take_probes().remove(0);
     script.answer(&probe, CommandOutcome::Refused(old));
     assert!(script.machine("vm-1").is_deleting());
 }
@@ -106,7 +109,7 @@
     current.agent_epoch = 2;
     script.receive(&current);
     assert!(
-        script.launches().is_empty(),
+        script.take_launches().is_empty(),
         "run-1 may run in agent epoch 2"
     );
     let tasks = vec![running_task("run-1/0", 7)];
@@ -114,5 +117,8 @@
     token_acknowledged.agent_epoch = 2;
     script.shard.heartbeat(&token_acknowledged, script.now);
     script.advance(Duration::from_secs(1));
-    assert!(script.launches().is_empty(), "run-1 runs in agent epoch 2");
+    assert!(
+        script.take_launches().is_empty(),
+        "run-1 runs in agent epoch 2"
+    );
 }
--- a/src/coordination/shard/tests/autoscaling.rs
+++ b/src/coordination/shard/tests/autoscaling.rs
@@ -14,12 +14,12 @@
     let mut script = ScriptedShard::empty();
     script.submit("run-1", spec("blue", 8.0, 1));
     script.advance(Duration::from_secs(1));
-    let first = script.rentals().remove(0);
+    let first = script.take_rentals().remove(0);
     script
         .shard
         .rental_answered(&first.request, RentalOutcome::Unknown, script.now);
     script.advance(Duration::from_secs(2));
-    assert!(script.rentals().contains(&first));
+    assert!(script.take_rentals().contains(&first));
 }
 
 /// Found in runs without faults: scale-in drained machines until the remaining ones were full of
--- a/src/coordination/shard/tests/combined_faults.rs
+++ b/src/coordination/shard/tests/combined_faults.rs
@@ -32,14 +32,14 @@
         .shard
         .job_finished("run-1", Some(JobStage::Cancelled));
     script.submit("run-2", spec("red", 8.0, 2));
-    let launched = script.launches().len();
+    let launched = script.take_launches().len();
     assert_eq!(launched, 1, "run-1 may still use eight cores on vm-1");
     let lease = script.shard.policy.worker_lease_bound();
     let lease_expires_at = script.machine("vm-1").lease.expires_at();
     let end = script.now + lease + seconds(3);
     let mut second_start_at = None;
     while script.now < end && second_start_at.is_none() {
-        for batch in script.batches() {
+        for batch in script.take_batches() {
             let outcome = match &*batch.machine {
                 "vm-1" => CommandOutcome::NoAnswer,
                 id => CommandOutcome::Executed(script.running_heartbeat(id)),
@@ -77,7 +77,7 @@
         for id in ["vm-2", "vm-3", "vm-4"] {
             script.heartbeat(id, Vec::new());
         }
-        for batch in script.probes() {
+        for batch in script.take_probes() {
             script.execute(&batch, Vec::new());
         }
         script.advance(seconds(1));
@@ -122,10 +122,10 @@
         age_s: 300.0,
     };
     script.shard.apply_machine_list(&[listed], script.now);
-    for batch in script.batches() {
+    for batch in script.take_batches() {
         script.execute(&batch, Vec::new());
     }
-    assert_eq!(script.launches().len(), 1);
+    assert_eq!(script.take_launches().len(), 1);
 }
 
 /// A worker's lease runs from its last answered heartbeat. Later answers to commands count as
@@ -137,7 +137,7 @@
     let lease_expires_at = script.machine("vm-1").lease.expires_at();
     for _ in 0..10 {
         script.advance(seconds(2));
-        for batch in script.probes() {
+        for batch in script.take_probes() {
             script.execute(&batch, Vec::new());
         }
     }
@@ -163,7 +163,7 @@
         .shard
         .job_finished("run-1", Some(JobStage::Cancelled));
     script.reconcile();
-    let delayed = script.batches();
+    let delayed = script.take_batches();
     assert_eq!(delayed.len(), 1);
     assert_eq!(count_stops(&delayed[0].commands), 1);
     let attempt_number = script
@@ -190,7 +190,7 @@
     script.heartbeat("vm-1", running(7));
     for delayed in [under_old_token, from_old_epoch, under_new_token] {
         script.receive(&delayed);
-        assert!(script.launches().is_empty(), "run-1/0 runs on vm-1");
+        assert!(script.take_launches().is_empty(), "run-1/0 runs on vm-1");
         assert_eq!(
             script.shard.task_counts("run-1").map(|view| view.running),
             Some(1)
@@ -247,7 +247,7 @@
     });
     new_leader.sequence = script.sequence;
     new_leader.heartbeat("vm-1", vec![status(1, done), status(2, None)]);
-    assert!(new_leader.launches().is_empty());
+    assert!(new_leader.take_launches().is_empty());
     assert_eq!(new_leader.shard.jobs()["run-1"].done().len(), 2);
     new_leader.heartbeat("vm-1", vec![status(1, done), status(2, done)]);
     assert!(new_leader.shard.jobs()["run-1"].all_done());
@@ -265,7 +265,7 @@
     let start = script.now;
     let mut sequence = script.sequence;
     while script.now - start < lease / 2 {
-        for batch in script.batches() {
+        for batch in script.take_batches() {
             script.answer(&batch, CommandOutcome::NoAnswer);
         }
         let tasks = vec![running_task("run-1/0", 7)];
@@ -273,7 +273,7 @@
         script.shard.heartbeat(&heartbeat, script.now);
         script.heartbeat("vm-2", Vec::new());
         script.advance(seconds(2));
-        assert!(script.launches().is_empty(), "the task runs on vm-1");
+        assert!(script.take_launches().is_empty(), "the task runs on vm-1");
         sequence = script.sequence;
     }
     // A heartbeat of a new agent epoch, under the new fencing token, proves that the task is lost.
@@ -282,5 +282,5 @@
     restarted.agent_epoch = 2;
     script.shard.heartbeat(&restarted, script.now);
     script.advance(seconds(1));
-    assert_eq!(script.launches().len(), 1, "the task runs nowhere now");
+    assert_eq!(script.take_launches().len(), 1, "the task runs nowhere now");
 }
--- a/src/coordination/shard/tests/delegations.rs
+++ b/src/coordination/shard/tests/delegations.rs
@@ -19,7 +19,7 @@
     script.shard.policy.quota_hold = Duration::from_secs(3600);
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
-    let batch = script.launches().remove(0);
+    let batch = script.take_launches().remove(0);
     let Command::Launch { task, attempt } = batch.commands[0].clone() else {
         panic!("not a launch");
     };
@@ -29,7 +29,10 @@
     script.shard.grant_delegation("beta", script.now);
     script.reconcile();
     advance_with_heartbeats_of(&mut script, "vm-2", 120);
-    assert!(script.launches().is_empty(), "vm-1 may still run the task");
+    assert!(
+        script.take_launches().is_empty(),
+        "vm-1 may still run the task"
+    );
     assert!(!script.machine("vm-1").is_deleting());
     // The revocation is written immediately. The delegate may answer the worker for a short time
     // after that, and the worker's lease runs from the delegate's last answer.
@@ -38,7 +41,7 @@
     for _ in 0..26 {
         advance_with_heartbeats_of(&mut script, "vm-2", 1);
         let is_deleting = script.machine("vm-1").is_deleting();
-        assert!(script.launches().is_empty() || is_deleting);
+        assert!(script.take_launches().is_empty() || is_deleting);
     }
     assert_eq!(
         script.machine("vm-1").epochs.ended(),
@@ -47,7 +50,7 @@
     );
     advance_with_heartbeats_of(&mut script, "vm-2", 6);
     assert!(script.machine("vm-1").epochs.ended() > 0);
-    assert_eq!(script.launches().len(), 1, "the task restarts on vm-2");
+    assert_eq!(script.take_launches().len(), 1, "the task restarts on vm-2");
 }
 
 /// A new leader is partitioned from some machines. The inventory that their delegate wrote
@@ -68,7 +71,10 @@
     script.shard.grant_delegation("beta", script.now);
     script.reconcile();
     assert!(script.shard.wants_inventories());
-    assert!(script.launches().is_empty(), "both tasks may run on vm-1");
+    assert!(
+        script.take_launches().is_empty(),
+        "both tasks may run on vm-1"
+    );
     let tasks = vec![running_task("run-1/0", 7)];
     let under_old_token = script.heartbeat_of("vm-1", TOKEN - 1, tasks.clone());
     script
@@ -82,7 +88,7 @@
     script.shard.apply_relayed_heartbeat(&heartbeat, script.now);
     script.reconcile();
     assert!(!script.shard.wants_inventories());
-    let launches = script.launches();
+    let launches = script.take_launches();
     assert_eq!(launches.len(), 1, "the task that vm-1 doesn't run");
     assert_eq!(&*launches[0].machine, "vm-2");
     let policy = script.shard.policy.clone();
--- a/src/coordination/shard/tests/failing_jobs.rs
+++ b/src/coordination/shard/tests/failing_jobs.rs
@@ -56,7 +56,7 @@
 /// returns the number of launches.
 fn run_one_second(script: &mut ScriptedShard, machines: &[&str], behavior: &TaskBehavior) -> usize {
     let mut launched = 0;
-    for batch in script.batches() {
+    for batch in script.take_batches() {
         launched += batch.launch_count();
         let heartbeat = heartbeat_with(script, &batch.machine, behavior);
         script.answer(&batch, CommandOutcome::Executed(heartbeat));
@@ -220,11 +220,11 @@
     for _ in 0..60 {
         run_one_second(&mut script, &MACHINES, &fails_everywhere);
     }
-    script.rentals();
+    script.take_rentals();
     for _ in 0..120 {
         run_one_second(&mut script, &MACHINES, &fails_everywhere);
     }
-    assert_eq!(script.rentals(), []);
+    assert_eq!(script.take_rentals(), []);
     let remaining = MACHINES
         .iter()
         .filter(|id| script.shard.machines().contains(id));
@@ -251,7 +251,7 @@
         .job_finished("run-9", Some(JobStage::Cancelled));
     script.reconcile();
     let commands: Vec<Command> = script
-        .batches()
+        .take_batches()
         .into_iter()
         .flat_map(|batch| batch.commands)
         .collect();
--- a/src/coordination/shard/tests/failover.rs
+++ b/src/coordination/shard/tests/failover.rs
@@ -21,15 +21,15 @@
         roster: vec![roster_machine("vm-1"), roster_machine("vm-2")],
         ..RecoveredState::default()
     });
-    let probes = script.batches();
+    let probes = script.take_batches();
     script.execute(&probes[0], Vec::new());
-    assert!(script.launches().is_empty(), "vm-2 may run the task");
+    assert!(script.take_launches().is_empty(), "vm-2 may run the task");
     // No earlier leader can have known run-2, which starts at once.
     script.submit("run-2", spec("blue", 1.0, 1));
-    assert_eq!(script.launches().len(), 1);
+    assert_eq!(script.take_launches().len(), 1);
     let status = running_task("run-1/0", 9);
     script.heartbeat("vm-2", vec![status]);
-    assert!(script.launches().is_empty(), "the task runs on vm-2");
+    assert!(script.take_launches().is_empty(), "the task runs on vm-2");
     assert_eq!(
         script.shard.task_counts("run-1").map(|v| v.running),
         Some(1)
@@ -49,7 +49,7 @@
         roster: vec![roster_machine("vm-1")],
         ..RecoveredState::default()
     });
-    let probes = script.batches();
+    let probes = script.take_batches();
     assert_eq!(
         probes.len(),
         1,
@@ -58,7 +58,7 @@
     let heartbeat = script.heartbeat_of("vm-1", TOKEN - 1, Vec::new());
     script.receive(&heartbeat);
     assert!(
-        script.launches().is_empty(),
+        script.take_launches().is_empty(),
         "a launch of the earlier leader may still arrive"
     );
     assert!(
@@ -66,7 +66,7 @@
         "the task is not placed either"
     );
     script.execute(&probes[0], Vec::new());
-    assert_eq!(script.launches().len(), 1);
+    assert_eq!(script.take_launches().len(), 1);
 }
 
 /// Found in a full-size run: one machine, rented just before the leader crashed, delayed all tasks
@@ -79,7 +79,7 @@
         ..RecoveredState::default()
     });
     for step in 0..4 {
-        for probe in script.probes() {
+        for probe in script.take_probes() {
             let answers = &*probe.machine != "vm-00" && (step > 0 || &*probe.machine < "vm-15");
             let heartbeat = script.heartbeat_of(&probe.machine, TOKEN, Vec::new());
             let outcome = if answers {
@@ -134,16 +134,16 @@
 fn a_listed_task_that_is_lost_restarts_before_all_machines_are_reconciled() {
     let mut script = ScriptedShard::new(recovered_job(2, &["vm-1", "vm-2"]));
     let running = running_task("run-1/0", 7);
-    let probe = script.probes().remove(0);
+    let probe = script.take_probes().remove(0);
     script.execute(&probe, vec![running]);
     script.advance(Duration::from_millis(300));
     assert!(
-        script.launches().is_empty(),
+        script.take_launches().is_empty(),
         "the other task may be on vm-2"
     );
     script.heartbeat("vm-1", Vec::new());
     script.advance(Duration::from_millis(300));
-    let launches = script.launches();
+    let launches = script.take_launches();
     assert_eq!(launches.len(), 1);
     assert!(matches!(&launches[0].commands[..], [Command::Launch { task, .. }] if task.index == 0));
     assert!(!script.machine("vm-2").token_acknowledged);
@@ -157,10 +157,10 @@
     recovered.jobs[0].record.spec.scatter = true;
     let mut script = ScriptedShard::new(recovered);
     let running = |n| running_task(&format!("run-1/{n}"), 7);
-    let probe = script.probes().remove(0);
+    let probe = script.take_probes().remove(0);
     script.execute(&probe, vec![running(0), running(1)]);
     script.heartbeat("vm-1", vec![running(0)]);
     script.advance(Duration::from_millis(300));
     // The two other tasks may run on vm-2, in the same zone.
-    assert!(script.launches().is_empty());
+    assert!(script.take_launches().is_empty());
 }
--- a/src/coordination/shard/tests/gangs/attempts.rs
+++ b/src/coordination/shard/tests/gangs/attempts.rs
@@ -61,7 +61,7 @@
     // The replacement is lost as well, and the time left to wait is too short to fetch another
     // image: the whole attempt is stopped.
     script.report_all_ended(&replacements[0].machine, AttemptOutcome::Error);
-    script.batches();
+    script.take_batches();
     script.now += GANG_WAIT / 2;
     script.report_all_in_state(&waiting, TaskState::Waiting);
     assert_eq!(script.execute_stops(), [Stopped::new(&waiting, 0.0)]);
--- a/src/coordination/shard/tests/gangs/failover.rs
+++ b/src/coordination/shard/tests/gangs/failover.rs
@@ -21,11 +21,11 @@
         };
         script.heartbeat("vm-1", vec![task_status("run-1/0", 7, state, None)]);
         script.advance(seconds(1));
-        assert!(script.launches().is_empty(), "run-1/1 may be on vm-2");
+        assert!(script.take_launches().is_empty(), "run-1/1 may be on vm-2");
         assert_eq!(first_grace_period(&script, "vm-1"), None);
         // The heartbeat of vm-2 shows that run-1/1 does not run there.
         script.heartbeat("vm-2", Vec::new());
-        script.batches();
+        script.take_batches();
         script.advance(seconds(1));
         let grace_period = first_grace_period(&script, "vm-1");
         let live_tasks = script.shard.jobs()["run-1"].live().len();
@@ -66,7 +66,7 @@
     script.add_machines(&["vm-2", "vm-3"]);
     let lease_expires_at = script.machine("vm-1").lease.expires_at();
     while script.now < lease_expires_at {
-        for batch in script.batches() {
+        for batch in script.take_batches() {
             let outcome = match &*batch.machine {
                 "vm-1" => CommandOutcome::NoAnswer,
                 id => CommandOutcome::Executed(script.running_heartbeat(id)),
@@ -95,7 +95,7 @@
     script.heartbeat("vm-1", statuses(TaskState::Ended, ended));
     for _ in 0..3 {
         script.advance(seconds(1));
-        assert!(script.launches().is_empty(), "run-1/1 may be on vm-2");
+        assert!(script.take_launches().is_empty(), "run-1/1 may be on vm-2");
         assert!(script.shard.jobs()["run-1"].live().is_empty());
     }
     script.heartbeat("vm-2", Vec::new());
@@ -115,7 +115,7 @@
         script.heartbeat("vm-1", vec![saved]);
         for _ in 0..3 {
             script.advance(seconds(1));
-            assert!(script.launches().is_empty(), "run-1/1 may run on vm-2");
+            assert!(script.take_launches().is_empty(), "run-1/1 may run on vm-2");
         }
         if sends_heartbeat {
             stop_the_other_task(&mut script);
@@ -138,7 +138,7 @@
         answer.iter().any(is_stop),
         "the task can't run without the rest of its gang"
     );
-    assert!(script.launches().is_empty());
+    assert!(script.take_launches().is_empty());
     let ended = ended_task("run-1/1", 7, AttemptOutcome::GangPeerLost);
     script.heartbeat("vm-2", vec![ended]);
 }
--- a/src/coordination/shard/tests/gangs/faults.rs
+++ b/src/coordination/shard/tests/gangs/faults.rs
@@ -156,7 +156,7 @@
     script.report_all_ended(&other, AttemptOutcome::GangPeerLost);
     for _ in 0..5 {
         script.advance(seconds(1));
-        for batch in script.batches() {
+        for batch in script.take_batches() {
             let outcome = if *batch.machine == *hanging {
                 CommandOutcome::NoAnswer
             } else {
--- a/src/coordination/shard/tests/gangs/placement.rs
+++ b/src/coordination/shard/tests/gangs/placement.rs
@@ -201,7 +201,7 @@
 /// Answers all rentals requested since the last call with a machine; returns their machine types.
 fn grant_rentals(script: &mut ScriptedShard) -> Vec<String> {
     let mut types = Vec::new();
-    for rental in script.rentals() {
+    for rental in script.take_rentals() {
         let name = format!("vm-{}", rental.request);
         let granted = RentalOutcome::Rented(vec![name]);
         script
--- a/src/coordination/shard/tests/health.rs
+++ b/src/coordination/shard/tests/health.rs
@@ -19,14 +19,14 @@
     let mut job = spec("blue", 1.0, 1);
     job.kind = JobKind::Service;
     script.submit("run-1", job);
-    let batch = script.launches().remove(0);
+    let batch = script.take_launches().remove(0);
     let status = running_task("run-1/0", launched_attempt(&batch.commands));
     script.execute(&batch, vec![status]);
     script.heartbeat("vm-2", Vec::new());
     // vm-1 sends no heartbeats and answers no probes.
     for _ in 0..12 {
         script.advance(Duration::from_secs(1));
-        for probe in script.batches() {
+        for probe in script.take_batches() {
             script.answer(&probe, CommandOutcome::NoAnswer);
         }
         script.heartbeat("vm-2", Vec::new());
@@ -39,12 +39,12 @@
         .deletion_answered(std::slice::from_ref(&machine), false, script.now);
     script.reconcile();
     assert!(
-        script.launches().is_empty(),
+        script.take_launches().is_empty(),
         "an unanswered deletion proves nothing"
     );
     script.shard.deletion_answered(&[machine], true, script.now);
     script.reconcile();
-    assert_eq!(script.launches()[0].machine, "vm-2".into());
+    assert_eq!(script.take_launches()[0].machine, "vm-2".into());
 }
 
 /// A cordoned machine gets no tasks, and the tasks that it runs are stopped and move to other
@@ -56,7 +56,7 @@
     script.heartbeat("vm-2", Vec::new());
     // Eight tasks fill vm-1, two go to vm-2.
     script.submit("run-1", spec("blue", 1.0, 10));
-    let batches = script.launches();
+    let batches = script.take_launches();
     for batch in &batches {
         let running = launched_tasks(batch, TaskState::Running, None);
         script.execute(batch, running);
@@ -78,7 +78,7 @@
         script.advance(Duration::ZERO);
     }
     let is_stopped = script
-        .batches()
+        .take_batches()
         .iter()
         .any(|batch| batch.machine == slow.machine && count_stops(&batch.commands) > 0);
     assert!(is_stopped, "the tasks of the slow machine move");
--- a/src/coordination/shard/tests/heartbeats.rs
+++ b/src/coordination/shard/tests/heartbeats.rs
@@ -16,12 +16,12 @@
     let late = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
-    let batch = script.launches().remove(0);
+    let batch = script.take_launches().remove(0);
     let status = running_task("run-1/0", launched_attempt(&batch.commands));
     script.execute(&batch, vec![status]);
     // The sequence number of the late heartbeat is older than that of the answer.
     script.receive(&late);
-    assert!(script.launches().is_empty());
+    assert!(script.take_launches().is_empty());
     assert_eq!(
         script.shard.task_counts("run-1").map(|v| v.running),
         Some(1)
@@ -36,17 +36,17 @@
     let mut script = ScriptedShard::empty();
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
-    let batch = script.launches().remove(0);
+    let batch = script.take_launches().remove(0);
     script.answer(&batch, CommandOutcome::NoAnswer);
     script.heartbeat("vm-2", Vec::new());
     assert!(
-        script.launches().is_empty(),
+        script.take_launches().is_empty(),
         "the launch may still reach vm-1"
     );
     let mut heartbeat = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     heartbeat.agent_epoch = 2;
     script.receive(&heartbeat);
-    let moved = script.launches();
+    let moved = script.take_launches();
     assert_eq!(moved.len(), 1);
     assert_eq!(
         &*moved[0].machine, "vm-2",
@@ -54,7 +54,7 @@
     );
     script.submit("run-2", spec("blue", 8.0, 1));
     script.advance(Duration::from_secs(2));
-    let batches = script.batches();
+    let batches = script.take_batches();
     let is_empty = |batch: &CommandBatch| batch.commands.is_empty();
     assert!(batches.iter().all(is_empty), "only vm-1 has the capacity");
     let probe = batches
@@ -64,7 +64,7 @@
     let mut answer = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     answer.agent_epoch = 2;
     script.answer(&probe, CommandOutcome::Executed(answer));
-    assert_eq!(script.launches().len(), 1);
+    assert_eq!(script.take_launches().len(), 1);
 }
 
 /// No worker receives the answer to a duplicated heartbeat. If a duplicate moved the lease expiry
@@ -96,7 +96,7 @@
     script.heartbeat("vm-1", Vec::new());
     let heartbeat = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
-    let batch = script.launches().remove(0);
+    let batch = script.take_launches().remove(0);
     script.execute(&batch, Vec::new());
     script.now += Duration::from_secs(10);
     script.shard.heartbeat(&heartbeat, script.now);
@@ -122,5 +122,5 @@
         script.reconcile();
     }
     assert!(script.shard.machines().get("vm-1").is_none());
-    assert!(script.launches().is_empty());
+    assert!(script.take_launches().is_empty());
 }
--- a/src/coordination/shard/tests/launches.rs
+++ b/src/coordination/shard/tests/launches.rs
@@ -26,7 +26,7 @@
     assert!(!actions.iter().any(|a| matches!(a, Action::Command { .. })));
     script.shard.write_applied(&admission, script.now);
     script.reconcile();
-    assert_eq!(script.launches().len(), 1);
+    assert_eq!(script.take_launches().len(), 1);
 }
 
 /// A launch without an answer may still arrive. It is repeated until the worker lists the attempt,
@@ -38,7 +38,7 @@
         let mut script = ScriptedShard::empty();
         script.heartbeat("vm-1", Vec::new());
         script.submit("run-1", spec("blue", 1.0, 1));
-        let batch = script.launches().remove(0);
+        let batch = script.take_launches().remove(0);
         let attempt_number = launched_attempt(&batch.commands);
         if is_answered {
             let status = task_status("run-1/0", attempt_number, TaskState::Fetching, None);
@@ -51,7 +51,7 @@
         }
         let status = ended_task("run-1/0", attempt_number, AttemptOutcome::Error);
         script.heartbeat("vm-1", vec![status.clone()]);
-        script.batches();
+        script.take_batches();
         let commands = script.heartbeat("vm-1", vec![status]);
         let has_clear = commands
             .iter()
@@ -87,7 +87,7 @@
         .job_accepted("run-1", mod_revision, job, script.now);
     script.reconcile();
     script
-        .launches()
+        .take_launches()
         .into_iter()
         .flat_map(|batch| batch.commands)
         .filter_map(|command| match command {
@@ -104,7 +104,7 @@
     let mut script = ScriptedShard::empty();
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
-    let batch = script.launches().remove(0);
+    let batch = script.take_launches().remove(0);
     let attempt_number = launched_attempt(&batch.commands);
     script.shard.job_finished("run-1", None);
     script.reconcile();
--- a/src/coordination/shard/tests/leader_pause.rs
+++ b/src/coordination/shard/tests/leader_pause.rs
@@ -38,7 +38,7 @@
         for _ in 0..5 {
             script.advance(Duration::from_millis(200));
         }
-        assert_eq!(script.deletions(), 0, "after {seconds} s");
+        assert_eq!(script.take_deletions(), 0, "after {seconds} s");
         // Probes are answered, and heartbeats arrive again one by one.
         let mut launches = execute(&mut script);
         for id in MACHINES {
@@ -47,7 +47,7 @@
             script.shard.heartbeat(&heartbeat, script.now);
             launches += execute(&mut script);
         }
-        assert_eq!(script.deletions(), 0, "after {seconds} s");
+        assert_eq!(script.take_deletions(), 0, "after {seconds} s");
         assert_eq!(launches, 0);
         assert_eq!(script.shard.jobs()["run-1"].live().len(), MACHINES.len());
     }
@@ -68,7 +68,7 @@
         })
         .collect();
     script.advance(Duration::from_secs(40));
-    script.batches();
+    script.take_batches();
     // All workers but one begin new agent epochs. A delegate has answered that one, which goes on
     // in its old agent epoch; the leader counts that epoch as ended and gives it no more tasks.
     for id in &MACHINES[1..] {
@@ -78,6 +78,6 @@
     }
     let late = script.heartbeat_of(MACHINES[0], TOKEN, vec![statuses[0].clone()]);
     script.receive(&late);
-    let launches = script.launches();
+    let launches = script.take_launches();
     assert!(launches.iter().all(|batch| *batch.machine != *MACHINES[0]));
 }
--- a/src/coordination/shard/tests/preemption.rs
+++ b/src/coordination/shard/tests/preemption.rs
@@ -18,16 +18,16 @@
         ..RecoveredState::default()
     });
     // Launches on vm-1 wait until its probe is answered.
-    let probe = script.batches().remove(0);
+    let probe = script.take_batches().remove(0);
     let heartbeat = script.heartbeat_of("vm-1", TOKEN, Vec::new());
     script.receive(&heartbeat);
     script.submit("run-1", spec("blue", 8.0, 1));
-    assert!(script.launches().is_empty());
+    assert!(script.take_launches().is_empty());
     let mut higher_priority = spec("blue", 8.0, 1);
     higher_priority.priority = Priority::Prod;
     script.submit("run-2", higher_priority);
     script.execute(&probe, Vec::new());
-    let batches = script.launches();
+    let batches = script.take_launches();
     assert_eq!(batches.len(), 1);
     assert!(matches!(
         &batches[0].commands[..],
--- a/src/coordination/shard/tests/quotas.rs
+++ b/src/coordination/shard/tests/quotas.rs
@@ -16,7 +16,7 @@
     // The team `red` may use 16 cores; five tasks of 4 cores each need 20.
     script.submit("run-1", spec("red", 4.0, 5));
     let launched: usize = script
-        .launches()
+        .take_launches()
         .iter()
         .map(|batch| batch.commands.len())
         .sum();
--- a/src/coordination/shard/tests/scale_in.rs
+++ b/src/coordination/shard/tests/scale_in.rs
@@ -33,7 +33,7 @@
         let heartbeat = script.running_heartbeat("vm-1");
         script.shard.heartbeat(&heartbeat, script.now);
     }
-    assert_eq!(script.deletions(), 0, "the machine has tasks");
+    assert_eq!(script.take_deletions(), 0, "the machine has tasks");
     script
         .shard
         .job_finished("run-1", Some(JobStage::Cancelled));
@@ -46,9 +46,9 @@
 fn quota_capacity_is_scaled_in_some_time_after_the_last_job() {
     let mut script = script_after_job(spec("red", 1.0, 1));
     idle_for(&mut script, 25);
-    assert_eq!(script.deletions(), 0, "the machine had tasks recently");
+    assert_eq!(script.take_deletions(), 0, "the machine had tasks recently");
     idle_for(&mut script, 10);
-    assert_eq!(script.deletions(), 1);
+    assert_eq!(script.take_deletions(), 1);
 }
 
 /// As soon as a team has a job again, capacity for its whole quota is rented again.
@@ -56,7 +56,7 @@
 fn quota_capacity_is_scaled_out_again_with_the_next_job() {
     let mut script = script_after_job(spec("red", 1.0, 1));
     idle_for(&mut script, 40);
-    assert_eq!(script.deletions(), 1);
+    assert_eq!(script.take_deletions(), 1);
     script.actions.clear();
     script.submit("run-2", spec("red", 1.0, 1));
     script.advance(Duration::from_secs(1));
@@ -80,10 +80,10 @@
         .job_finished("run-1", Some(JobStage::Cancelled));
     idle_for(&mut script, 100);
     assert_eq!(
-        script.deletions(),
+        script.take_deletions(),
         0,
         "a job of the class arrived less than two minutes ago"
     );
     idle_for(&mut script, 40);
-    assert_eq!(script.deletions(), 1);
+    assert_eq!(script.take_deletions(), 1);
 }
--- a/src/coordination/shard/tests/scripted_shard.rs
+++ b/src/coordination/shard/tests/scripted_shard.rs
@@ -219,7 +219,7 @@
     }
 
     /// Removes all batches of commands from `actions` and returns them.
-    pub(super) fn batches(&mut self) -> Vec<CommandBatch> {
+    pub(super) fn take_batches(&mut self) -> Vec<CommandBatch> {
         let mut batches = Vec::new();
         self.actions.retain(|action| match action {
             Action::Command {
@@ -242,21 +242,21 @@
 
     /// Removes all batches from `actions`; returns those without commands, which only request a
     /// heartbeat, and discards the others.
-    pub(super) fn probes(&mut self) -> Vec<CommandBatch> {
-        let mut batches = self.batches();
+    pub(super) fn take_probes(&mut self) -> Vec<CommandBatch> {
+        let mut batches = self.take_batches();
         batches.retain(|batch| batch.commands.is_empty());
         batches
     }
 
     /// Removes all batches from `actions`; returns those with a launch, and discards the others.
-    pub(super) fn launches(&mut self) -> Vec<CommandBatch> {
-        let mut batches = self.batches();
+    pub(super) fn take_launches(&mut self) -> Vec<CommandBatch> {
+        let mut batches = self.take_batches();
         batches.retain(|batch| batch.launch_count() > 0);
         batches
     }
 
     /// Removes all deletions of machines from `actions` and returns their number.
-    pub(super) fn deletions(&mut self) -> usize {
+    pub(super) fn take_deletions(&mut self) -> usize {
         let before = self.actions.len();
         self.actions
             .retain(|action| !matches!(action, Action::Delete(_)));
@@ -264,7 +264,7 @@
     }
 
     /// Removes all scale-out requests from `actions` and returns them.
-    pub(super) fn rentals(&mut self) -> Vec<Rental> {
+    pub(super) fn take_rentals(&mut self) -> Vec<Rental> {
         let mut rentals = Vec::new();
         self.actions.retain(|action| match action {
             Action::Rent(rental) => {
--- a/src/coordination/shard/tests/scripted_workers.rs
+++ b/src/coordination/shard/tests/scripted_workers.rs
@@ -114,7 +114,7 @@
         let mut launches = Vec::new();
         // Commands that wait for the answer to another batch are sent in the next round.
         for _ in 0..3 {
-            for batch in self.batches() {
+            for batch in self.take_batches() {
                 let mut heartbeat = self.recorded_heartbeat(&batch.machine);
                 for command in &batch.commands {
                     match command {
@@ -138,7 +138,7 @@
     /// Executes all pending commands; returns the stops, sorted by machine.
     pub(super) fn execute_stops(&mut self) -> Vec<Stopped> {
         let mut stops = Vec::new();
-        for batch in self.batches() {
+        for batch in self.take_batches() {
             for command in &batch.commands {
                 if let Command::Stop { grace_s, .. } = command {
                     stops.push(Stopped::new(&batch.machine, *grace_s));
@@ -154,7 +154,7 @@
 
 /// Executes all pending commands, so that every launched task runs; returns the batches.
 pub(super) fn run_batches(script: &mut ScriptedShard) -> Vec<CommandBatch> {
-    let batches = script.batches();
+    let batches = script.take_batches();
     for batch in &batches {
         let heartbeat = script.running_heartbeat(&batch.machine);
         script.answer(batch, CommandOutcome::Executed(heartbeat));
--- a/src/coordination/shard/tests/slow_boots.rs
+++ b/src/coordination/shard/tests/slow_boots.rs
@@ -46,10 +46,10 @@
     fn advance(&mut self, seconds: u64) {
         for _ in 0..seconds {
             self.script.advance(Duration::from_secs(1));
-            for rental in self.script.rentals() {
+            for rental in self.script.take_rentals() {
                 self.grant(rental);
             }
-            self.deleted += self.script.deletions();
+            self.deleted += self.script.take_deletions();
         }
     }
 
@@ -167,7 +167,7 @@
     script.submit("run-1", best_effort);
     let mut full_price_rented = 0;
     for _ in 0..1000 {
-        for batch in script.batches() {
+        for batch in script.take_batches() {
             let heartbeat = script.running_heartbeat(&batch.machine);
             script.answer(
                 &batch,
@@ -177,7 +177,7 @@
         let heartbeat = script.running_heartbeat("vm-1");
         script.shard.heartbeat(&heartbeat, script.now);
         script.advance(Duration::from_secs(1));
-        for rental in script.rentals() {
+        for rental in script.take_rentals() {
             full_price_rented += u32::from(!rental.spot);
             let no_capacity = RentalOutcome::NoCapacity;
             script
--- a/src/coordination/shard/tests/snapshots.rs
+++ b/src/coordination/shard/tests/snapshots.rs
@@ -14,7 +14,7 @@
     let mut script = ScriptedShard::empty();
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
-    assert_eq!(script.launches().len(), 1);
+    assert_eq!(script.take_launches().len(), 1);
     // From now on no write is applied, so that the snapshot becomes stale.
     for _ in 0..18 {
         script.now += Duration::from_secs(1);
@@ -44,7 +44,7 @@
     let mut script = ScriptedShard::empty();
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 2));
-    let batch = script.launches().remove(0);
+    let batch = script.take_launches().remove(0);
     let attempt_number = launched_attempt(&batch.commands);
     let running = |n: u64| running_task(&format!("run-1/{n}"), attempt_number + n);
     script.execute(&batch, vec![running(0), running(1)]);
--- a/src/coordination/shard/tests/zones.rs
+++ b/src/coordination/shard/tests/zones.rs
@@ -24,7 +24,7 @@
     let mut rentals = Vec::new();
     for _ in 0..4 {
         script.advance(Duration::from_secs(1));
-        for rental in script.rentals() {
+        for rental in script.take_rentals() {
             let no_machines = RentalOutcome::Rented(Vec::new());
             script
                 .shard
@@ -109,7 +109,7 @@
     let mut restarted = script.heartbeat_of(lost, TOKEN, Vec::new());
     restarted.agent_epoch = 2;
     script.receive(&restarted);
-    let launches = script.launches();
+    let launches = script.take_launches();
     assert!(
         launches.iter().all(|batch| &*batch.machine != "vm-9"),
         "two tasks of run-1 run in the zone north"
