--- a/src/coordination/shard/tests/combined_faults.rs
+++ b/src/coordination/shard/tests/combined_faults.rs
@@ -4,7 +4,7 @@
 
 use super::fixtures::{record, recovered_job, roster_machine, running_task, spec, task_status};
 use super::scripted_shard::{ScriptedShard, TOKEN, count_stops};
-use super::scripted_workers::run_commands;
+use super::scripted_workers::execute_commands;
 use crate::coordination::shard::{CommandOutcome, RecoveredState, UnfinishedJob};
 use crate::protocol::cloud::{ListedMachine, MachineState};
 use crate::protocol::users::JobStage;
@@ -158,7 +158,7 @@
     let mut script = ScriptedShard::empty();
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 1));
-    run_commands(&mut script, "vm-1");
+    execute_commands(&mut script, "vm-1");
     script
         .shard
         .job_finished("run-1", Some(JobStage::Cancelled));
@@ -206,7 +206,7 @@
     let mut script = ScriptedShard::empty();
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("blue", 1.0, 3));
-    run_commands(&mut script, "vm-1");
+    execute_commands(&mut script, "vm-1");
     let attempts: Vec<u64> = script
         .machine("vm-1")
         .attempts
--- a/src/coordination/shard/tests/gangs/placement.rs
+++ b/src/coordination/shard/tests/gangs/placement.rs
@@ -4,7 +4,7 @@
 
 use super::super::fixtures::{machine_types, spec};
 use super::super::scripted_shard::ScriptedShard;
-use super::super::scripted_workers::run_commands;
+use super::super::scripted_workers::execute_commands;
 use super::{gang, seconds};
 use crate::coordination::shard::RentalOutcome;
 use crate::protocol::cloud::MachineType;
@@ -86,7 +86,7 @@
     let mut script = ScriptedShard::empty();
     script.add_machines(&["vm-1", "vm-2"]);
     script.submit("run-1", spec("blue", 4.0, 4));
-    run_commands(&mut script, "vm-1");
+    execute_commands(&mut script, "vm-1");
     script.submit("run-2", gang(2, 8.0));
     script.submit("run-3", gang(2, 8.0));
     script.submit("run-4", spec("blue", 4.0, 8));
@@ -114,7 +114,7 @@
             ..spec("blue", 8.0, machines as u32)
         };
         script.submit("run-1", lower_priority);
-        run_commands(&mut script, "vm-1");
+        execute_commands(&mut script, "vm-1");
         script.submit("run-2", gang(2, 8.0));
         assert_eq!(script.execute_stops().len(), preempted);
     }
--- a/src/coordination/shard/tests/leader_pause.rs
+++ b/src/coordination/shard/tests/leader_pause.rs
@@ -6,7 +6,7 @@
 
 use super::fixtures::{running_task, spec};
 use super::scripted_shard::{CommandBatch, ScriptedShard, TOKEN};
-use super::scripted_workers::run_batches;
+use super::scripted_workers::execute_batches;
 
 const MACHINES: [&str; 6] = ["vm-1", "vm-2", "vm-3", "vm-4", "vm-5", "vm-6"];
 
@@ -23,7 +23,7 @@
 
 /// Executes all commands; returns the number of launches.
 fn execute(script: &mut ScriptedShard) -> usize {
-    let batches = run_batches(script);
+    let batches = execute_batches(script);
     batches.iter().map(CommandBatch::launch_count).sum()
 }
 
--- a/src/coordination/shard/tests/preemption.rs
+++ b/src/coordination/shard/tests/preemption.rs
@@ -4,7 +4,7 @@
 
 use super::fixtures::{roster_machine, spec};
 use super::scripted_shard::{ScriptedShard, TOKEN, count_stops};
-use super::scripted_workers::run_commands;
+use super::scripted_workers::execute_commands;
 use crate::coordination::shard::RecoveredState;
 use crate::protocol::users::{JobKind, JobSpec, Priority};
 use crate::protocol::workers::Command;
@@ -46,12 +46,12 @@
         ..spec("blue", 1.0, 8)
     };
     script.submit("run-1", lower_priority);
-    run_commands(&mut script, "vm-1");
+    execute_commands(&mut script, "vm-1");
     script.submit("run-2", spec("blue", 1.0, 5));
-    assert_eq!(count_stops(&run_commands(&mut script, "vm-1")), 5);
+    assert_eq!(count_stops(&execute_commands(&mut script, "vm-1")), 5);
     script.advance(Duration::from_millis(300));
     assert_eq!(
-        count_stops(&run_commands(&mut script, "vm-1")),
+        count_stops(&execute_commands(&mut script, "vm-1")),
         0,
         "capacity is already being freed for all waiting tasks"
     );
@@ -72,14 +72,14 @@
     };
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", service(1));
-    run_commands(&mut script, "vm-1");
+    execute_commands(&mut script, "vm-1");
     script.submit("run-2", spec("blue", 1.0, 7));
-    run_commands(&mut script, "vm-1");
+    execute_commands(&mut script, "vm-1");
     assert!(script.machine("vm-1").load.tasks.len() == 2, "vm-1 is full");
     // Another machine has free capacity, but no services.
     script.heartbeat("vm-2", Vec::new());
     script.advance(Duration::from_secs(1));
     script.submit("run-3", service(1));
-    assert_eq!(count_stops(&run_commands(&mut script, "vm-1")), 1);
+    assert_eq!(count_stops(&execute_commands(&mut script, "vm-1")), 1);
     assert!(script.machine("vm-2").load.is_idle());
 }
--- a/src/coordination/shard/tests/scale_in.rs
+++ b/src/coordination/shard/tests/scale_in.rs
@@ -4,7 +4,7 @@
 
 use super::fixtures::{policy, spec};
 use super::scripted_shard::ScriptedShard;
-use super::scripted_workers::run_commands;
+use super::scripted_workers::execute_commands;
 use crate::coordination::shard::{Action, Policy, RecoveredState};
 use crate::protocol::users::{JobSpec, JobStage};
 
@@ -27,7 +27,7 @@
     let mut script = ScriptedShard::with_policy(policy, RecoveredState::default());
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", job);
-    run_commands(&mut script, "vm-1");
+    execute_commands(&mut script, "vm-1");
     for _ in 0..60 {
         script.advance(Duration::from_secs(1));
         let heartbeat = script.running_heartbeat("vm-1");
@@ -74,7 +74,7 @@
     script.shard.policy.start_objectives = [(class, Duration::from_secs(1))].into();
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", spec("red", 1.0, 1));
-    run_commands(&mut script, "vm-1");
+    execute_commands(&mut script, "vm-1");
     script
         .shard
         .job_finished("run-1", Some(JobStage::Cancelled));
--- a/src/coordination/shard/tests/scripted_workers.rs
+++ b/src/coordination/shard/tests/scripted_workers.rs
@@ -153,7 +153,7 @@
 }
 
 /// Executes all pending commands, so that every launched task runs; returns the batches.
-pub(super) fn run_batches(script: &mut ScriptedShard) -> Vec<CommandBatch> {
+pub(super) fn execute_batches(script: &mut ScriptedShard) -> Vec<CommandBatch> {
     let batches = script.take_batches();
     for batch in &batches {
         let heartbeat = script.running_heartbeat(&batch.machine);
@@ -164,8 +164,8 @@
 
 /// Executes all pending commands, so that every launched task runs; returns the commands to one
 /// machine.
-pub(super) fn run_commands(script: &mut ScriptedShard, id: &str) -> Vec<Command> {
-    let mut batches = run_batches(script);
+pub(super) fn execute_commands(script: &mut ScriptedShard, id: &str) -> Vec<Command> {
+    let mut batches = execute_batches(script);
     batches.retain(|batch| *batch.machine == *id);
     batches
         .into_iter()
--- a/src/coordination/shard/tests/store_limits.rs
+++ b/src/coordination/shard/tests/store_limits.rs
@@ -8,7 +8,7 @@
 
 use super::fixtures::{ended_task, policy, record, roster_machine, running_task, spec};
 use super::scripted_shard::{ScriptedShard, TOKEN};
-use super::scripted_workers::run_commands;
+use super::scripted_workers::execute_commands;
 use crate::coordination::shard::{
     Action, Policy, RecoveredMachine, RecoveredState, ShardWrite, UnfinishedJob,
 };
@@ -210,7 +210,7 @@
     list_tasks(&mut script, every_third);
     script.submit("run-900000", spec("blue", 1.0, 1));
     script.reconcile();
-    run_commands(&mut script, "vm-000050");
+    execute_commands(&mut script, "vm-000050");
     let deleted = "vm-000140".into();
     script
         .shard
--- a/src/coordination/shard/tests/zones.rs
+++ b/src/coordination/shard/tests/zones.rs
@@ -5,7 +5,7 @@
 
 use super::fixtures::spec;
 use super::scripted_shard::{ScriptedShard, TOKEN};
-use super::scripted_workers::run_commands;
+use super::scripted_workers::execute_commands;
 use crate::coordination::shard::{CommandOutcome, HeartbeatOutcome, RentalOutcome};
 use crate::protocol::cloud::Rental;
 use crate::protocol::users::JobSpec;
@@ -50,7 +50,7 @@
     let mut script = ScriptedShard::without_quotas();
     script.add_machine("vm-1", "north");
     script.submit("run-1", one_zone_job(3, 4.0));
-    run_commands(&mut script, "vm-1");
+    execute_commands(&mut script, "vm-1");
     assert_eq!(script.shard.jobs()["run-1"].live().len(), 2);
     script.add_machine("vm-2", "south");
     let rentals = request_rentals(&mut script);
@@ -72,7 +72,7 @@
     script.submit("run-1", spec("blue", 4.0, 1));
     script.submit("run-2", one_zone_job(4, 4.0));
     for id in ["vm-1", "vm-2"] {
-        run_commands(&mut script, id);
+        execute_commands(&mut script, id);
     }
     let rental_zones: std::collections::BTreeSet<String> = request_rentals(&mut script)
         .into_iter()
@@ -92,7 +92,7 @@
     script.heartbeat("vm-1", Vec::new());
     script.heartbeat("vm-2", Vec::new());
     script.submit("run-1", one_zone_job(3, 4.0));
-    run_commands(&mut script, "vm-1");
+    execute_commands(&mut script, "vm-1");
     let tasks_on = |script: &ScriptedShard, id: &str| script.machine(id).attempts.len();
     let (lost, other) = match tasks_on(&script, "vm-1") {
         1 => ("vm-1", "vm-2"),
