--- a/src/coordination/shard/machines/agent_epochs.rs
+++ b/src/coordination/shard/machines/agent_epochs.rs
@@ -34,7 +34,7 @@
     /// The heartbeat is the first that this leader has received from the worker.
     First,
     /// The worker began a new agent epoch: it has killed and forgotten all its tasks.
-    Restarted,
+    NewEpoch,
 }
 
 /// The newest heartbeat of a worker, and the agent epochs that have ended.
@@ -89,10 +89,10 @@
         let change = match self.current() {
             None => EpochChange::First,
             Some(epoch) if epoch == number.agent_epoch => EpochChange::Unchanged,
-            Some(_) => EpochChange::Restarted,
+            Some(_) => EpochChange::NewEpoch,
         };
         self.newest = Some(number);
-        if change == EpochChange::Restarted {
+        if change == EpochChange::NewEpoch {
             self.ended = self.ended.max(number.agent_epoch - 1);
         }
         change
--- a/src/coordination/shard/machines/tests.rs
+++ b/src/coordination/shard/machines/tests.rs
@@ -37,7 +37,7 @@
     epochs.advance(heartbeat_number(2, 7));
     assert_eq!(
         epochs.advance(heartbeat_number(5, 1)),
-        EpochChange::Restarted
+        EpochChange::NewEpoch
     );
     assert_eq!(epochs.ended(), 4);
     assert!(epochs.is_live());
--- a/src/coordination/shard/reconciler/mod.rs
+++ b/src/coordination/shard/reconciler/mod.rs
@@ -170,7 +170,7 @@
             // present bound is for the lease of an earlier epoch.
             machine.lease.extend_to(lease_expires_at);
         }
-        if change == EpochChange::Restarted {
+        if change == EpochChange::NewEpoch {
             // The worker's lease expired although its heartbeats arrived: messages from this
             // leader may not reach the worker.
             machine.commands.note_lease_lost();
