--- a/src/coordination/shard/autoscaler/scale_out.rs
+++ b/src/coordination/shard/autoscaler/scale_out.rs
@@ -46,7 +46,7 @@
             self.fencing_token,
         );
         if let Some(rental) = rental {
-            self.record_scale_out(&rental);
+            self.record_rental(&rental);
         }
     }
 
@@ -72,7 +72,7 @@
             }
         }
         self.autoscaler.rentals.remove(request);
-        self.clear_scale_out(request);
+        self.clear_rental(request);
         self.needs_pass = true;
     }
 
--- a/src/coordination/shard/persistence/flush.rs
+++ b/src/coordination/shard/persistence/flush.rs
@@ -43,13 +43,13 @@
                     }
                 }
                 WritePurpose::Delete(id) => deletable.push(id.clone()),
-                WritePurpose::RecordScaleOut(rental) => {
+                WritePurpose::RecordRental(rental) => {
                     self.pending_actions.push(Action::Rent(rental.clone()))
                 }
                 WritePurpose::RevokeDelegation(node_id) => {
                     self.delegations.revocation_written(node_id, now)
                 }
-                WritePurpose::ClearScaleOut(_)
+                WritePurpose::ClearRental(_)
                 | WritePurpose::Delegate
                 | WritePurpose::SnapshotChunk { .. } => {}
             }
--- a/src/coordination/shard/persistence/records.rs
+++ b/src/coordination/shard/persistence/records.rs
@@ -43,23 +43,23 @@
 
     /// Records a rental before it is requested from the cloud, so that after a failover the new
     /// leader repeats the same idempotent request.
-    pub(in crate::coordination::shard) fn record_scale_out(&mut self, rental: &Rental) {
+    pub(in crate::coordination::shard) fn record_rental(&mut self, rental: &Rental) {
         let record = RentalRecord {
             format_version: FORMAT_VERSION,
             rental: rental.clone(),
         };
         if let Ok(value) = serde_json::to_value(record) {
             self.writes.push_record(
-                WritePurpose::RecordScaleOut(rental.clone()),
+                WritePurpose::RecordRental(rental.clone()),
                 Mutation::put(keys::pending_rental(&rental.request), value),
             );
         }
     }
 
     /// Deletes the record of a rental whose request the cloud has answered.
-    pub(in crate::coordination::shard) fn clear_scale_out(&mut self, request: &str) {
+    pub(in crate::coordination::shard) fn clear_rental(&mut self, request: &str) {
         self.writes.push_record(
-            WritePurpose::ClearScaleOut(request.to_owned()),
+            WritePurpose::ClearRental(request.to_owned()),
             Mutation::delete(keys::pending_rental(request)),
         );
     }
--- a/src/coordination/shard/persistence/shard_write.rs
+++ b/src/coordination/shard/persistence/shard_write.rs
@@ -14,9 +14,9 @@
     /// The machine may be deleted.
     Delete(MachineId),
     /// The rental may be requested.
-    RecordScaleOut(Rental),
+    RecordRental(Rental),
     /// Nothing follows: the rental request with this id no longer needs a record.
-    ClearScaleOut(String),
+    ClearRental(String),
     /// Nothing follows: the delegation counts from the moment its write is queued.
     Delegate,
     /// The delegation to this node ends once the time for which a delegate acts on a read of its
--- a/src/coordination/shard/persistence/tests.rs
+++ b/src/coordination/shard/persistence/tests.rs
@@ -119,7 +119,7 @@
     for n in requests {
         let request = format!("request-{n}");
         let mutation = Mutation::delete(format!("b/0/{request}"));
-        queue.push_record(WritePurpose::ClearScaleOut(request), mutation);
+        queue.push_record(WritePurpose::ClearRental(request), mutation);
     }
 }
 
@@ -199,7 +199,7 @@
         matches!(
             purposes,
             [
-                WritePurpose::ClearScaleOut(_),
+                WritePurpose::ClearRental(_),
                 WritePurpose::SnapshotChunk { .. }
             ]
         ),
