--- a/src/coordination/shard/health/failures.rs
+++ b/src/coordination/shard/health/failures.rs
@@ -101,10 +101,10 @@
 
     /// Counts tasks that have run much longer than any failed attempt of their job as successes.
     /// The tasks of a service can't succeed in any other way, since they never complete.
-    pub(in crate::coordination::shard) fn note_outliving_tasks(&mut self, now: Instant) {
+    pub(in crate::coordination::shard) fn note_successes_by_run_time(&mut self, now: Instant) {
         let failing_jobs = self.jobs.values().filter(|job| !job.failures.is_clear());
         let succeeded_jobs: Vec<JobId> = failing_jobs
-            .filter(|job| self.has_outliving_task(job, now))
+            .filter(|job| self.has_success_by_run_time(job, now))
             .map(|job| job.id.clone())
             .collect();
         for id in succeeded_jobs {
@@ -112,7 +112,7 @@
         }
     }
 
-    fn has_outliving_task(&self, job: &Job, now: Instant) -> bool {
+    fn has_success_by_run_time(&self, job: &Job, now: Instant) -> bool {
         let success_run_time = job.failures.success_run_time();
         let outlives = |attempt: &Attempt| {
             attempt.phase == Phase::Running
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -118,7 +118,7 @@
         self.remove_ended_delegations(now);
         self.expire_leases(now);
         if self.running_tasks.recount_if_due(&self.machines, now) {
-            self.note_outliving_tasks(now);
+            self.note_successes_by_run_time(now);
             self.find_slow_machines(now);
         }
         self.probe_due_machines(now);
--- a/src/coordination/shard/reconciler/mod.rs
+++ b/src/coordination/shard/reconciler/mod.rs
@@ -85,7 +85,7 @@
         }
         self.note_token_acknowledged(&machine_id);
         self.reconcile_attempts(&machine_id, &heartbeat.tasks, now);
-        self.reconcile_machine(&machine_id);
+        self.mark_reconciled(&machine_id);
         self.admit(&machine_id);
         self.needs_pass = true;
     }
--- a/src/coordination/shard/reconciler/removal.rs
+++ b/src/coordination/shard/reconciler/removal.rs
@@ -50,13 +50,13 @@
         now: Instant,
     ) {
         self.remove_attempts(machine_id, now);
-        self.reconcile_machine(machine_id);
+        self.mark_reconciled(machine_id);
         self.needs_pass = true;
     }
 
     /// Marks a machine as reconciled, since all tasks that an earlier leader started on it are
     /// known now.
-    pub(in crate::coordination::shard) fn reconcile_machine(&mut self, machine_id: &MachineId) {
+    pub(in crate::coordination::shard) fn mark_reconciled(&mut self, machine_id: &MachineId) {
         if self.unreconciled.remove(machine_id) {
             tracing::info!(
                 fencing_token = %self.fencing_token,
