--- a/src/coordination/shard/autoscaler/boot_estimates.rs
+++ b/src/coordination/shard/autoscaler/boot_estimates.rs
@@ -67,8 +67,9 @@
 
     /// Whether the plan still counts on a booting machine. Overdue machines are not counted, with
     /// one exception: if boots are slow for the whole type in the zone, half of the overdue
-    /// machines (by the last byte of their id) still count, so that at most as many machines are
-    /// rented again.
+    /// machines (by the last byte of their id) still count. Even if the replacements become
+    /// overdue too and are replaced in turn, the replacements are then together at most as many as
+    /// the machines that were overdue first.
     pub(super) fn may_still_boot(
         &self,
         machine: &Machine,
--- a/src/coordination/shard/autoscaler/boot_times.rs
+++ b/src/coordination/shard/autoscaler/boot_times.rs
@@ -3,8 +3,8 @@
 //! The cloud states a usual boot time for each machine type. During an incident, all machines of a
 //! type in a zone boot many times later than that, or none boots at all. Plans use the slower of
 //! the usual and the observed time: machines that boot late are then neither counted on too early
-//! nor rented again and again. If no machine boots, at most as many machines are rented again, and
-//! each further round waits twice as long.
+//! nor rented again and again. If no machine boots, the replacements are together at most as many
+//! as the machines that they replace, and each further round waits twice as long.
 //!
 //! The reconciler reports boots, scale-in reports abandoned machines, and every plan updates the
 //! overdue machines. `boot_estimates` reads the result.
--- a/src/coordination/shard/autoscaler/capacity.rs
+++ b/src/coordination/shard/autoscaler/capacity.rs
@@ -227,8 +227,8 @@
             || (machine.last_contact.is_none() && self.delegations.is_partitioned(&machine.zone))
     }
 
-    /// For each priority that has batch jobs which accept spot machines: the cores that such a job
-    /// can obtain on machines that cost nothing extra.
+    /// For each priority that has batch jobs which accept spot machines: the cores that one of
+    /// these jobs, the last by id, can obtain on machines that cost nothing extra.
     pub(super) fn low_cost_cores_by_priority(
         &self,
         capacities: &[Capacity],
--- a/src/coordination/shard/autoscaler/drain.rs
+++ b/src/coordination/shard/autoscaler/drain.rs
@@ -1,4 +1,4 @@
-//! Consolidation: draining machines that services use little.
+//! Consolidation: draining machines on which services use only part of the cores.
 //!
 //! The services of a machine being drained move one at a time to machines that already cache their
 //! image; once the machine is empty, scale-in deletes it. Called by each plan while no machine is
@@ -20,9 +20,9 @@
 /// A machine is drained only if its services use at most this share of its cores.
 const MAX_SERVICE_CORE_SHARE: f64 = 0.6;
 
-/// One machine per this many is drained at the same time, in addition to one that always may be.
-/// Wider searches, with four machines drained at once of about thirty, improved neither the price
-/// nor the score.
+/// At most one machine per this many is drained at the same time, in addition to one that always
+/// may be. A wider search that drained four of about thirty machines at once improved neither the
+/// price nor the score.
 const MACHINES_PER_DRAIN: usize = 40;
 
 /// Number of candidates tried in addition to the number of machines that may be drained, since the
--- a/src/coordination/shard/autoscaler/forecast.rs
+++ b/src/coordination/shard/autoscaler/forecast.rs
@@ -55,8 +55,9 @@
             .sum()
     }
 
-    /// Cores that new services are likely to need before a new machine has booted. No machine is
-    /// drained if fewer cores would stay free among services.
+    /// Cores that new services are likely to need before a new machine has booted; 0 if capacity is
+    /// held for quota. No machine is drained if fewer cores would stay free on the machines with
+    /// services.
     pub(in crate::coordination::shard) fn forecast_service_cores(&self, now: Instant) -> f64 {
         if self.policy.holds_capacity() {
             return 0.0;
--- a/src/coordination/shard/autoscaler/machine_loss.rs
+++ b/src/coordination/shard/autoscaler/machine_loss.rs
@@ -15,7 +15,8 @@
 /// Fewest unanswered probes before an unreachable machine is declared dead.
 const MIN_UNANSWERED_PROBES: u32 = 2;
 
-/// At most one unreconciled machine per this many machines counts as few; up to two always do.
+/// The unreconciled machines count as few if there is at most one per this many machines, or if
+/// there are at most two.
 const MACHINES_PER_UNRECONCILED: usize = 20;
 
 /// A zone is likely partitioned if at least this share of its machines is unreachable and it has at
@@ -89,14 +90,14 @@
 
     /// Time since the last contact with a machine; since the start of this leader's term if there
     /// was no contact during it.
-    fn since_last_contact_under_leader(&self, machine: &Machine, now: Instant) -> Duration {
+    fn since_last_contact_in_term(&self, machine: &Machine, now: Instant) -> Duration {
         let last_contact = machine.last_contact.unwrap_or(self.term_began);
         now.saturating_duration_since(last_contact.max(self.term_began))
     }
 
     /// Whether the last contact with a machine was so long ago that it gets no new tasks.
     fn is_unreachable(&self, machine: &Machine, now: Instant) -> bool {
-        self.since_last_contact_under_leader(machine, now) >= self.policy.suspect_after
+        self.since_last_contact_in_term(machine, now) >= self.policy.suspect_after
     }
 
     /// Whether a machine has been in contact, but its worker's periodic heartbeats have stopped
@@ -142,7 +143,7 @@
         overview: &ReachabilityOverview,
         now: Instant,
     ) -> Option<DeletionReason> {
-        let since_last_contact = self.since_last_contact_under_leader(machine, now);
+        let since_last_contact = self.since_last_contact_in_term(machine, now);
         let is_reclaimed =
             machine.is_missing_from_list || machine.preemption_notice.is_some_and(|at| at <= now);
         let reclaimed_timeout = self
@@ -173,7 +174,7 @@
         }
         let is_in_unreachable_zone = overview.unreachable_zones.contains(&machine.zone);
         let may_return = overview.has_slow_boots && is_in_unreachable_zone;
-        let is_dead = self.since_last_contact_under_leader(machine, now) >= self.policy.dead_after
+        let is_dead = self.since_last_contact_in_term(machine, now) >= self.policy.dead_after
             && !overview.has_many_unreachable
             && !may_return;
         is_dead.then_some(DeletionReason::Unreachable)
@@ -192,7 +193,7 @@
         }
         let is_in_unreachable_zone = overview.unreachable_zones.contains(&machine.zone);
         let many_unreachable = overview.has_many_unreachable || is_in_unreachable_zone;
-        let since_last_contact = self.since_last_contact_under_leader(machine, now);
+        let since_last_contact = self.since_last_contact_in_term(machine, now);
         if since_last_contact >= self.max_unreachable_time(machine, many_unreachable) {
             return Some(DeletionReason::LeaseExpired);
         }
--- a/src/coordination/shard/autoscaler/mod.rs
+++ b/src/coordination/shard/autoscaler/mod.rs
@@ -3,7 +3,7 @@
 //! On every tick it repeats cloud requests that were not answered and declares lost machines dead.
 //! Every half second it makes a plan: it compares the demand (waiting tasks, forecast arrivals,
 //! reserved quota) with the capacity that exists or is being added, then rents machines, drains
-//! machines that services use little and deletes machines that are not needed.
+//! machines on which services use only part of the cores, and deletes machines that are not needed.
 //!
 //! Decisions are functions of a read-only [`AutoscalerView`](view::AutoscalerView) and the time;
 //! the `impl Shard` blocks in `plan`, `drain`, `scale_out`, `scale_in` and `machine_loss` carry
--- a/src/coordination/shard/autoscaler/plan.rs
+++ b/src/coordination/shard/autoscaler/plan.rs
@@ -248,10 +248,10 @@
         }
     }
 
-    /// Most seconds until a machine is ready for a demand to count on it; infinite if it does not
-    /// matter. A gang starts with the last of its machines, so a machine that boots too late is
-    /// better left to other jobs if a machine rented now would boot sooner. The same holds for all
-    /// tasks while machines boot much later than usual.
+    /// A demand counts only on machines that are ready within this many seconds; infinite if it
+    /// does not matter when they are. A gang starts with the last of its machines, so a machine
+    /// that boots too late is better left to other jobs if a machine rented now would boot sooner.
+    /// The same holds for all tasks while machines boot much later than usual.
     fn max_ready_in_s(
         &self,
         demand: &Demand,
@@ -306,7 +306,8 @@
 }
 
 /// The zone with the most free capacity for a demand; None if less than half of the demand fits
-/// there, because then it matters more where machines boot soonest.
+/// there, because then it matters more where machines boot soonest, which the choice of the best
+/// offer takes into account.
 fn zone_with_capacity(demand: &Demand, capacities: &[Capacity]) -> Option<Arc<str>> {
     let spec = &demand.spec;
     let mut tasks_by_zone: BTreeMap<&Arc<str>, u32> = BTreeMap::new();
--- a/src/coordination/shard/autoscaler/release.rs
+++ b/src/coordination/shard/autoscaler/release.rs
@@ -18,9 +18,9 @@
     !machine.spot && !policy.holds_capacity() && !hosts_services(machine)
 }
 
-/// Whether a releasable machine costs more than its minimum charge, which is paid in any case.
-/// Tasks that can wait for spot machines are not placed on such a machine, so that it becomes empty
-/// and can be deleted. During the first half of the minimum charge, a machine does not cost extra.
+/// Whether a machine is releasable and past the first half of its minimum billed time, which is
+/// paid in any case. Tasks that can wait for spot machines are not placed on such a machine, so
+/// that it becomes empty and can be deleted.
 pub(in crate::coordination::shard) fn costs_extra(
     machine: &Machine,
     policy: &Policy,
--- a/src/coordination/shard/autoscaler/reserved_quota.rs
+++ b/src/coordination/shard/autoscaler/reserved_quota.rs
@@ -1,4 +1,4 @@
-//! Reserved quota: capacity for the part of each team's guaranteed quota that it does not use.
+//! Reserved quota: capacity for the part of each team's guaranteed cores that it does not use.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,9 +16,9 @@
 /// Most tasks for which capacity is reserved for one team.
 const MAX_RESERVED_TASKS: f64 = 1e5;
 
-/// The teams that have unfinished jobs, without crash-looping jobs.
+/// The teams that have unfinished jobs other than crash-looping ones.
 pub(super) fn teams_with_work(jobs: &BTreeMap<JobId, Job>) -> BTreeSet<&str> {
-    // A crash-looping job needs no more capacity than one attempt uses.
+    // A crash-looping job needs no more capacity than its few attempts at a time use.
     let unfinished = jobs
         .values()
         .filter(|job| job.final_stage.is_none() && !job.is_crash_looping());
@@ -34,7 +34,7 @@
         now.saturating_duration_since(last_work) <= self.policy.quota_hold
     }
 
-    /// Demands for the unused guaranteed quota of the teams that had work recently, so that their
+    /// Demands for the unused guaranteed cores of the teams that had work recently, so that their
     /// next jobs need not wait for machines to boot.
     pub(super) fn quota_demands(&self, usage: &Usage, now: Instant) -> Vec<Demand> {
         let mut demands = Vec::new();
--- a/src/coordination/shard/autoscaler/scale_in.rs
+++ b/src/coordination/shard/autoscaler/scale_in.rs
@@ -77,7 +77,7 @@
 
 impl Shard {
     /// Records the deletion of a machine; the deletion is requested once the record is durable. The
-    /// machine's tasks count until the cloud confirms that the machine no longer exists.
+    /// machine's tasks count as live until the cloud confirms that the machine no longer exists.
     pub(in crate::coordination::shard) fn begin_deletion(
         &mut self,
         id: &MachineId,
--- a/src/coordination/shard/autoscaler/scale_out.rs
+++ b/src/coordination/shard/autoscaler/scale_out.rs
@@ -37,7 +37,8 @@
         self.retry_deletions(now);
     }
 
-    /// Records the rental of `count` machines; it is requested once the record is durable.
+    /// Records the rental of `count` machines, or of [`MAX_MACHINES_PER_RENTAL`] if that is fewer,
+    /// unless a rental of the same kind is pending. It is requested once the record is durable.
     pub(super) fn request_machines(&mut self, kind: MachineKind, count: u32) {
         let rental = self.autoscaler.rentals.add(
             kind,
--- a/src/coordination/shard/autoscaler/service_moves.rs
+++ b/src/coordination/shard/autoscaler/service_moves.rs
@@ -68,8 +68,8 @@
 
 impl<'a> AutoscalerView<'a> {
     /// Picks, for each machine being drained, the next service that fits on another machine which
-    /// caches its image. Picks none while any service waits, and at most `max_at_once` machines
-    /// have a service that stops.
+    /// caches its image. Picks none while any service waits, and only so many that at most
+    /// `max_at_once` machines have a service that is stopping.
     pub(super) fn next_moves(
         &self,
         sources: &[MachineId],
@@ -103,7 +103,8 @@
             .count()
     }
 
-    /// The machines that are not being drained, with the resources that are free on them now.
+    /// The machines that have booted and are not being drained, ordered by readiness, with the
+    /// resources that are free on them now.
     fn hosts_by_readiness(&self, capacities: &[Capacity]) -> Vec<ServiceHost<'a>> {
         capacities
             .iter()
--- a/src/coordination/shard/delegations/inventories.rs
+++ b/src/coordination/shard/delegations/inventories.rs
@@ -1,5 +1,5 @@
 //! Reconciliation of unreachable machines from the inventories that delegates write, and the rule
-//! by which unreachable machines are not replaced yet.
+//! that delays the replacement of unreachable machines.
 
 use std::time::{Duration, Instant};
 
--- a/src/coordination/shard/delegations/mod.rs
+++ b/src/coordination/shard/delegations/mod.rs
@@ -8,8 +8,8 @@
 //! it can't reach the store.
 //!
 //! While another controller may renew leases, the leader treats no worker's lease as expired.
-//! Once the last delegation has ended, every lease counts as renewed at the last moment at which
-//! the delegate may have answered a heartbeat.
+//! Whenever a delegation has ended, every lease counts as renewed at that moment, since the
+//! delegate may have answered heartbeats until then.
 //!
 //! [`Delegations`] owns the state of the delegations; `grants` and `inventories` connect it to
 //! the shard. The peering code determines which controllers are unreachable and calls these
--- a/src/coordination/shard/delegations/table.rs
+++ b/src/coordination/shard/delegations/table.rs
@@ -24,8 +24,8 @@
 impl Delegation {
     /// Whether the delegate can no longer answer heartbeats.
     fn has_ended(self, now: Instant) -> bool {
-        let last_answer = clock_drift::max_elapsed(DELEGATION_TIME) + ANSWER_SEND_MARGIN;
-        matches!(self, Self::Revoked { at } if at + last_answer <= now)
+        let answers_for = clock_drift::max_elapsed(DELEGATION_TIME) + ANSWER_SEND_MARGIN;
+        matches!(self, Self::Revoked { at } if at + answers_for <= now)
     }
 }
 
--- a/src/coordination/shard/health/failure_evidence.rs
+++ b/src/coordination/shard/health/failure_evidence.rs
@@ -36,7 +36,7 @@
         unexplained > 0 && self.sound.len() + unexplained >= JOBS_TO_QUARANTINE
     }
 
-    /// Records that a job, which may be known to be sound, failed on the machine.
+    /// Records that a job failed on the machine. `is_sound` says that the job is known to be sound.
     pub(super) fn note_failure(&mut self, job: &JobId, is_sound: bool, now: Instant) {
         self.withdraw(job);
         if is_sound {
--- a/src/coordination/shard/health/failure_history.rs
+++ b/src/coordination/shard/health/failure_history.rs
@@ -40,7 +40,8 @@
     pub run_time: Duration,
 }
 
-/// A job's failed attempts since its last success.
+/// A job's failed attempts. A success resets the counts that make the job crash-looping, but not
+/// the set of machines or the longest run time.
 #[derive(Debug, Default)]
 pub struct FailureHistory {
     /// The machines on which the job's tasks failed. They are avoided, even after a success on
--- a/src/coordination/shard/jobs/mod.rs
+++ b/src/coordination/shard/jobs/mod.rs
@@ -47,13 +47,14 @@
     unplaced: BTreeSet<u32>,
     /// How many tasks are both completed and live: another attempt of them may still exist.
     done_and_live: u32,
-    /// The failed attempts since the job's last success.
+    /// The failed attempts of the job's tasks.
     pub failures: FailureHistory,
     /// No task of the job is started before this moment: the end of a retry backoff.
     pub not_before: Option<Instant>,
     /// The run times of its completed tasks, by which slow machines are found.
     pub run_times: RunTimes,
-    /// The stage in which the job finished; `None` while it is unfinished.
+    /// The stage in which the job finished; `None` while it is unfinished. `Cancelled` also stands
+    /// for a stage that this leader does not know.
     pub final_stage: Option<JobStage>,
     /// Whether the write of its final record was requested (`Action::Finish`).
     pub is_finish_requested: bool,
--- a/src/coordination/shard/machines/command_channel.rs
+++ b/src/coordination/shard/machines/command_channel.rs
@@ -7,7 +7,7 @@
 /// A batch of commands whose answer is awaited.
 #[derive(Debug, Clone, Copy)]
 pub struct OutstandingBatch {
-    /// The batch's number, unique within the leadership.
+    /// The batch's number, unique within this leader's term.
     number: u64,
     /// The newest heartbeat that had arrived when the batch was sent. The answer to the batch
     /// has a higher number, unless the worker process has restarted.
--- a/src/coordination/shard/machines/mod.rs
+++ b/src/coordination/shard/machines/mod.rs
@@ -69,8 +69,7 @@
     images: ImageCache,
     /// When the machine was rented, or when this leader first learned of it.
     pub rented: Instant,
-    /// Since when the machine has been up without an attempt that may run on it; None while it
-    /// boots or an attempt may run.
+    /// Since when the machine has been up without a live attempt; None while it boots or has one.
     idle_since: Option<Instant>,
     /// Evidence, from the attempts on the machine, on whether the machine is faulty.
     pub health: MachineHealth,
@@ -190,8 +189,7 @@
         self.deletion = Deletion::Pending;
     }
 
-    /// Since when the machine has been up without an attempt that may run on it; None while it
-    /// boots or an attempt may run.
+    /// Since when the machine has been up without a live attempt; None while it boots or has one.
     pub fn idle_since(&self) -> Option<Instant> {
         self.idle_since
     }
@@ -264,8 +262,8 @@
             .map(|(_, attempt)| attempt)
     }
 
-    /// Resources on the machine, which is of the type `machine_type`, that no attempt may use;
-    /// zero if the resource use of an attempt is unknown.
+    /// The resources of the machine, which is of the type `machine_type`, less those that its live
+    /// attempts use; zero if the resource use of a live attempt is unknown.
     pub fn free(&self, machine_type: &MachineType) -> Resources {
         if self.load.unknown_attempts > 0 {
             return Resources::default();
--- a/src/coordination/shard/machines/worker_lease.rs
+++ b/src/coordination/shard/machines/worker_lease.rs
@@ -12,12 +12,13 @@
     expires_at: Instant,
     /// When the answer to a periodic heartbeat last renewed the lease.
     renewed_at: Option<Instant>,
-    /// When this leader first learned of the machine.
+    /// When this leader first learned of the machine, or, if the cloud reported it to this leader
+    /// first, when it was rented.
     known_since: Instant,
 }
 
 impl WorkerLease {
-    /// Creates the bound for a worker that this leader learns of at `now`.
+    /// Creates the bound for a worker that counts as known since `now`.
     pub fn new(now: Instant, expires_at: Instant) -> Self {
         Self {
             expires_at,
@@ -43,7 +44,7 @@
     }
 
     /// Time since the answer to a periodic heartbeat last renewed the lease, or, if none has,
-    /// since this leader learned of the machine.
+    /// since the machine counts as known.
     pub fn since_renewal(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.renewed_at.unwrap_or(self.known_since))
     }
--- a/src/coordination/shard/persistence/flush.rs
+++ b/src/coordination/shard/persistence/flush.rs
@@ -9,7 +9,7 @@
 use crate::protocol::MachineId;
 
 /// Lower bound, in bytes, for the limit on values after writes were refused: a single entry of the
-/// roster or a single piece of the snapshot takes about this many bytes.
+/// roster or of a snapshot chunk takes about this many bytes.
 const MIN_VALUE_BYTES: usize = 512;
 /// Lower bound, in mutations, for the limit on transactions after writes were refused: one mutation
 /// and that of the sequence number.
@@ -60,8 +60,9 @@
     }
 
     /// Handles the store's refusal of the transaction in flight as too large: the store's limits
-    /// are lower than the settings say. The same transaction is never sent again; later
-    /// transactions have fewer mutations, or smaller values.
+    /// are lower than the settings say. Later transactions have fewer mutations, or smaller roster
+    /// pages and chunks, so that the same transaction is not sent again, unless it holds a single
+    /// other record or the limits have reached their lower bounds.
     pub fn write_refused(&mut self, write: &ShardWrite, now: Instant) {
         let mutations = write.mutations.len();
         self.lower_write_limits(mutations);
--- a/src/coordination/shard/persistence/shard_write.rs
+++ b/src/coordination/shard/persistence/shard_write.rs
@@ -15,12 +15,12 @@
     Delete(MachineId),
     /// The rental may be requested.
     RecordRental(Rental),
-    /// Nothing follows: the rental request with this id no longer needs a record.
+    /// Nothing follows: the rental request of this name no longer needs a record.
     ClearRental(String),
     /// Nothing follows: the delegation counts from the moment its write is queued.
     Delegate,
-    /// The delegation to this node ends once the time for which a delegate acts on a read of its
-    /// record has passed.
+    /// The delegation to this node ends after the time for which the delegate may still act on its
+    /// last read of the record.
     RevokeDelegation(String),
     /// The store holds this chunk of the snapshot, or has deleted it.
     SnapshotChunk {
--- a/src/coordination/shard/persistence/snapshot_rounds.rs
+++ b/src/coordination/shard/persistence/snapshot_rounds.rs
@@ -134,7 +134,8 @@
         oldest.get_or_insert(now);
     }
 
-    /// Time since the oldest change that is not durable yet; zero if all changes are durable.
+    /// Time since the oldest change that is not durable yet; zero if all changes are durable. While
+    /// a round is under way, only the changes that it covers count.
     pub(super) fn unrecorded_for(&self, now: Instant) -> Duration {
         let (Round::Idle { dirty_since, .. } | Round::UnderWay { dirty_since, .. }) = &self.round;
         dirty_since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
--- a/src/coordination/shard/persistence/write_queue.rs
+++ b/src/coordination/shard/persistence/write_queue.rs
@@ -136,8 +136,8 @@
         self.snapshots.begin(encoded, covered, now);
     }
 
-    /// Returns the next transaction, or None while one is in flight. If nothing is left to write,
-    /// ends the snapshot round that is under way.
+    /// Returns the next transaction; None while one is in flight, or while nothing may be written
+    /// now. If the snapshot round under way is written completely, ends it instead.
     pub(super) fn next(&mut self, limits: &WriteLimits) -> Option<NextWrite> {
         if self.has_write_in_flight {
             return None;
--- a/src/coordination/shard/policy.rs
+++ b/src/coordination/shard/policy.rs
@@ -77,7 +77,7 @@
     pub txn_ops: usize,
     /// The most bytes in one value of the key-value store.
     pub value_bytes: usize,
-    /// The shortest time between the starts of two rounds of snapshots of a changed shard.
+    /// The shortest time between the starts of two snapshot rounds.
     pub snapshot_interval: Duration,
     /// The age of changes without a durable snapshot beyond which no task is started.
     pub max_staleness: Duration,
@@ -90,7 +90,7 @@
     /// The time without contact after which a machine is declared dead.
     pub dead_after: Duration,
     /// The tasks of each job class for which free capacity is kept, as a multiple of the class's
-    /// running tasks.
+    /// live tasks.
     pub headroom: f64,
     /// How long a machine has to be idle before it is deleted.
     pub idle_timeout: Duration,
--- a/src/coordination/shard/reconciler/recovery.rs
+++ b/src/coordination/shard/reconciler/recovery.rs
@@ -112,8 +112,9 @@
         }
     }
 
-    /// Marks the tasks as completed that are completed in the snapshot. The snapshot's placements
-    /// are only a hint: the locations of tasks are known from heartbeats.
+    /// Marks the tasks as completed that the snapshot lists as completed, and counts the snapshot's
+    /// placements on each machine. These are only a hint: the locations of tasks are known from
+    /// heartbeats.
     fn recover_progress(&mut self, chunks: &BTreeMap<String, Value>) {
         for (id, progress) in snapshot::decode(chunks.values()) {
             for machine in progress.placements.values() {
@@ -132,8 +133,9 @@
     /// Adds the machines of the roster as unreconciled and probes them, or deletes those whose
     /// entry records a deletion.
     fn recover_roster(&mut self, roster: Vec<RecoveredMachine>, now: Instant) {
-        // A delegate of the last leader may have renewed leases until now, and a partitioned
-        // controller may continue to renew them under its advance delegation.
+        // A delegate of the last leader may renew leases for DELEGATION_TIME after its last read
+        // of its record, and a partitioned controller may continue to renew them under its advance
+        // delegation.
         let renewed_for = DELEGATION_TIME.max(self.policy.advance_delegation);
         let lease_expires_at = now + self.policy.worker_lease_bound() + renewed_for;
         for RecoveredMachine { id, page, record } in roster {
--- a/src/coordination/shard/scheduler/candidates.rs
+++ b/src/coordination/shard/scheduler/candidates.rs
@@ -23,8 +23,9 @@
     /// Whether it is an on-demand machine that scale-in can release once its batch work ends. A
     /// service placed on it would prevent that.
     pub(super) is_releasable: bool,
-    /// Whether it is releasable and past the time that the cloud charges for in any case. Batch
-    /// work that may run on spot instances is then not placed on it, so that it can be released.
+    /// Whether it is releasable and past the first half of the time that the cloud charges for in
+    /// any case. Batch work that may run on spot instances is then not placed on it, so that it can
+    /// be released.
     pub(super) costs_extra: bool,
     /// The resources that no task uses, less those of the tasks placed in this pass.
     pub(super) free: Resources,
--- a/src/coordination/shard/scheduler/preemption/victims.rs
+++ b/src/coordination/shard/scheduler/preemption/victims.rs
@@ -37,8 +37,8 @@
 
 impl PreemptionPlanner<'_> {
     /// The victims on one candidate that free enough for one more task of the preemptor, with the
-    /// cost of preempting them. `None` if all attempts that may be preempted there don't free
-    /// enough, or if nothing need be preempted.
+    /// cost of preempting them. `None` if the attempts that may be preempted there don't free
+    /// enough even together, or if nothing need be preempted.
     pub(super) fn victims_on(
         &self,
         index: usize,
--- a/src/coordination/shard/scheduler/queue.rs
+++ b/src/coordination/shard/scheduler/queue.rs
@@ -11,15 +11,15 @@
 use crate::protocol::JobId;
 use crate::protocol::users::Priority;
 
-/// The smallest share of its estimated run time that a job is expected to need, since users often
-/// overestimate by this much. A due time that is closer counts as missed.
+/// A job is expected to need at least this share of its estimated run time, since users often
+/// overestimate by this much. A due time that leaves less time counts as missed.
 const MIN_RUN_TIME_SHARE: f64 = 0.5;
 
 /// A job's position in the queue among the jobs of its priority; the smallest key is served
 /// first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(in crate::coordination::shard) struct QueueKey {
-    /// Whether the job can't meet any of its due times any more.
+    /// Whether the job can't meet any of its due times any more, and its deadline has passed.
     is_too_late: bool,
     /// The next due time that it can meet, or else its deadline, in milliseconds since the Unix
     /// epoch.
@@ -30,8 +30,8 @@
 
 impl QueueKey {
     /// The key of a job at the wall-clock time `wall_ms`, in milliseconds since the Unix epoch.
-    /// Jobs are ordered by the next due time that they can still meet; those that can meet none
-    /// come last.
+    /// Jobs are ordered by the next due time that they can still meet, or by their deadline if they
+    /// can meet none; those whose deadline has passed as well come last.
     pub(super) fn for_job(job: &Job, policy: &Policy, wall_ms: u64) -> Self {
         if let Some(start_ms) = gang_start_due(job, policy).filter(|start| *start > wall_ms) {
             return Self::new(false, start_ms, job);
@@ -54,7 +54,8 @@
 
 /// The latest time at which a gang meets its start objective, in milliseconds since the Unix
 /// epoch; `None` without such an objective, or if the job is no gang. A gang that starts late is
-/// late with all its tasks, so while its start is due, that counts instead of its end.
+/// late with all its tasks, so until that time has passed, it counts instead of the due times for
+/// the gang's end.
 fn gang_start_due(job: &Job, policy: &Policy) -> Option<u64> {
     let wait = policy.start_objectives.get(&job.spec.class);
     wait.filter(|_| job.spec.is_gang())
--- a/src/coordination/shard/scheduler/starvation.rs
+++ b/src/coordination/shard/scheduler/starvation.rs
@@ -13,7 +13,7 @@
 /// The time since acceptance without the start of any task after which a job counts as starving.
 /// Users count a wait of more than four minutes as an outage.
 const STARVATION_WAIT: Duration = Duration::from_secs(150);
-/// The most starving jobs of which one pass starts a task or for which it reserves a machine.
+/// The most starving jobs that one pass serves, by starting a task or reserving a machine.
 const MAX_STARVING_JOBS: usize = 16;
 
 impl Shard {
