--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -26,9 +26,9 @@
 use crate::transport::connection_limit::ConnectionLimit;
 
 /// Maximum size of a request body from a user or a worker, in bytes.
-const MAX_USER_BODY_BYTES: usize = 64 * 1024;
-/// Maximum size of a frame from another controller, in bytes: twice the space that the job
-/// progress in a heartbeat may take.
+const MAX_PUBLIC_BODY_BYTES: usize = 64 * 1024;
+/// Maximum size of a frame from another controller, in bytes: more than twice the space that the
+/// job progress in a heartbeat may take.
 const MAX_PEER_FRAME_BYTES: usize = 4 << 20;
 /// Value of the `Retry-After` header on every 503 response, in seconds.
 const RETRY_AFTER_SECONDS: &str = "1";
@@ -81,12 +81,12 @@
 }
 
 /// Reads a request's body. Returns `None` if it can't be read or exceeds
-/// [`MAX_USER_BODY_BYTES`].
+/// [`MAX_PUBLIC_BODY_BYTES`].
 async fn read_body(body: Body) -> Option<Bytes> {
-    to_bytes(body, MAX_USER_BODY_BYTES).await.ok()
+    to_bytes(body, MAX_PUBLIC_BODY_BYTES).await.ok()
 }
 
-/// Converts the answer to an HTTP response. A 503 response gets a `Retry-After` header.
+/// Converts the response to an HTTP response. A 503 response gets a `Retry-After` header.
 fn to_http_response(response: UserResponse) -> Response {
     let status = StatusCode::from_u16(response.status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     let mut http = (
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -29,7 +29,8 @@
     }
 }
 
-/// A clock for tests, which moves only when [`FakeClock::advance`] is called.
+/// A clock for tests. Its monotonic time moves only when [`FakeClock::advance`] is called, and its
+/// wall-clock time is always 0.
 #[derive(Debug)]
 pub struct FakeClock(Mutex<Instant>);
 
@@ -39,7 +40,7 @@
         Self(Mutex::new(Instant::now()))
     }
 
-    /// Moves the clock forward.
+    /// Moves the monotonic time forward.
     pub fn advance(&self, by: Duration) {
         *self.lock() += by;
     }
--- a/src/coordination/cloud/polling.rs
+++ b/src/coordination/cloud/polling.rs
@@ -57,8 +57,8 @@
 }
 
 /// Reads the list of rented machines periodically until the lease ends. The list may lag behind
-/// rentals and deletions by up to `list_lag_s` of the platform's settings. The list is read every
-/// half of that time, but at least every 10 seconds and at most every 2 seconds.
+/// rentals and deletions by up to `list_lag_s` of the platform's settings. The pause between two
+/// reads is half of that time, but no less than 2 seconds and no more than 10 seconds.
 pub async fn watch_machine_list(node: Arc<Node>, lease: Arc<ShardLease>) {
     let list_lag_s = node.settings.platform.settings.cloud.list_lag_s;
     let interval_s = (list_lag_s / 2.0).clamp(MIN_LIST_INTERVAL_S, MAX_LIST_INTERVAL_S);
--- a/src/coordination/executor/mod.rs
+++ b/src/coordination/executor/mod.rs
@@ -24,7 +24,8 @@
 use crate::protocol::MachineId;
 use crate::protocol::cloud::Rental;
 
-/// Carries out one action of the shard under the lease under which it was decided.
+/// Carries out one action of the shard. `lease` is the one that the shard was led under when it
+/// decided on the action.
 pub async fn execute(node: Arc<Node>, lease: Arc<ShardLease>, action: Action) {
     match action {
         Action::Command {
@@ -83,8 +84,8 @@
     }
 }
 
-/// Converts the cloud's answer to the outcome that the shard needs, above all whether the request
-/// may have been or may still be carried out.
+/// Converts the cloud's answer to the outcome that the shard needs. `Unknown` means that the
+/// request may have been carried out, or may still be.
 fn rental_outcome(result: Result<Vec<String>, CloudError>) -> RentalOutcome {
     match result {
         Ok(machines) => RentalOutcome::Rented(machines),
--- a/src/coordination/executor/shard_write.rs
+++ b/src/coordination/executor/shard_write.rs
@@ -23,7 +23,8 @@
     Applied,
     /// The store refuses the write as too large and would do so again.
     TooLarge,
-    /// The lease ended before the write was known to be applied.
+    /// The lease ended before the write was known to be applied, or the sequence record can't be
+    /// encoded.
     LeaseEnded,
 }
 
@@ -119,8 +120,8 @@
     Ok(transaction)
 }
 
-/// Reads the sequence record from the store to determine whether a write was applied that was
-/// answered with a conflict or not at all. `record` is the sequence record of this write,
+/// Determines whether a write was applied after its transaction got a conflict or no answer, by
+/// reading the sequence record from the store. `record` is the sequence record of this write,
 /// `sequence` describes that of the previous write.
 async fn resolve_attempt(
     node: &Node,
--- a/src/coordination/leadership/candidacy.rs
+++ b/src/coordination/leadership/candidacy.rs
@@ -10,12 +10,12 @@
 /// How long a candidate outside the main zone, which holds most machines, waits before it
 /// campaigns.
 const OUTSIDE_MAIN_ZONE_DELAY: Duration = Duration::from_millis(150);
-/// How long a candidate outside the main zone waits if, besides, no worker has recently sent it a
-/// heartbeat.
+/// How long a candidate outside the main zone waits if, in addition, no worker has recently sent it
+/// a heartbeat.
 const NO_WORKERS_DELAY: Duration = Duration::from_millis(1000);
 /// How long after its last heartbeat to this candidate a worker counts as able to reach it.
 const WORKER_HEARTBEAT_MAX_AGE: Duration = Duration::from_secs(4);
-/// How long a candidate waits that recently, as the leader, couldn't reach enough workers.
+/// How long a candidate waits if it was the leader recently and couldn't reach enough workers.
 const INELIGIBLE_DELAY: Duration = Duration::from_secs(4);
 /// How long after its extension vote has expired a candidate waits before it campaigns.
 const EXPIRED_VOTE_MARGIN: Duration = Duration::from_millis(10);
--- a/src/coordination/leadership/job_watch.rs
+++ b/src/coordination/leadership/job_watch.rs
@@ -16,8 +16,8 @@
 /// How long the store holds a watch of the jobs open while nothing changes.
 const JOB_WATCH_WAIT: Duration = Duration::from_secs(3);
 
-/// Notifies the shard of jobs that are accepted or ended from `revision` of the store on, until
-/// the lease ends.
+/// Notifies the shard of jobs that are accepted or ended after `revision` of the store, until the
+/// lease ends.
 pub(super) async fn watch_jobs(node: Arc<Node>, lease: Arc<ShardLease>, mut revision: u64) {
     let mut retry = Backoff::default();
     while !lease.has_ended() {
--- a/src/coordination/leadership/leader_loop.rs
+++ b/src/coordination/leadership/leader_loop.rs
@@ -1,5 +1,6 @@
-//! The leader's loop, which the election runs from when it acquires the shard until the lease ends:
-//! it recovers the shard's state, then runs passes of decisions after events and at intervals.
+//! The leader's loop. The election starts it once the shard is acquired, and it runs until the
+//! lease ends: it recovers the shard's state, then runs passes of decisions after events and at
+//! intervals.
 
 use std::fmt;
 use std::sync::Arc;
--- a/src/coordination/leadership/mod.rs
+++ b/src/coordination/leadership/mod.rs
@@ -7,7 +7,8 @@
 //! * [`election`] waits until the shard has no leader, and then for the delay that `candidacy`
 //!   sets;
 //! * `acquisition` writes the leader record, whose revision is the fencing token;
-//! * [`lease`] holds until when the leader may act, and `renewal` renews the lease;
+//! * [`lease`] holds the lease's deadline, until which the leader may act, and `renewal` renews the
+//!   lease;
 //! * `leader_loop` recovers the shard from [`stored_records`], runs passes of decisions until the
 //!   lease ends, and follows the jobs by `job_watch`.
 //!
--- a/src/coordination/leadership/renewal.rs
+++ b/src/coordination/leadership/renewal.rs
@@ -32,9 +32,9 @@
 }
 
 impl RenewalHealth {
-    /// Returns the new health when the last successful renewal was sent `since_renewal` ago. For
-    /// failing renewals to count as timely again, the last success must be more recent than for
-    /// timely renewals to stay so.
+    /// Returns the new health when the last successful renewal was sent `since_renewal` ago. With
+    /// hysteresis: failing renewals don't count as timely again before a success that was sent at
+    /// most [`RECOVERED_WITHIN_INTERVALS`] renewal intervals ago.
     fn next(self, since_renewal: Duration, operator: &Operator) -> Self {
         let is_failing = since_renewal > operator.lease_ttl().mul_f64(FAILING_AFTER_LEASE_SHARE);
         let has_not_recovered = self == Self::Failing
@@ -75,8 +75,8 @@
     }
 }
 
-/// Waits for `pause` and collects the answers to all renewals in flight. Returns true, at once, if
-/// the store refuses a renewal; returns false at once if the lease ends.
+/// Waits for `pause` and collects the answers to renewals that arrive meanwhile. Returns early with
+/// true if the store refuses a renewal, and with false if the lease ends.
 async fn await_answers(
     in_flight: &mut JoinSet<Result<(), KvError>>,
     lease: &ShardLease,
@@ -135,8 +135,8 @@
 }
 
 /// Extends the lease without the store, if every other controller votes not to campaign for the
-/// shard meanwhile. Past its deadline the leader may resume if, besides, no other controller can
-/// have acquired the shard since the leader's last successful renewal was sent.
+/// shard meanwhile. Past its deadline the leader may resume only if, in addition, no other
+/// controller can have acquired the shard since the leader's last successful renewal was sent.
 async fn extend_by_votes(node: &Arc<Node>, lease: &ShardLease) {
     let time = MAX_LEASE_EXTENSION;
     let sent = node.now();
--- a/src/coordination/node/mod.rs
+++ b/src/coordination/node/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! Everything in [`super`] that acts for the controller takes the [`Node`] it acts for.
 //! This module itself sends nothing, spawns nothing, and imports neither routers nor loops nor the
-//! executor. The process's entry creates the node.
+//! executor. [`crate::server::run`] creates the node.
 
 pub mod admission;
 pub mod clients;
@@ -31,11 +31,11 @@
 
 /// A controller.
 pub struct Node {
-    /// Both settings files.
+    /// The settings from both files.
     pub settings: Settings,
     /// The settings that the shard's decisions depend on.
     pub policy: Policy,
-    /// The monotonic clock and the time of day.
+    /// The monotonic clock and the wall clock.
     pub clock: Arc<dyn Clock>,
     /// Distinguishes this process from this controller's earlier ones.
     pub incarnation: u64,
--- a/src/coordination/node/reachability.rs
+++ b/src/coordination/node/reachability.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Whether the store has stopped serving this node.
+    /// Whether the store has stopped serving this node, or has never served it.
     pub fn is_kv_lost(&self) -> bool {
         let KvHealth { last_served, .. } = self.clients.kv.health();
         let Some(last_served) = last_served else {
@@ -56,7 +56,7 @@
         self.is_kv_failing() && since_served > KV_LOST_AFTER
     }
 
-    /// Whether this node's last request to the store got no answer or a refusal.
+    /// Whether the store failed to serve this node's last request: it answered 503 or not at all.
     pub fn is_kv_failing(&self) -> bool {
         let health = self.clients.kv.health();
         health.last_failed.is_some() && health.last_failed > health.last_served
--- a/src/coordination/node/state.rs
+++ b/src/coordination/node/state.rs
@@ -78,13 +78,15 @@
 pub struct Peers {
     /// Their last heartbeats, by node id.
     pub views: HashMap<String, PeerView>,
-    /// Unfinished jobs with the counts of their tasks, by the leader's last heartbeat.
+    /// Unfinished jobs with the counts of their tasks, as stated by the leader's last heartbeat.
     pub progress: HashMap<String, TaskCounts>,
-    /// The zone that holds most machines, by the leader's last heartbeat.
+    /// The zone that holds most machines: as determined by this controller if it leads the shard,
+    /// otherwise as stated by the leader's last heartbeat.
     pub main_zone: Option<String>,
     /// The highest fencing token that a heartbeat has named, and when a heartbeat last named it. A
-    /// heartbeat that is late, or that has no fencing token since its sender is past its deadline,
-    /// changes nothing here: the leader counts on the earlier contact.
+    /// late heartbeat of an earlier leader changes nothing here, and neither does a heartbeat
+    /// without a fencing token, whose sender is past its deadline: the leader relies on the
+    /// earlier contact.
     pub leader_contact: Option<LeaderContact>,
     /// By controller that runs an older version: when it last failed to understand a frame that
     /// this version added.
@@ -117,7 +119,8 @@
     pub acquiring: bool,
     /// The fencing token that this process last acquired.
     pub latest_fencing_token: FencingToken,
-    /// Whether the last leader was an earlier process of this controller, which has ended.
+    /// Whether the leader record that this process found was that of an earlier process of this
+    /// controller. As that process led the shard itself, no leader holds its lease by its vote.
     pub previous_incarnation_ended: bool,
     /// Until when this node must not campaign, by the extension that it granted.
     pub extension_granted_until: Option<Instant>,
--- a/src/coordination/peering/cancellations.rs
+++ b/src/coordination/peering/cancellations.rs
@@ -19,14 +19,15 @@
 };
 use crate::settings::platform::Peer;
 
-/// Age of the last catch-up read of the jobs from which on the peers are queried.
+/// The peers are queried if the last catch-up read of the jobs is at least this old.
 const CATCH_UP_MAX_AGE: Duration = Duration::from_secs(2);
 /// Pause before a peer that runs an older version, and can't answer the query, is queried again: it
 /// may have been upgraded meanwhile.
 const OLDER_VERSION_RETRY: Duration = Duration::from_secs(10);
 
 /// The cancellations that this controller has confirmed to users since the store's revision that
-/// the request names.
+/// the request names. The answer also includes the cancellations by other controllers that this one
+/// knows of.
 pub fn confirmed_cancellations(
     node: &Node,
     request: &CancellationsRequest,
--- a/src/coordination/peering/delegation/delegate.rs
+++ b/src/coordination/peering/delegation/delegate.rs
@@ -23,7 +23,7 @@
 const DELEGATION_MARGIN: Duration = Duration::from_millis(100);
 
 /// Keeps this controller's delegation up to date for as long as the process lasts, and writes
-/// the inventory that the leader asks for. Workers' heartbeats are answered by the delegation
+/// the inventory that the leader asks for. The heartbeats of delegated workers are answered
 /// elsewhere ([`crate::coordination::worker_heartbeats`]).
 pub async fn serve_delegated_workers(node: Arc<Node>) {
     let mut next_page = 0;
@@ -52,8 +52,8 @@
     }
 }
 
-/// Reads this controller's delegation; `None` if it has none. The delegation lasts from when the
-/// read was sent.
+/// Reads this controller's delegation; `None` if it has none. The time for which it is valid counts
+/// from when the read was sent.
 async fn read_delegation(node: &Arc<Node>) -> Result<Option<Delegation>, KvError> {
     let sent = node.now();
     let prefix = keys::leader_prefix();
@@ -82,8 +82,9 @@
     })
 }
 
-/// Replaces this controller's delegation. Returns true if a delegation by another leader begins.
-/// Heartbeats that are still to be written to an earlier leader's inventory are dropped.
+/// Replaces this controller's delegation. Returns true if a delegation begins: there was none
+/// before, or it was by another leader. Heartbeats that are still to be written to an earlier
+/// leader's inventory are dropped.
 fn set_delegation(node: &Node, delegation: Option<Delegation>) -> bool {
     let fencing_token =
         |delegation: Option<Delegation>| delegation.map(|delegation| delegation.fencing_token);
--- a/src/coordination/peering/delegation/inventories.rs
+++ b/src/coordination/peering/delegation/inventories.rs
@@ -78,7 +78,7 @@
         .next_batch(fencing_token, page_bytes, split_id)
 }
 
-/// Returns heartbeats that could not be written to the unwritten ones, for the next try. If the
+/// Adds heartbeats whose write failed to the unwritten ones again, for the next attempt. If the
 /// store refused a page as too large, the next pages have half the size.
 fn put_back(node: &Node, heartbeats: Vec<WorkerHeartbeat>, error: &KvError) {
     let mut state = node.lock();
--- a/src/coordination/peering/delegation/leader.rs
+++ b/src/coordination/peering/delegation/leader.rs
@@ -105,7 +105,7 @@
     })
 }
 
-/// The zones with controllers of which this leader reaches none.
+/// The zones that have controllers, none of which this leader reaches.
 fn unreachable_zones(node: &Node, unreachable: &BTreeSet<String>) -> BTreeSet<String> {
     let platform = &node.settings.platform;
     let reachable = |peer: &&Peer| !unreachable.contains(&peer.node_id);
--- a/src/coordination/peering/eligibility.rs
+++ b/src/coordination/peering/eligibility.rs
@@ -3,8 +3,8 @@
 //!
 //! A network partition may last arbitrarily long. While it lasts, the controller should neither
 //! campaign nor be handed the shard for being in the main zone. Only the workers can show that the
-//! partition has ended: the controller probes some of the workers that it knew as the leader for
-//! their status.
+//! partition has ended: the controller probes some of the workers that it couldn't reach as the
+//! leader, by requesting their status.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -65,7 +65,7 @@
         tracing::info!(
             answered,
             probed,
-            "probing of unreachable workers ended; eligible to lead again"
+            "probing of unreachable workers ended; ineligibility not prolonged"
         );
     } else {
         state.candidacy.ineligible_until = state.candidacy.ineligible_until.max(Some(until));
--- a/src/coordination/peering/handover.rs
+++ b/src/coordination/peering/handover.rs
@@ -23,8 +23,9 @@
 /// Least uptime of a controller that may be handed the shard, in seconds.
 const MIN_SUCCESSOR_UPTIME_S: u64 = MIN_LEADERSHIP.as_secs() / 2;
 
-/// Updates the main zone if this controller leads the shard. The main zone is the zone with a
-/// controller that holds most machines.
+/// Updates the main zone if this controller leads the shard. Of the zones that have a controller,
+/// the main zone is the one that holds most machines, as far as [`preferred_zone`] doesn't prefer
+/// the leader's own.
 pub(super) fn update_main_zone(node: &Node) {
     let mut state = node.lock();
     let Some(leadership) = &state.leadership else {
@@ -100,8 +101,8 @@
     FarLower,
 }
 
-/// How many workers the leader and its peers reach, while the leader reaches fewer than half of
-/// them.
+/// How many workers the leader and its peers reach, while the leader reaches fewer than half of the
+/// expected ones.
 struct LowReachability {
     /// Reached by the leader.
     by_leader: usize,
@@ -128,7 +129,8 @@
     }
 }
 
-/// How many workers this leader and its peers reach, if the leader reaches fewer than half of them.
+/// How many workers this leader and its peers reach, if the leader reaches fewer than half of the
+/// expected ones.
 fn low_reachability(node: &Node) -> Option<LowReachability> {
     let now = node.now();
     let state = node.lock();
--- a/src/coordination/peering/heartbeat.rs
+++ b/src/coordination/peering/heartbeat.rs
@@ -55,9 +55,9 @@
 
 /// The progress of the unfinished jobs, if this controller leads the shard.
 ///
-/// A job without a running or completed task is left out: the other controllers show a job that
-/// isn't named as pending. If more jobs have begun than a frame may carry, some of them are shown
-/// as pending too. The counts are for display only.
+/// A job without a running or done task is left out: the other controllers show every job that
+/// isn't in the list as pending. If more jobs have begun than a frame may carry, some of them are
+/// shown as pending too. The counts are for display only.
 fn progress(node: &Node) -> Vec<Progress> {
     let state = node.lock();
     let Some(leadership) = &state.leadership else {
@@ -72,7 +72,7 @@
     let begun = leadership.shard.progress().filter(has_begun);
     let rows: Vec<Progress> = begun.take(MAX_PROGRESS_ROWS).map(row).collect();
     if rows.is_empty() {
-        // The receiver ignores a frame without rows, and would show outdated counts.
+        // The receiver ignores a list without rows, and would show outdated counts.
         return leadership.shard.progress().take(1).map(row).collect();
     }
     rows
--- a/src/coordination/peering/lease_votes.rs
+++ b/src/coordination/peering/lease_votes.rs
@@ -71,8 +71,8 @@
     all_granted
 }
 
-/// Votes on the revival of a lease past its deadline. The rules are those for an extension, and
-/// besides, this process must not have acquired a later fencing token.
+/// Votes on the revival of a lease past its deadline. The rules are those for an extension.
+/// In addition, this process must not have acquired a later fencing token.
 pub fn vote_on_revival(node: &Node, request: &ReviveLease) -> RevivalVote {
     let has_later_token = {
         let state = node.lock();
--- a/src/coordination/requests/mod.rs
+++ b/src/coordination/requests/mod.rs
@@ -2,10 +2,10 @@
 //!
 //! The [`crate::api`] layer decodes requests and encodes the responses. Every controller answers
 //! users, either from the key-value store or, while the store doesn't serve it, through a peer
-//! (`routing`). That a job is finished, or was never accepted, is answered only from a
-//! linearizable read of the store. The task counts of an unfinished job come from the leader's
-//! memory and are for display only. The shard is notified of accepted and cancelled jobs, but no
-//! request waits for the shard.
+//! (`routing`). That a job is finished is answered only once the store has committed its final
+//! record; that it was never accepted, only from a linearizable read of the store. The task counts
+//! of an unfinished job come from the leader's memory and are for display only. The shard is
+//! notified of accepted and cancelled jobs, but no request waits for the shard.
 
 mod admission;
 mod cancellation;
--- a/src/coordination/requests/routing.rs
+++ b/src/coordination/requests/routing.rs
@@ -119,8 +119,8 @@
     delay: Duration,
 ) -> Option<UserResponse> {
     tokio::time::sleep(delay).await;
-    // While user writes are queued here, the peers are equally busy, so that the request's
-    // turn comes first here.
+    // While user writes are queued here, the peers are equally busy. The request has already waited
+    // here, so its turn comes earlier here than in a peer's queue.
     while node.admission.user_writes.delay(node.now()) > Duration::ZERO {
         tokio::time::sleep(WRITE_QUEUE_CHECK_INTERVAL).await;
     }
--- a/src/coordination/worker_leases/advance_delegation.rs
+++ b/src/coordination/worker_leases/advance_delegation.rs
@@ -21,9 +21,9 @@
 /// How long after the leader's last heartbeat a controller waits before it renews workers'
 /// leases by an advance delegation.
 pub const LEADER_UNREACHABLE_AFTER: Duration = Duration::from_secs(3);
-/// How long after the leader sent a heartbeat that was answered, the receiver certainly renews no
-/// lease by an advance delegation. Less than [`LEADER_UNREACHABLE_AFTER`], which the receiver waits
-/// from when it received that heartbeat.
+/// If the leader sent a heartbeat at most this long ago and got an answer, the receiver certainly
+/// renews no lease by an advance delegation yet. Less than [`LEADER_UNREACHABLE_AFTER`], the time
+/// that the receiver waits after it received the heartbeat.
 const NO_ADVANCE_RENEWAL_WITHIN: Duration = Duration::from_millis(2500);
 
 /// Longest duration of an advance delegation: together with a worker's lease it stays within the
--- a/src/coordination/worker_leases/cancellation_freshness.rs
+++ b/src/coordination/worker_leases/cancellation_freshness.rs
@@ -16,8 +16,8 @@
 use super::advance_delegation;
 use crate::settings::Settings;
 
-/// The least staleness bound. It applies if the settings leave cancelled tasks no more time to end
-/// than a worker's lease lasts: without any renewals, all tasks would end.
+/// The least staleness bound. It applies if the settings leave cancelled tasks hardly more time to
+/// end than a worker's lease lasts: without any renewals, all tasks would end.
 const MIN_STALENESS_BOUND: Duration = Duration::from_secs(3);
 
 /// The staleness bound: how long workers' leases may be renewed after the moment up to
--- a/src/protocol/peer_messages.rs
+++ b/src/protocol/peer_messages.rs
@@ -45,13 +45,13 @@
 /// Requests a vote to revive the sender's lease.
 ///
 /// The lease may have expired before the key-value store became unavailable to all controllers.
-/// A controller that grants the vote abstains from elections for `millis` and asserts that it
-/// knows of no later leader.
+/// A controller that grants the vote doesn't campaign for the shard for `millis` and asserts that
+/// its process has acquired no later fencing token.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct ReviveLease {
     /// The fencing token of the lease to revive.
     pub fencing_token: FencingToken,
-    /// How long the receiver has to abstain from elections, in milliseconds.
+    /// For how long the receiver must not campaign for the shard, in milliseconds.
     pub millis: u64,
 }
 
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -19,7 +19,7 @@
     /// Requests a vote for a lease extension: the sender leads but can't renew its lease because
     /// it can't reach the key-value store.
     ExtendLease {
-        /// How long the receiver has to abstain from elections, in milliseconds.
+        /// For how long the receiver must not campaign for the shard, in milliseconds.
         millis: u64,
     },
     /// A user's request, forwarded because the sender can't reach the key-value store.
@@ -33,7 +33,7 @@
     },
 }
 
-/// A controller's heartbeat to its peers: its own state and what it observes of the others.
+/// A controller's heartbeat to its peers: its own state, and what it knows of the shard.
 #[derive(Debug, Clone, Default, PartialEq, Archive, Serialize, Deserialize)]
 pub struct PeerHeartbeat {
     /// The sender's node id.
@@ -47,14 +47,14 @@
     pub reachable_workers: u32,
     /// Time since the sender's process started, in seconds.
     pub up_s: u64,
-    /// The sender's fencing token, if it leads the shard.
+    /// The sender's fencing token, if it leads the shard and its lease is live.
     pub fencing_token: Option<FencingToken>,
     /// The zone with most of the machines, according to the leader's last heartbeat.
     pub main_zone: Option<String>,
     /// The progress of the unfinished jobs; empty unless the sender leads.
     pub progress: Vec<Progress>,
-    /// Whether the sender is ineligible for leadership because it resigned recently, after too few
-    /// workers could reach it.
+    /// Whether the sender is ineligible for leadership because it stepped down recently, after it
+    /// reached too few workers.
     pub ineligible: bool,
     /// Time since the sender may last have renewed workers' leases under an advance delegation,
     /// in milliseconds.
@@ -79,7 +79,7 @@
     Heartbeat(PeerHeartbeat),
     /// The receiver's vote on a lease extension.
     LeaseExtension {
-        /// Whether the vote is granted: the receiver abstains from elections for the requested
+        /// Whether the vote is granted: the receiver won't campaign for the shard for the requested
         /// time.
         granted: bool,
     },
--- a/src/server.rs
+++ b/src/server.rs
@@ -30,7 +30,7 @@
 /// may use.
 const INTERNAL_CONNECTION_PERCENT: usize = 5;
 
-/// Why the server could not start or stopped.
+/// Why the server failed to start, or why it stopped.
 #[derive(Debug, Error)]
 pub enum RunError {
     /// One of the listening addresses can't be bound.
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -143,7 +143,7 @@
     pub value_kb: f64,
     /// Maximum number of mutations in one transaction.
     pub txn_ops: usize,
-    /// The limits that will apply from a later time, which is not announced.
+    /// The limits that will apply later. The time of the change is not announced.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub next: Option<UpcomingLimits>,
 }
--- a/src/storage/keys.rs
+++ b/src/storage/keys.rs
@@ -34,18 +34,18 @@
     format!("{FINAL_JOBS}{id}")
 }
 
-/// Prefix of the shard's leadership record and of its delegations, so that one watch covers both.
+/// Prefix of the shard's leader record and of its delegations, so that one watch covers both.
 pub fn leader_prefix() -> String {
     format!("o/{SHARD}/")
 }
 
-/// Key of the shard's leadership record, which is attached to the leader's lease.
+/// Key of the shard's leader record, which is attached to the leader's lease.
 pub fn leader() -> String {
     format!("o/{SHARD}/owner")
 }
 
 /// Key of the delegation to a controller that workers reach while they can't reach the leader. It
-/// shares a prefix with the leadership record, so that one read returns both.
+/// shares a prefix with the leader record, so that one read returns both.
 pub fn delegate(node_id: &str) -> String {
     format!("o/{SHARD}/keep/{node_id}")
 }
@@ -60,7 +60,7 @@
     format!("k/{SHARD}/{node_id}/{page:04}")
 }
 
-/// Key of the shard's sequence number.
+/// Key of the shard's sequence record.
 pub fn sequence() -> String {
     format!("s/{SHARD}/seq")
 }
--- a/src/storage/kv_client/error.rs
+++ b/src/storage/kv_client/error.rs
@@ -65,7 +65,7 @@
         /// The answer's status and body.
         answer: String,
     },
-    /// The store's protocol has no such status for the answer.
+    /// The answer has a status that the store's protocol doesn't provide for this request.
     #[error("{request} had an unexpected answer: {answer}")]
     UnexpectedAnswer {
         /// The request.
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -14,8 +14,8 @@
 /// The only shard so far: every key of a shard's state carries its number.
 pub const SHARD: u32 = 0;
 
-/// Version of the record formats that this program writes. Since 2 the roster is kept in pages,
-/// and final job records have a prefix of their own beside that of the open ones.
+/// Version of the record formats that this program writes. Since version 2, the roster is kept in
+/// pages, and final job records have a key prefix of their own beside that of the open ones.
 pub const FORMAT_VERSION: u32 = 2;
 
 /// Limits on the names in a final record, in bytes. They are applied in this order until the record
@@ -28,7 +28,7 @@
     /// The version of its format.
     #[serde(rename = "v")]
     pub format_version: u32,
-    /// Time of day at which the job was accepted, in milliseconds since 1970.
+    /// Wall-clock time at which the job was accepted, in milliseconds since 1970.
     #[serde(rename = "at_ms")]
     pub accepted_at_ms: u64,
     /// The job's description.
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Shortens the record until it takes at most `value_bytes`, a limit that may have been
+    /// Shortens the record, if possible to at most `value_bytes`, a limit that may have been
     /// lowered since the job was accepted. The resources of its tasks are kept; the list of
     /// machine types is dropped, since no task starts any more, and long names are truncated.
     pub fn shortened_to(mut self, value_bytes: usize) -> Self {
@@ -91,7 +91,7 @@
     text.truncate(end.unwrap_or(0));
 }
 
-/// The shard's leadership record. The store revision at which it was written is the leader's
+/// The shard's leader record. The store revision at which it was written is the leader's
 /// fencing token.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
@@ -109,8 +109,8 @@
     pub incarnation: u64,
 }
 
-/// Permits a controller, the delegate, to renew the leases of workers that can't reach the
-/// leader with this fencing token.
+/// Permits a controller, the delegate, to renew leases with the leader's fencing token, for workers
+/// that can't reach the leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DelegateRecord {
     /// The version of its format.
@@ -207,7 +207,7 @@
     /// The version of its format.
     #[serde(rename = "v")]
     pub format_version: u32,
-    /// The request. A new leader repeats it under the same name.
+    /// The request. A new leader repeats it with the same idempotency key.
     pub rental: Rental,
 }
 
@@ -220,7 +220,7 @@
     /// The number of workers whose heartbeats reach the controller.
     #[serde(rename = "workers")]
     pub reachable_workers: u32,
-    /// Time of day at which the workers were counted, in milliseconds since 1970.
+    /// Wall-clock time at which the workers were counted, in milliseconds since 1970.
     #[serde(rename = "at_ms")]
     pub counted_at_ms: u64,
 }
--- a/src/storage/snapshot.rs
+++ b/src/storage/snapshot.rs
@@ -1,8 +1,9 @@
 //! The encoding of the shard's snapshot: which tasks of each open job are done, and on which
 //! machines the other tasks were last placed.
 //!
-//! Jobs are spread by a hash of their ids over chunks, each one value of the store, so that a
-//! change of one job rewrites only one chunk. A job that is too large for one entry has several.
+//! Jobs are spread by a hash of their ids over buckets. Each bucket is divided into chunks, each
+//! one value of the store, so that a change of one job rewrites only chunks of one bucket. A job
+//! that is too large for one entry has several.
 
 use std::collections::BTreeMap;
 
--- a/src/transport/connection_limit.rs
+++ b/src/transport/connection_limit.rs
@@ -71,8 +71,8 @@
     type Addr = SocketAddr;
 
     async fn accept(&mut self) -> (Self::Io, Self::Addr) {
-        // The semaphore is never closed, so there always is a permit. Without one the connection
-        // would merely not be counted.
+        // The semaphore is never closed, so this always returns a permit in the end. Without one
+        // the connection would merely not be counted.
         let permit = self.limit.permits.clone().acquire_owned().await.ok();
         let (stream, addr) = Listener::accept(&mut self.listener).await;
         // Disables Nagle's algorithm, so that small answers are sent without delay.
