--- a/src/coordination/peering/delegation/leader.rs
+++ b/src/coordination/peering/delegation/leader.rs
@@ -19,7 +19,7 @@
 
 /// Tells the shard until when other controllers may have renewed workers' leases by advance
 /// delegations.
-pub(in super::super) fn update_last_delegated_renewal(node: &Arc<Node>) {
+pub(in super::super) fn update_last_advance_renewal(node: &Arc<Node>) {
     let Some(lease) = node.live_lease() else {
         return;
     };
--- a/src/coordination/peering/delegation/mod.rs
+++ b/src/coordination/peering/delegation/mod.rs
@@ -14,5 +14,5 @@
 mod reachability_records;
 
 pub use self::delegate::serve_delegated_workers;
-pub(super) use self::leader::{update_delegations, update_last_delegated_renewal};
+pub(super) use self::leader::{update_delegations, update_last_advance_renewal};
 pub(super) use self::reachability_records::{publish_reachability, workers_reachable_elsewhere};
--- a/src/coordination/peering/heartbeat.rs
+++ b/src/coordination/peering/heartbeat.rs
@@ -130,7 +130,7 @@
         if let Some(fencing_token) = answer.fencing_token {
             renew_advance_delegation(&mut state, fencing_token, sent);
         }
-        record_last_delegated_renewal(&mut state, &answer, sent, sent_token, now);
+        record_last_advance_renewal(&mut state, &answer, sent, sent_token, now);
     }
     record_heartbeat(node, answer);
 }
@@ -147,7 +147,7 @@
 
 /// Records until when a peer may have renewed workers' leases by an advance delegation, as its
 /// answer states. For a while after it received this leader's token, the peer renews none.
-fn record_last_delegated_renewal(
+fn record_last_advance_renewal(
     state: &mut NodeState,
     answer: &PeerHeartbeat,
     sent: Instant,
--- a/src/coordination/peering/mod.rs
+++ b/src/coordination/peering/mod.rs
@@ -44,7 +44,7 @@
         cancellations::query_all(&node);
         refresh_job_index(&node);
         tokio::time::sleep(ROUND_INTERVAL).await;
-        delegation::update_last_delegated_renewal(&node);
+        delegation::update_last_advance_renewal(&node);
         delegation::publish_reachability(&node).await;
         delegation::update_delegations(&node).await;
         handover.step_down_if_ineligible(&node).await;
