--- a/src/coordination/leadership/candidacy.rs
+++ b/src/coordination/leadership/candidacy.rs
@@ -27,7 +27,7 @@
     pub fn campaign_blocked_until(&self) -> Option<Instant> {
         let now = self.now();
         let state = self.lock();
-        let earlier_process_vote_until = (!state.candidacy.previous_incarnation_ended)
+        let earlier_process_vote_until = (!state.candidacy.earlier_incarnation_led)
             .then_some(self.started + MAX_LEASE_EXTENSION);
         state
             .candidacy
--- a/src/coordination/leadership/election.rs
+++ b/src/coordination/leadership/election.rs
@@ -93,7 +93,7 @@
             RecordHolder::EarlierIncarnation { lease } => {
                 info!(lease, "revoking the lease of this node's earlier process");
                 node.clients.kv.revoke_lease(lease, KV_DEADLINE).await?;
-                node.lock().candidacy.previous_incarnation_ended = true;
+                node.lock().candidacy.earlier_incarnation_led = true;
             }
             RecordHolder::ThisProcess { lease } => {
                 node.clients.kv.revoke_lease(lease, KV_DEADLINE).await?;
--- a/src/coordination/node/state.rs
+++ b/src/coordination/node/state.rs
@@ -121,7 +121,7 @@
     pub latest_fencing_token: FencingToken,
     /// Whether the leader record that this process found was that of an earlier process of this
     /// controller. As that process led the shard itself, no leader holds its lease by its vote.
-    pub previous_incarnation_ended: bool,
+    pub earlier_incarnation_led: bool,
     /// Until when this node must not campaign, by the extension that it granted.
     pub extension_granted_until: Option<Instant>,
     /// Until when this node should leave the shard to other controllers, since it didn't reach
