--- a/src/coordination/node/admission.rs
+++ b/src/coordination/node/admission.rs
@@ -48,7 +48,7 @@
 impl AdmissionLimits {
     pub(super) fn new(settings: &Settings) -> Self {
         let sockets = settings.platform.settings.resources.max_connections;
-        let write_rate = settings.platform.settings.kv.planned().write_rps;
+        let write_rate = settings.platform.settings.kv.strictest().write_rps;
         Self {
             commands: Semaphore::new(MIN_COMMANDS.max(sockets * COMMAND_SOCKETS_PERCENT / 100)),
             probes: Semaphore::new(MIN_PROBES.max(sockets * PROBE_SOCKETS_PERCENT / 100)),
@@ -61,6 +61,6 @@
 /// controllers together stay within their share of the store's request rate.
 pub(super) fn catch_up_interval(settings: &Settings) -> Duration {
     let controllers = settings.platform.others.len() as f64 + 1.0;
-    let rate = settings.platform.settings.kv.planned().rps * CATCH_UP_SHARE / controllers;
+    let rate = settings.platform.settings.kv.strictest().rps * CATCH_UP_SHARE / controllers;
     Duration::from_secs_f64((1.0 / rate).min(MAX_CATCH_UP_INTERVAL_S)).max(MIN_CATCH_UP_INTERVAL)
 }
--- a/src/coordination/node/mod.rs
+++ b/src/coordination/node/mod.rs
@@ -93,7 +93,7 @@
     /// The largest value, in bytes, that the store accepts under its current limits and under the
     /// announced ones.
     pub fn value_bytes(&self) -> usize {
-        self.settings.platform.settings.kv.planned().value_bytes()
+        self.settings.platform.settings.kv.strictest().value_bytes()
     }
 
     /// The client for workers that suits the number of workers which send heartbeats to this
--- a/src/coordination/shard/policy.rs
+++ b/src/coordination/shard/policy.rs
@@ -105,7 +105,7 @@
     /// Derives the policy from the settings.
     pub fn new(settings: &Settings) -> Self {
         let platform = &settings.platform.settings;
-        let kv_limits = platform.kv.planned();
+        let kv_limits = platform.kv.strictest();
         let operator = &settings.operator;
         Self {
             node_id: settings.platform.node_id.clone(),
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -168,7 +168,7 @@
 impl KvLimits {
     /// Returns the limits to comply with: the lower of the current and the upcoming value of each,
     /// since the time of the change is not announced.
-    pub fn planned(&self) -> Self {
+    pub fn strictest(&self) -> Self {
         let next = self.next.clone().unwrap_or_default();
         let lower = |now: f64, next: Option<f64>| next.map_or(now, |next| next.min(now));
         Self {
--- a/src/settings/platform/tests.rs
+++ b/src/settings/platform/tests.rs
@@ -24,10 +24,10 @@
     };
     let platform =
         parse_with_next_limits(r#"{"value_kb":2,"txn_ops":4,"rps":900}"#).expect("valid limits");
-    let planned = platform.settings.kv.planned();
-    assert_eq!((planned.value_bytes(), planned.txn_ops), (2048, 4));
+    let strictest = platform.settings.kv.strictest();
+    assert_eq!((strictest.value_bytes(), strictest.txn_ops), (2048, 4));
     assert_eq!(
-        (planned.rps, planned.write_rps),
+        (strictest.rps, strictest.write_rps),
         (80.0, 25.0),
         "the lower limit applies"
     );
