--- a/src/coordination/peering/handover.rs
+++ b/src/coordination/peering/handover.rs
@@ -72,7 +72,7 @@
 impl Handover {
     /// Ends this controller's leadership if it reaches too few workers, or if a controller in
     /// the main zone can lead instead.
-    pub(super) async fn step_down_if_ineligible(&mut self, node: &Arc<Node>) {
+    pub(super) async fn step_down_if_needed(&mut self, node: &Arc<Node>) {
         self.low_reachability_rounds = match worker_reachability(node).await {
             WorkerReachability::Sufficient => 0,
             WorkerReachability::Lower => self.low_reachability_rounds + 1,
--- a/src/coordination/peering/mod.rs
+++ b/src/coordination/peering/mod.rs
@@ -47,7 +47,7 @@
         delegation::update_last_advance_renewal(&node);
         delegation::publish_reachability(&node).await;
         delegation::update_delegations(&node).await;
-        handover.step_down_if_ineligible(&node).await;
+        handover.step_down_if_needed(&node).await;
         eligibility::probe_unreachable_workers(&node).await;
     }
 }
