--- a/src/api/peer.rs
+++ b/src/api/peer.rs
@@ -43,7 +43,7 @@
         return PeerAnswer::Unreadable;
     };
     let response = requests::answer(node, request, RequestOrigin::Peer).await;
-    PeerAnswer::Answer {
+    PeerAnswer::ForwardedResponse {
         status: response.status,
         body: response.body,
     }
--- a/src/coordination/requests/forwarding.rs
+++ b/src/coordination/requests/forwarding.rs
@@ -43,7 +43,7 @@
 
 async fn forward(node: &Node, peer: &Peer, request: &UserRequest) -> Option<UserResponse> {
     match peering::call_peer(node, peer, &request.to_forward_frame(), FORWARD_DEADLINE).await? {
-        PeerAnswer::Answer { status, body } => {
+        PeerAnswer::ForwardedResponse { status, body } => {
             let response = UserResponse { status, body };
             (!response.is_unavailable()).then_some(response)
         }
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -84,7 +84,7 @@
         granted: bool,
     },
     /// The response to a forwarded user request.
-    Answer {
+    ForwardedResponse {
         /// The HTTP status of the response.
         status: u16,
         /// The body of the response.
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -103,7 +103,7 @@
         let read = PeerRequest::decode(&recorded).expect("a request");
         assert_eq!(format!("{read:?}"), format!("{request:?}"));
     }
-    let answer = PeerAnswer::Answer {
+    let answer = PeerAnswer::ForwardedResponse {
         status: 200,
         body: b"{}".to_vec(),
     };
