--- a/src/coordination/cloud/polling.rs
+++ b/src/coordination/cloud/polling.rs
@@ -59,7 +59,7 @@
 /// Reads the list of rented machines periodically until the lease ends. The list may lag behind
 /// rentals and deletions by up to `list_lag_s` of the platform's settings. The pause between two
 /// reads is half of that time, but no less than 2 seconds and no more than 10 seconds.
-pub async fn watch_machine_list(node: Arc<Node>, lease: Arc<ShardLease>) {
+pub async fn poll_machine_list(node: Arc<Node>, lease: Arc<ShardLease>) {
     let list_lag_s = node.settings.platform.settings.cloud.list_lag_s;
     let interval_s = (list_lag_s / 2.0).clamp(MIN_LIST_INTERVAL_S, MAX_LIST_INTERVAL_S);
     let interval = Duration::from_secs_f64(interval_s);
--- a/src/coordination/leadership/leader_loop.rs
+++ b/src/coordination/leadership/leader_loop.rs
@@ -54,7 +54,7 @@
     // Both tasks spawned here end when the lease has ended.
     let watch = job_watch::watch_jobs(node.clone(), lease.clone(), recovery.jobs_revision);
     tokio::spawn(watch);
-    tokio::spawn(polling::watch_machine_list(node.clone(), lease.clone()));
+    tokio::spawn(polling::poll_machine_list(node.clone(), lease.clone()));
     decide_until_ended(node, &lease).await;
     node.lock().leadership = None;
     info!(fencing_token = %lease.fencing_token, "leadership ended");
