--- a/src/coordination/shard/autoscaler/backoff/tests.rs
+++ b/src/coordination/shard/autoscaler/backoff/tests.rs
@@ -3,7 +3,7 @@
 /// Found at full size with eighteen kinds of machines: the cheap kinds had no capacity left, and
 /// requesting them again every 15 s left no time to request the other kinds.
 #[test]
-fn the_backoff_doubles_with_each_consecutive_shortage() {
+fn the_backoff_doubles_with_each_consecutive_shortage_up_to_a_maximum() {
     let start = Instant::now();
     let first_backoff = Duration::from_secs(15);
     let kind = MachineKind {
--- a/src/coordination/shard/autoscaler/boot_times/tests.rs
+++ b/src/coordination/shard/autoscaler/boot_times/tests.rs
@@ -9,8 +9,8 @@
     }
 }
 
-/// Sets the overdue machines to one machine of the pool [`north_pool`] per ratio, all rented at
-/// `rented`.
+/// Replaces the list of overdue machines: for each ratio one machine of the pool [`north_pool`],
+/// all rented at `rented`.
 fn set_overdue(boots: &mut BootTimes, ratios: &[f64], rented: Instant, now: Instant) {
     let overdue = ratios.iter().map(|ratio| OverdueBoot {
         pool: north_pool(),
@@ -62,8 +62,8 @@
     );
 }
 
-/// Found in a recorded day: overdue machines that were rented while boots took twenty times as
-/// long still delayed new machines after the incident had ended.
+/// Found in a recorded day: during an incident, boots took twenty times as long as usual. Machines
+/// that were rented then and stayed overdue still delayed new machines after the incident.
 #[test]
 fn a_machine_rented_later_that_boots_in_time_ends_the_incident() {
     let mut boots = BootTimes::default();
--- a/src/coordination/shard/tests/autoscaling.rs
+++ b/src/coordination/shard/tests/autoscaling.rs
@@ -23,9 +23,10 @@
 }
 
 /// Found in runs without faults: scale-in drained machines until the remaining ones were full of
-/// services, and each new service then waited for a machine to boot.
+/// services, and each new service then waited for a machine to boot. Scale-in therefore keeps the
+/// forecast cores free.
 #[test]
-fn drain_leaves_capacity_for_expected_services() {
+fn cores_for_expected_services_are_forecast_unless_capacity_is_held_for_quotas() {
     let mut script = ScriptedShard::without_quotas();
     script.submit("run-0", spec("red", 1.0, 50));
     assert_eq!(
@@ -46,7 +47,7 @@
         script.advance(Duration::from_secs(10));
     }
     // One task arrives every 5 s, and a slow boot takes 20 s: the forecast is 4 tasks plus the
-    // square root of that.
+    // square root of 4.
     let forecast_cores = script
         .shard
         .autoscaler_view()
--- a/src/coordination/shard/tests/combined_faults.rs
+++ b/src/coordination/shard/tests/combined_faults.rs
@@ -150,9 +150,9 @@
     );
 }
 
-/// A stop command is delayed for seconds while its machine keeps sending heartbeats. The stop may
-/// never arrive, so each heartbeat answer repeats it: that answer renews the lease under which the
-/// task runs.
+/// A stop command is delayed for seconds while its machine keeps sending heartbeats. Each heartbeat
+/// answer renews the lease under which the task runs, and therefore repeats the stop, which may
+/// otherwise never arrive.
 #[test]
 fn a_stop_in_flight_is_repeated_in_heartbeat_answers() {
     let mut script = ScriptedShard::empty();
--- a/src/coordination/shard/tests/delegations.rs
+++ b/src/coordination/shard/tests/delegations.rs
@@ -141,8 +141,8 @@
         lease + ADVANCE_DELEGATION - second,
         None
     ));
-    // Under the new fencing token: a controller renewed leases in advance until `later`, and may
-    // still be renewing them.
+    // Under the new fencing token: a controller renewed leases under an advance delegation
+    // until `later`, and may still be renewing them.
     let later = lease + ADVANCE_DELEGATION + second;
     assert!(is_unreconciled_at(&mut script, later, Some(later)));
     assert!(is_unreconciled_at(
--- a/src/coordination/shard/tests/failing_jobs.rs
+++ b/src/coordination/shard/tests/failing_jobs.rs
@@ -1,5 +1,5 @@
 //! Failures of tasks: the shard distinguishes faulty jobs, which fail on every machine, from faulty
-//! machines, on which healthy jobs fail.
+//! machines, on which sound jobs fail.
 
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
     id: &str,
     behavior: &TaskBehavior,
 ) -> WorkerHeartbeat {
-    // Ended attempts that may be cleared are cleared before the next heartbeat.
+    // Ended attempts are left out, as if the worker had already cleared them.
     let attempts = script.machine(id).attempts.iter();
     let listed = attempts.filter(|(_, attempt)| !attempt.ended());
     let tasks: Vec<TaskStatus> = listed
@@ -71,6 +71,7 @@
     launched
 }
 
+/// Jobs whose ids begin with `run-9` fail on every machine; all other jobs run.
 fn fails_everywhere(job: &str, _: &str) -> TaskState {
     if job.starts_with("run-9") {
         TaskState::Ended
@@ -109,7 +110,7 @@
     }
     // Each of the 24 tasks starts, and starts once more on another machine. After that, two tasks
     // start per retry, after a backoff that doubles up to 75 s: at most seven retries fit into the
-    // first minutes.
+    // first 90 s.
     assert!((24..=62).contains(&launches[0]), "{launches:?}");
     assert!((2..=6).contains(&launches[2]), "{launches:?}");
     assert!((2..=6).contains(&launches[3]), "{launches:?}");
@@ -136,7 +137,7 @@
 }
 
 #[test]
-fn a_machine_that_fails_healthy_jobs_is_quarantined_and_deleted() {
+fn a_machine_that_fails_sound_jobs_is_quarantined_and_deleted() {
     let mut script = shard_with_machines(&MACHINES);
     let fails_on_vm_1 = |_: &str, machine: &str| match machine {
         "vm-1" => TaskState::Ended,
@@ -163,7 +164,7 @@
     run_one_second(&mut script, &MACHINES, &fails_on_vm_1);
     assert!(
         script.machine("vm-1").is_deleting(),
-        "healthy jobs failed on vm-1"
+        "sound jobs failed on vm-1"
     );
 }
 
--- a/src/coordination/shard/tests/failover.rs
+++ b/src/coordination/shard/tests/failover.rs
@@ -8,8 +8,8 @@
 use crate::coordination::shard::{CommandOutcome, RecoveredState, UnfinishedJob};
 use crate::protocol::workers::Command;
 
-/// The tasks of a job that an earlier leader knew may run on any unreconciled machine of the
-/// roster, so the new leader does not start them before all machines are reconciled.
+/// A job that an earlier leader knew may have tasks on any unreconciled machine of the roster, so
+/// the new leader starts none of them before all machines are reconciled.
 #[test]
 fn old_jobs_wait_until_every_machine_is_reconciled() {
     let mut script = ScriptedShard::new(RecoveredState {
--- a/src/coordination/shard/tests/fixtures.rs
+++ b/src/coordination/shard/tests/fixtures.rs
@@ -17,8 +17,9 @@
 pub(super) const WORKER_LEASE: Duration = Duration::from_secs(27);
 /// The longest time that a task may run after its job's cancellation is confirmed to the user.
 pub(super) const CANCELLATION_BOUND: Duration = Duration::from_secs(52);
-/// How long controllers may renew worker leases in advance, without reaching the leader. The sum of
-/// this and [`WORKER_LEASE`] stays below [`CANCELLATION_BOUND`].
+/// How long a controller that does not reach the leader may renew worker leases, under a delegation
+/// that the leader granted in advance. The sum of this and [`WORKER_LEASE`] stays below
+/// [`CANCELLATION_BOUND`].
 pub(super) const ADVANCE_DELEGATION: Duration = Duration::from_secs(24);
 /// How long a ready task of a gang waits for the gang's other tasks to be ready.
 pub(super) const GANG_WAIT: Duration = Duration::from_secs(30);
--- a/src/coordination/shard/tests/gangs/attempts.rs
+++ b/src/coordination/shard/tests/gangs/attempts.rs
@@ -97,8 +97,8 @@
         [],
         "the other task may still run"
     );
-    let stop = script.machine(&surviving).attempts.values().next();
-    assert_eq!(stop.and_then(|a| a.stop_grace()), Some(Duration::ZERO));
+    let attempt = script.machine(&surviving).attempts.values().next();
+    assert_eq!(attempt.and_then(|a| a.stop_grace()), Some(Duration::ZERO));
     script.advance(seconds(1));
     script.execute_stops();
     script.report_all_ended(&surviving, AttemptOutcome::GangPeerLost);
--- a/src/coordination/shard/tests/gangs/failover.rs
+++ b/src/coordination/shard/tests/gangs/failover.rs
@@ -143,7 +143,8 @@
     script.heartbeat("vm-2", vec![ended]);
 }
 
-/// Lets time pass until the lease of the other task's machine expires without a heartbeat of it.
+/// Lets time pass until the lease of the other task's machine expires; that machine sends no
+/// heartbeat.
 fn expire_the_other_lease(script: &mut ScriptedShard) {
     let expiry = script.machine("vm-2").lease.expires_at();
     while script.now <= expiry {
--- a/src/coordination/shard/tests/gangs/faults.rs
+++ b/src/coordination/shard/tests/gangs/faults.rs
@@ -145,8 +145,8 @@
     );
 }
 
-/// A machine hangs that runs one task of a gang. The other task notices and exits. The task on the
-/// hanging machine may continue at any time, so that no other attempt starts; when the task
+/// A machine that runs one task of a gang hangs, and the other task notices and exits. The task on
+/// the hanging machine may continue at any time, so no other attempt starts; when the task
 /// continues, it is stopped.
 #[test]
 fn a_gang_with_a_task_on_a_hanging_machine_is_not_restarted() {
@@ -169,9 +169,9 @@
     // The machine continues, and lists its task as running.
     let heartbeat = script.heartbeat_with_all(&hanging, TaskState::Running, None);
     script.receive(&heartbeat);
-    let stop = script.machine(&hanging).attempts.values().next();
+    let attempt = script.machine(&hanging).attempts.values().next();
     assert_eq!(
-        stop.and_then(|attempt| attempt.stop_grace()),
+        attempt.and_then(|attempt| attempt.stop_grace()),
         Some(Duration::ZERO)
     );
     assert_eq!(script.shard.jobs()["run-1"].live().len(), 1);
--- a/src/coordination/shard/tests/heartbeats.rs
+++ b/src/coordination/shard/tests/heartbeats.rs
@@ -9,7 +9,7 @@
 use crate::protocol::MachineId;
 
 /// A heartbeat that a worker sent before it executed a launch arrives after the answer to that
-/// launch: that it does not list the task does not mean that the task is lost.
+/// launch. The heartbeat does not list the task, but the task is not lost.
 #[test]
 fn a_heartbeat_with_an_older_sequence_changes_nothing() {
     let mut script = ScriptedShard::empty();
--- a/src/coordination/shard/tests/leader_pause.rs
+++ b/src/coordination/shard/tests/leader_pause.rs
@@ -11,7 +11,7 @@
 const MACHINES: [&str; 6] = ["vm-1", "vm-2", "vm-3", "vm-4", "vm-5", "vm-6"];
 
 /// A shard whose machines are each filled by one task.
-fn full_machines() -> ScriptedShard {
+fn shard_with_full_machines() -> ScriptedShard {
     let mut script = ScriptedShard::empty();
     for id in MACHINES.iter().chain(&MACHINES) {
         script.heartbeat(id, Vec::new());
@@ -32,7 +32,7 @@
 #[test]
 fn a_paused_leader_counts_no_machine_as_unreachable() {
     for seconds in [3, 14, 20] {
-        let mut script = full_machines();
+        let mut script = shard_with_full_machines();
         script.advance(Duration::from_secs(seconds));
         // Timers that are overdue after the pause fire together.
         for _ in 0..5 {
@@ -56,8 +56,8 @@
 /// After a pause longer than the leases, tasks may have been restarted on other machines. A task
 /// that a machine still lists from before the pause is stopped or counted, and never runs twice.
 #[test]
-fn after_a_pause_longer_than_the_leases_running_tasks_are_counted_once() {
-    let mut script = full_machines();
+fn after_a_pause_longer_than_the_leases_an_ended_agent_epoch_gets_no_tasks() {
+    let mut script = shard_with_full_machines();
     let statuses: Vec<_> = MACHINES
         .iter()
         .map(|id| {
--- a/src/coordination/shard/tests/scale/cluster.rs
+++ b/src/coordination/shard/tests/scale/cluster.rs
@@ -105,7 +105,7 @@
         self.execute_actions();
     }
 
-    /// Reconciles and executes actions until the shard decides no more: workers execute and answer
+    /// Reconciles and executes actions until no action is left: workers execute and answer
     /// commands, and the store applies writes and checks that they are within the limits.
     pub(super) fn execute_actions(&mut self) {
         self.script.shard.reconcile(self.script.now);
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Executes actions until the shard decides no more, while only some machines answer commands.
+    /// Executes actions until no action is left, while only some machines answer commands.
     /// The cloud does not carry out deletions; returns the number of machines to be deleted.
     pub(super) fn execute_actions_where_reachable(
         &mut self,
--- a/src/coordination/shard/tests/scale_in.rs
+++ b/src/coordination/shard/tests/scale_in.rs
@@ -8,7 +8,7 @@
 use crate::coordination::shard::{Action, Policy, RecoveredState};
 use crate::protocol::users::{JobSpec, JobStage};
 
-/// Lets time pass while vm-1 sends heartbeats without tasks each second, until its deletion begins.
+/// Lets time pass. Each second vm-1 sends a heartbeat without tasks, unless it is being deleted.
 fn idle_for(script: &mut ScriptedShard, seconds: u64) {
     for _ in 0..seconds {
         script.advance(Duration::from_secs(1));
--- a/src/coordination/shard/tests/scripted_shard.rs
+++ b/src/coordination/shard/tests/scripted_shard.rs
@@ -109,8 +109,8 @@
 
 /// Events.
 impl ScriptedShard {
-    /// Lets the shard decide until it decides nothing more. Writes are applied at once; other
-    /// actions are kept in `actions`.
+    /// Lets the shard reconcile until no action is left. Writes are applied at once; other actions
+    /// are kept in `actions`.
     pub(super) fn reconcile(&mut self) {
         self.shard.reconcile(self.now);
         loop {
--- a/src/coordination/shard/tests/scripted_workers.rs
+++ b/src/coordination/shard/tests/scripted_workers.rs
@@ -49,7 +49,7 @@
         self.reconcile();
     }
 
-    /// A heartbeat in which all attempts that the shard has recorded for a machine run.
+    /// A heartbeat that lists as running all attempts that the shard has recorded for a machine.
     pub(super) fn running_heartbeat(&mut self, id: &str) -> WorkerHeartbeat {
         let attempts = self.machine(id).attempts.keys();
         let tasks = attempts
--- a/src/coordination/shard/tests/simulation/mod.rs
+++ b/src/coordination/shard/tests/simulation/mod.rs
@@ -5,7 +5,8 @@
 //!
 //! [`Simulation::run`] advances the time step by step and checks the rules as it goes. Tests
 //! inject faults between calls of it and read [`Simulation::violations`] at the end. The simulation
-//! looks into the shard only to check its counters.
+//! reads the state of the shard only to check its counters, and to drop answers to commands for
+//! which the shard no longer waits.
 
 mod cloud;
 mod delivery;
--- a/src/coordination/shard/tests/simulation/network.rs
+++ b/src/coordination/shard/tests/simulation/network.rs
@@ -77,8 +77,8 @@
         sent: Instant,
         heartbeat: WorkerHeartbeat,
     },
-    /// A second copy of a heartbeat, which arrives one second to well over the duration of a lease
-    /// late. The answer to it reaches no worker.
+    /// A second copy of a heartbeat, which is delayed by at least one second and at most well over
+    /// the duration of a lease. The answer to it reaches no worker.
     DuplicateHeartbeat(WorkerHeartbeat),
     HeartbeatAnswer(HeartbeatAnswer),
     Commands(CommandBatch),
--- a/src/coordination/shard/tests/simulation/rules.rs
+++ b/src/coordination/shard/tests/simulation/rules.rs
@@ -56,12 +56,13 @@
     }
 
     fn active_tasks(&self) -> Vec<ActiveTask<'_>> {
-        let is_active =
-            |state: &WorkerTask| matches!(state.state, TaskState::Running | TaskState::Waiting);
+        let is_active = |worker_task: &WorkerTask| {
+            matches!(worker_task.state, TaskState::Running | TaskState::Waiting)
+        };
         let workers = self.workers.values().filter(|worker| !worker.is_dead);
         workers
             .flat_map(|worker| worker.tasks.iter().map(move |task| (worker, task)))
-            .filter(|(_, (_, state))| is_active(state))
+            .filter(|(_, (_, worker_task))| is_active(worker_task))
             .map(|(worker, ((task, _), _))| ActiveTask { task, worker })
             .collect()
     }
--- a/src/coordination/shard/tests/simulation/worker.rs
+++ b/src/coordination/shard/tests/simulation/worker.rs
@@ -98,7 +98,8 @@
     pub(super) next_heartbeat: Instant,
     /// By task and attempt number.
     pub(super) tasks: BTreeMap<(TaskId, u64), WorkerTask>,
-    /// The time until which all messages to and from the worker are held back.
+    /// The time until which the worker's heartbeats, the answers to them and commands to the worker
+    /// are held back.
     pub(super) partitioned_until: Option<Instant>,
     pub(super) advance_delegation: Option<AdvanceDelegation>,
     /// The time until which the worker process does nothing.
@@ -134,11 +135,11 @@
 
     pub(super) fn heartbeat(&mut self) -> WorkerHeartbeat {
         self.sequence += 1;
-        let status = |((task, attempt), state): (&(TaskId, u64), &WorkerTask)| TaskStatus {
+        let status = |((task, attempt), worker_task): (&(TaskId, u64), &WorkerTask)| TaskStatus {
             task: task.clone(),
             attempt: *attempt,
-            state: state.state,
-            outcome: state.outcome,
+            state: worker_task.state,
+            outcome: worker_task.outcome,
         };
         WorkerHeartbeat {
             machine: self.id.clone(),
@@ -183,16 +184,18 @@
         match command {
             Command::Launch { task, attempt } => self.launch(task, *attempt, times, now),
             Command::Stop { task, attempt, .. } => {
-                let state = self.tasks.get_mut(&(task.clone(), *attempt));
-                if let Some(state) = state.filter(|state| state.state != TaskState::Ended) {
-                    state.end(AttemptOutcome::Stopped);
+                let worker_task = self.tasks.get_mut(&(task.clone(), *attempt));
+                if let Some(worker_task) =
+                    worker_task.filter(|worker_task| worker_task.state != TaskState::Ended)
+                {
+                    worker_task.end(AttemptOutcome::Stopped);
                     self.next_heartbeat = now;
                 }
             }
             Command::Clear { task, attempt } => {
                 let key = (task.clone(), *attempt);
-                let state = self.tasks.get(&key);
-                if state.is_some_and(|state| state.state == TaskState::Ended) {
+                let worker_task = self.tasks.get(&key);
+                if worker_task.is_some_and(|worker_task| worker_task.state == TaskState::Ended) {
                     self.tasks.remove(&key);
                 }
             }
@@ -204,7 +207,7 @@
         if self.tasks.contains_key(&key) {
             return;
         }
-        let mut state = WorkerTask {
+        let mut worker_task = WorkerTask {
             state: TaskState::Fetching,
             outcome: None,
             fetched_at: now + times.fetch,
@@ -212,10 +215,12 @@
             incomplete_since: now,
         };
         let mut attempts = self.tasks.iter();
-        if attempts.any(|((other, _), state)| other == task && state.state != TaskState::Ended) {
-            state.end(AttemptOutcome::Busy);
+        if attempts
+            .any(|((other, _), existing)| other == task && existing.state != TaskState::Ended)
+        {
+            worker_task.end(AttemptOutcome::Busy);
         }
-        self.tasks.insert(key, state);
+        self.tasks.insert(key, worker_task);
         self.next_heartbeat = now;
     }
 
@@ -244,8 +249,8 @@
     /// Advances all tasks by one step; returns those that have started.
     pub(super) fn advance_tasks(&mut self, truth: &mut GroundTruth, now: Instant) -> Vec<TaskId> {
         let mut started = Vec::new();
-        for ((task, _), state) in &mut self.tasks {
-            let transition = state.advance(task, truth, now);
+        for ((task, _), worker_task) in &mut self.tasks {
+            let transition = worker_task.advance(task, truth, now);
             if transition != Transition::None {
                 self.next_heartbeat = now;
             }
@@ -287,12 +292,12 @@
         }
         self.fencing_token = delegation.fencing_token;
         self.lease_renewed_at = now;
-        for ((task, _), state) in &mut self.tasks {
+        for ((task, _), worker_task) in &mut self.tasks {
             let cancelled_at = truth.cancelled_at.get(&*task.job);
             let is_before_partition =
                 |at: &Instant| *at + ADVANCE_DELEGATION <= delegation.expires_at;
-            if cancelled_at.is_some_and(is_before_partition) && state.outcome.is_none() {
-                state.end(AttemptOutcome::Stopped);
+            if cancelled_at.is_some_and(is_before_partition) && worker_task.outcome.is_none() {
+                worker_task.end(AttemptOutcome::Stopped);
             }
         }
         Some(delegation.fencing_token)
--- a/src/coordination/shard/tests/simulation/workers.rs
+++ b/src/coordination/shard/tests/simulation/workers.rs
@@ -126,8 +126,9 @@
         }
     }
 
-    /// Partitions a machine for a duration, which holds back the messages to and from it. With a
-    /// probability of one half, the leader has delegated the renewal of its lease in advance.
+    /// Partitions a machine for a duration, which holds back its heartbeats, the answers to them
+    /// and commands to it. With a probability of one half, the leader has delegated the renewal of
+    /// its lease in advance.
     pub(crate) fn partition(&mut self, id: &str, duration: Duration) {
         let is_delegated = self.rng.random_bool(0.5);
         let fencing_token = is_delegated.then_some(self.store.leader_token);
--- a/src/coordination/shard/tests/slow_boots.rs
+++ b/src/coordination/shard/tests/slow_boots.rs
@@ -106,7 +106,7 @@
         }
     }
     assert_eq!(cluster.script.shard.jobs()["run-1"].live().len(), 10);
-    // Ten machines are needed in either of two zones, and at most as many again replace them.
+    // At most ten machines are rented in each of two zones, and as many again to replace them.
     assert!(max_present <= 40, "{max_present} machines at a time");
     assert!(
         cluster.machines.len() <= 80,
@@ -153,10 +153,10 @@
     assert!(first.is_none_or(|machine| machine.is_deleting()));
 }
 
-/// Best-effort jobs without a deadline use free capacity: full-price machines are rented only for
+/// Best-effort jobs without a deadline use free capacity: on-demand machines are rented only for
 /// the first start of such a job, however long its other tasks wait.
 #[test]
-fn best_effort_jobs_without_deadline_rent_no_full_price_machines_beyond_their_start() {
+fn best_effort_jobs_without_deadline_rent_no_on_demand_machines_beyond_their_start() {
     let mut script = ScriptedShard::without_quotas();
     let best_effort = JobSpec {
         priority: Priority::BestEffort,
@@ -165,7 +165,7 @@
     script.heartbeat("vm-1", Vec::new());
     script.heartbeat("vm-1", Vec::new());
     script.submit("run-1", best_effort);
-    let mut full_price_rented = 0;
+    let mut on_demand_rented = 0;
     for _ in 0..1000 {
         for batch in script.take_batches() {
             let heartbeat = script.running_heartbeat(&batch.machine);
@@ -178,7 +178,7 @@
         script.shard.heartbeat(&heartbeat, script.now);
         script.advance(Duration::from_secs(1));
         for rental in script.take_rentals() {
-            full_price_rented += u32::from(!rental.spot);
+            on_demand_rented += u32::from(!rental.spot);
             let no_capacity = RentalOutcome::NoCapacity;
             script
                 .shard
@@ -186,7 +186,7 @@
         }
     }
     assert_eq!(script.shard.jobs()["run-1"].live().len(), 1);
-    assert_eq!(full_price_rented, 0);
+    assert_eq!(on_demand_rented, 0);
 }
 
 /// A zone is partitioned while machines boot there. These machines may have booted unseen, so that
--- a/src/coordination/shard/tests/snapshots.rs
+++ b/src/coordination/shard/tests/snapshots.rs
@@ -37,8 +37,8 @@
     );
 }
 
-/// Until a snapshot records that a task is done, the list of the task's worker is the only record
-/// of it, and must not be cleared.
+/// Until a snapshot records that a task is done, the only record of it is the ended attempt that
+/// the task's worker lists, which must not be cleared.
 #[test]
 fn a_completed_task_is_cleared_only_after_a_snapshot_records_it() {
     let mut script = ScriptedShard::empty();
--- a/src/coordination/tests/eligibility.rs
+++ b/src/coordination/tests/eligibility.rs
@@ -19,7 +19,7 @@
 
 /// Makes the controller a leader that has received no heartbeat from its only worker for 20 s, and
 /// that then gives up the leadership as ineligible.
-fn leader_of_an_unreachable_worker(clock: &FakeClock, node: &Arc<Node>, addr: SocketAddr) {
+fn lead_and_become_ineligible(clock: &FakeClock, node: &Arc<Node>, addr: SocketAddr) {
     let lease = make_leader(node, TOKEN);
     let mut heartbeat = heartbeat(TOKEN);
     heartbeat.addr = addr.to_string();
@@ -38,7 +38,7 @@
     let clock = Arc::new(FakeClock::new());
     let node = node(clock.clone());
     // Nothing listens on port 1.
-    leader_of_an_unreachable_worker(&clock, &node, ([127, 0, 0, 1], 1).into());
+    lead_and_become_ineligible(&clock, &node, ([127, 0, 0, 1], 1).into());
     for _ in 0..20 {
         clock.advance(Duration::from_secs(5));
         probe_unreachable_workers(&node).await;
@@ -60,7 +60,7 @@
     let addr = listener.local_addr().expect("its address");
     let worker = Router::new().route("/status", get(async || "{}"));
     tokio::spawn(async move { axum::serve(listener, worker).await });
-    leader_of_an_unreachable_worker(&clock, &node, addr);
+    lead_and_become_ineligible(&clock, &node, addr);
     clock.advance(Duration::from_secs(5));
     probe_unreachable_workers(&node).await;
     assert!(
--- a/src/coordination/tests/peering.rs
+++ b/src/coordination/tests/peering.rs
@@ -88,8 +88,8 @@
         "until the extension ends"
     );
     clock.advance(Duration::from_millis(10));
-    // A process that has just started also waits until votes of its earlier incarnation have
-    // expired.
+    // The votes that an earlier incarnation of this process may have given have expired, too.
+    // Until then, a process that has just started waits.
     assert!(node.campaign_blocked_until().is_none());
     node.lock().candidacy.acquiring = true;
     assert!(
@@ -157,10 +157,11 @@
         "the worker follows a later leader"
     );
     heartbeat.fencing_token = FencingToken::new(7);
-    // A message from the leader, even an old one, shows that it is reachable and renews the leases
-    // itself.
+    // A message from the leader, even an old one, shows that the leader is reachable and renews the
+    // leases itself.
     record_heartbeat(&node, peer_heartbeat("beta", Some(7)));
-    // A late heartbeat without a fencing token, from before it became leader, changes nothing.
+    // A late heartbeat without a fencing token, from before the peer became leader, changes
+    // nothing.
     record_heartbeat(&node, peer_heartbeat("beta", None));
     assert_eq!(node.delegated_fencing_token(&heartbeat), None);
     clock.advance(advance_delegation::LEADER_UNREACHABLE_AFTER);
--- a/src/coordination/tests/scale.rs
+++ b/src/coordination/tests/scale.rs
@@ -34,7 +34,7 @@
 
 /// Makes the controller the leader of [`JOBS`] jobs of one task each, of which the first
 /// [`STARTED_JOBS`] run.
-fn leader_of_many_jobs(node: &Arc<Node>) {
+fn make_leader_of_many_jobs(node: &Arc<Node>) {
     let lease = make_leader(node, TOKEN);
     let parsed = crate::protocol::users::parse_submission(SUBMISSION.as_bytes());
     let Submission { spec, .. } = parsed.expect("a submission");
@@ -70,7 +70,7 @@
 async fn the_heartbeat_of_a_leader_of_a_hundred_thousand_jobs_is_accepted() {
     let clock = Arc::new(FakeClock::new());
     let (sender, receiver) = (node(clock.clone()), peer(clock.clone()));
-    leader_of_many_jobs(&sender);
+    make_leader_of_many_jobs(&sender);
     let heartbeat = leader_heartbeat(&sender);
     assert_eq!(heartbeat.progress.len(), STARTED_JOBS as usize);
     let frame = PeerRequest::Heartbeat(heartbeat.clone()).encode();
@@ -98,10 +98,11 @@
     );
 }
 
-/// A job that the heartbeat of the leader does not list has no running or completed tasks: the
-/// receiver drops the counts that it has kept for the job.
+/// A receiver ignores an empty list of jobs in a heartbeat. If no job of the leader has running or
+/// completed tasks, its heartbeat therefore lists one with counts of zero, and the receiver drops
+/// all counts that it has kept.
 #[test]
-fn counts_of_jobs_that_no_longer_run_are_dropped() {
+fn counts_are_dropped_when_no_job_runs_any_more() {
     let clock = Arc::new(FakeClock::new());
     let (sender, receiver) = (node(clock.clone()), peer(clock.clone()));
     let lease = make_leader(&sender, TOKEN);
--- a/tests/trial/main.rs
+++ b/tests/trial/main.rs
@@ -52,14 +52,14 @@
     for index in 0..cluster.size() {
         cluster.wait_until_ready(index).await;
     }
-    finish_an_array(&cluster).await;
+    finish_a_batch_job(&cluster).await;
     finish_a_gang(&cluster).await;
     kill_the_leader_during_a_job(&mut cluster).await;
     cancel_a_job(&cluster).await;
     refuse_unknown_and_malformed_requests(&cluster).await;
 }
 
-async fn finish_an_array(cluster: &Cluster) {
+async fn finish_a_batch_job(cluster: &Cluster) {
     let job = submission("run-000001", "batch", 6);
     cluster.submit(0, &job).await;
     cluster.wait_for_stage(1, "run-000001", "done").await;
--- a/tests/trial/nodes.rs
+++ b/tests/trial/nodes.rs
@@ -66,7 +66,7 @@
     )
 }
 
-/// The body of a submission of an array of two tasks, with `cores` cores for each task.
+/// The body of a submission of a batch job of two tasks, with `cores` cores for each task.
 pub(crate) fn submission(id: &str, cores: f64) -> Value {
     json!({ "NameId": id, "Repertoire": "sums", "Section": "red", "Form": "batch",
         "Tempo": "standard", "Voices": 2, "Cores": cores, "Accelerators": 0.0, "MemGb": 1.0,
--- a/tests/trial/support/worker.rs
+++ b/tests/trial/support/worker.rs
@@ -107,14 +107,14 @@
     /// Ends the tasks that have run for [`TASK_DURATION`], and returns the next heartbeat.
     fn heartbeat(&mut self) -> WorkerHeartbeat {
         self.sequence += 1;
-        for ((task, attempt), running) in &mut self.tasks {
+        for ((task, attempt), task_attempt) in &mut self.tasks {
             let started_at = match gang_start(task, *attempt) {
-                GangStart::NotInGang => running.launched_at,
+                GangStart::NotInGang => task_attempt.launched_at,
                 GangStart::Waiting => continue,
                 GangStart::StartedAt(started_at) => started_at,
             };
-            if running.outcome.is_none() && started_at.elapsed() >= TASK_DURATION {
-                running.outcome = Some(AttemptOutcome::Done);
+            if task_attempt.outcome.is_none() && started_at.elapsed() >= TASK_DURATION {
+                task_attempt.outcome = Some(AttemptOutcome::Done);
             }
         }
         WorkerHeartbeat {
@@ -130,17 +130,17 @@
             tasks: self
                 .tasks
                 .iter()
-                .map(|((task, attempt), running)| TaskStatus {
+                .map(|((task, attempt), task_attempt)| TaskStatus {
                     task: task.clone(),
                     attempt: *attempt,
-                    state: match running.outcome {
+                    state: match task_attempt.outcome {
                         Some(_) => TaskState::Ended,
                         None if matches!(gang_start(task, *attempt), GangStart::Waiting) => {
                             TaskState::Waiting
                         }
                         None => TaskState::Running,
                     },
-                    outcome: running.outcome,
+                    outcome: task_attempt.outcome,
                 })
                 .collect(),
         }
@@ -158,8 +158,8 @@
                     });
                 }
                 Command::Stop { task, attempt, .. } => {
-                    if let Some(running) = self.tasks.get_mut(&(task, attempt)) {
-                        running.outcome.get_or_insert(AttemptOutcome::Stopped);
+                    if let Some(task_attempt) = self.tasks.get_mut(&(task, attempt)) {
+                        task_attempt.outcome.get_or_insert(AttemptOutcome::Stopped);
                     }
                 }
                 Command::Clear { task, attempt } => {
@@ -173,7 +173,7 @@
 type SharedMachine = Arc<Mutex<Machine>>;
 
 /// Executes the commands that a leader sends directly. Refuses them with 409 if their fencing token
-/// is older than one that the worker has seen, or if they are for another epoch of the agent.
+/// is older than one that the worker has seen, or if they are for another agent epoch.
 async fn handle_commands(
     State(machine): State<SharedMachine>,
     Json(batch): Json<CommandBatch>,
--- a/tests/trial/upgrade.rs
+++ b/tests/trial/upgrade.rs
@@ -32,12 +32,12 @@
     stage: &'static str,
 }
 
-const CANCELLED_ARRAY: FinishedJob = FinishedJob {
+const CANCELLED_BATCH_JOB: FinishedJob = FinishedJob {
     id: "run-000003",
     kind: "batch",
     stage: "cancelled",
 };
-const DONE_ARRAY: FinishedJob = FinishedJob {
+const DONE_BATCH_JOB: FinishedJob = FinishedJob {
     id: "run-000004",
     kind: "batch",
     stage: "done",
@@ -97,7 +97,7 @@
 async fn controllers_continue_from_the_version_before_gangs() {
     let recorded = include_str!("../upgrade/recorded/5161cb0.json");
     let unfinished = ["run-000001", "run-000008"];
-    let finished = [CANCELLED_ARRAY, DONE_ARRAY];
+    let finished = [CANCELLED_BATCH_JOB, DONE_BATCH_JOB];
     check_upgrade(recorded, "o", &unfinished, &finished).await;
 }
 
@@ -106,6 +106,6 @@
     let recorded = include_str!("../upgrade/recorded/bee35ef.json");
     register_gang("run-000006", 4);
     let unfinished = ["run-000001", "run-000006", "run-000008"];
-    let finished = [CANCELLED_ARRAY, DONE_ARRAY, DONE_GANG];
+    let finished = [CANCELLED_BATCH_JOB, DONE_BATCH_JOB, DONE_GANG];
     check_upgrade(recorded, "p", &unfinished, &finished).await;
 }
--- a/tests/trial/user_requests.rs
+++ b/tests/trial/user_requests.rs
@@ -63,8 +63,8 @@
     let fields = incomplete.as_object_mut().expect("an object");
     fields.remove("Cores");
     let oversized = submission("run-000001", 9.0);
-    // Two tasks of five cores each, while the team may use eight cores: the tasks of an array could
-    // run one after the other, but those of a gang must run at the same time.
+    // Two tasks of five cores each, while the team may use eight cores: the tasks of a batch
+    // job could run one after the other, but those of a gang must run at the same time.
     let oversized_gang = with_field(submission("run-000001", 5.0), "Form", json!("group"));
     let unknown_kind = with_field(job(), "Form", json!("swarm"));
     let no_tasks = with_field(gang(), "Voices", json!(0));
--- a/tests/upgrade/frames.rs
+++ b/tests/upgrade/frames.rs
@@ -1,5 +1,5 @@
-//! Frames and records that bee35ef, the version in production, has and 5161cb0 has not. They were
-//! recorded by running bee35ef; this version has to read them, and to write the same bytes.
+//! Frames and records that bee35ef, the version in production, knows and 5161cb0 does not. They
+//! were recorded by running bee35ef; this version has to read them, and to write the same bytes.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -41,7 +41,7 @@
     "00000000000000000000000000000000000000000000000000000000000000000000000000000000",
     "0000000000000000",
 ];
-const ANSWER: &[&str] = &[
+const FORWARDED_RESPONSE: &[&str] = &[
     "7b7d0000000000000200c800f4ffffff020000000000000000000000000000000000000000000000",
     "00000000000000000000000000000000000000000000000000000000000000000000000000000000",
     "00000000000000000000000000000000",
@@ -103,7 +103,7 @@
         let read = PeerRequest::decode(&recorded).expect("a request");
         assert_eq!(format!("{read:?}"), format!("{request:?}"));
     }
-    let answer = PeerAnswer::ForwardedResponse {
+    let response = PeerAnswer::ForwardedResponse {
         status: 200,
         body: b"{}".to_vec(),
     };
@@ -113,7 +113,7 @@
             PeerAnswer::LeaseExtension { granted: true },
             LEASE_EXTENSION_VOTE,
         ),
-        (answer, ANSWER),
+        (response, FORWARDED_RESPONSE),
         (PeerAnswer::Unreadable, UNREADABLE),
     ] {
         let recorded = decode_hex(recorded);
@@ -134,8 +134,8 @@
 fn records_are_those_of_the_version_in_production() {
     let job: JobRecord = round_trip(JOB_RECORD);
     assert_eq!((job.spec.kind, job.spec.tasks), (JobKind::Batch, 16));
-    let last: FinalRecord = round_trip(FINAL_RECORD);
-    assert_eq!(last.stage, JobStage::Cancelled);
+    let final_record: FinalRecord = round_trip(FINAL_RECORD);
+    assert_eq!(final_record.stage, JobStage::Cancelled);
     assert_eq!(round_trip::<LeaderRecord>(LEADER_RECORD).lease, 4);
     assert!(round_trip::<DelegateRecord>(DELEGATE_RECORD).inventory);
     assert_eq!(
