--- a/src/coordination/leadership/job_watch.rs
+++ b/src/coordination/leadership/job_watch.rs
@@ -1,4 +1,4 @@
-//! Watches the jobs in the store, and notifies the shard of accepted and ended jobs while this
+//! Watches the jobs in the store, and notifies the shard of accepted and finished jobs while this
 //! controller leads it.
 
 use std::sync::Arc;
@@ -16,8 +16,8 @@
 /// How long the store holds a watch of the jobs open while nothing changes.
 const JOB_WATCH_WAIT: Duration = Duration::from_secs(3);
 
-/// Notifies the shard of jobs that are accepted or ended after `revision` of the store, until the
-/// lease ends.
+/// Notifies the shard of jobs that are accepted or finished after `revision` of the store, until
+/// the lease ends.
 pub(super) async fn watch_jobs(node: Arc<Node>, lease: Arc<ShardLease>, mut revision: u64) {
     let mut retry = Backoff::default();
     while !lease.has_ended() {
@@ -31,7 +31,7 @@
     }
 }
 
-/// Waits for the changes of one watch and applies them. Returns the revision from which the next
+/// Waits for the changes of one watch and applies them. Returns the revision after which the next
 /// watch has to begin.
 async fn watch_once(
     node: &Arc<Node>,
@@ -95,7 +95,7 @@
 }
 
 /// Reads all unfinished jobs, because the store has compacted some changes since the last watch.
-/// Returns the revision from which the next watch has to begin.
+/// Returns the revision after which the next watch has to begin.
 async fn resync(node: &Arc<Node>, lease: &Arc<ShardLease>) -> Result<u64, KvError> {
     let KeyList { items, revision } = node.clients.kv.list(keys::JOBS, KV_DEADLINE).await?;
     let jobs: Vec<_> = items
--- a/src/coordination/shard/autoscaler/scale_in.rs
+++ b/src/coordination/shard/autoscaler/scale_in.rs
@@ -16,8 +16,8 @@
 const MAX_MACHINES_PER_DELETION: usize = 100;
 
 /// A machine that has not booted is abandoned after this multiple of the usual boot time plus
-/// [`ABANDON_MARGIN`]. If all machines of its type boot late, the wait is extended, but not beyond
-/// [`MAX_BOOT_WAIT`].
+/// [`ABANDON_MARGIN`]. If the machines of its type boot late in its zone, the wait is extended, but
+/// not beyond [`MAX_BOOT_WAIT`].
 const ABANDON_BOOT_FACTOR: f64 = 4.0;
 const ABANDON_MARGIN: Duration = Duration::from_secs(30);
 const MAX_BOOT_WAIT: Duration = Duration::from_secs(900);
@@ -25,7 +25,7 @@
 /// How long to wait for a machine of an unknown type to boot.
 const UNKNOWN_TYPE_BOOT_WAIT: Duration = Duration::from_secs(300);
 
-/// A machine that is not needed may be deleted this long before the end of its minimum charge,
+/// A machine that is not needed may be deleted this long before the end of [`MIN_BILLED_TIME`],
 /// because the deletion itself takes time.
 const DELETION_LEAD: Duration = Duration::from_secs(5);
 
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Requests deletions again that are due for a retry because the cloud did not answer.
+    /// Repeats the deletion requests that the cloud did not answer and whose retry is due.
     pub(super) fn retry_deletions(&mut self, now: Instant) {
         let due = self.machines.ids(|m| m.deletion_retry_is_due(now));
         for id in &due {
@@ -140,7 +140,8 @@
         self.deleted_machines.insert(id.clone(), now);
     }
 
-    /// Deletes the machines that are empty and not needed by the plan, and those that never booted.
+    /// Deletes the machines that are empty and either drained or not needed by the plan, and those
+    /// that have not booted in time.
     pub(super) fn delete_unneeded_machines(&mut self, capacities: &[Capacity], now: Instant) {
         let unneeded = self.autoscaler_view().unneeded_machines(capacities, now);
         for machine in &unneeded {
@@ -163,7 +164,8 @@
 }
 
 impl AutoscalerView<'_> {
-    /// The machines that are empty and not needed by the plan, and those that never booted.
+    /// The machines that are empty and either drained or not needed by the plan, and those that
+    /// have not booted in time.
     fn unneeded_machines(&self, capacities: &[Capacity], now: Instant) -> Vec<UnneededMachine> {
         let unused: HashSet<&MachineId> = capacities
             .iter()
@@ -183,8 +185,8 @@
             .collect()
     }
 
-    /// How long to wait for a machine to boot. If no machine of its pool boots on time, the wait is
-    /// longer, because deleting all of them would only start the wait again.
+    /// How long to wait for a machine to boot. If the machines of its pool boot late or not at all,
+    /// the wait is longer, because deleting all of them would only start the wait again.
     fn boot_wait(&self, machine: &Machine, now: Instant) -> Duration {
         let Some(machine_type) = self.machine_types.get(&*machine.machine_type) else {
             return UNKNOWN_TYPE_BOOT_WAIT;
--- a/src/coordination/shard/delegations/inventories.rs
+++ b/src/coordination/shard/delegations/inventories.rs
@@ -63,7 +63,7 @@
     /// that replacing these machines is better than waiting for them.
     fn reconciliation_blocks_work(&self) -> bool {
         let Some(placed_tasks) = self.unreconciled.snapshot_placements() else {
-            // The last snapshot has no placements: with them, it would have been too large.
+            // The last snapshot was too large to hold placements.
             return false;
         };
         let waiting_tasks: u32 = self.jobs.values().map(Job::unreconciled_tasks).sum();
--- a/src/coordination/shard/dispatch/probes.rs
+++ b/src/coordination/shard/dispatch/probes.rs
@@ -1,8 +1,9 @@
 //! Probes of workers.
 //!
 //! A probe is a batch without commands: the worker answers it with a heartbeat, as it does
-//! any batch. The shard's tick probes the workers that are due; the reconciler probes a worker
-//! whose heartbeat leaves its state in doubt.
+//! any batch. The shard's tick probes the workers that are due. The reconciler probes the machines
+//! of the recovered roster, and a worker whose heartbeat has an earlier leader's fencing token or
+//! is older than the newest one.
 
 use std::time::{Duration, Instant};
 
@@ -16,8 +17,8 @@
 /// Time allowed for the delivery of a heartbeat; see [`LATE_HEARTBEAT_FACTOR`].
 const LATE_HEARTBEAT_MARGIN: Duration = Duration::from_millis(750);
 
-/// The agent epoch in which a worker process begins. Probes carry it when no heartbeat of the
-/// worker has arrived, so that its epoch is unknown.
+/// The agent epoch with which a worker process starts. It is sent in a probe if the worker's epoch
+/// is unknown because no heartbeat of the worker has arrived.
 pub(in crate::coordination::shard) const FIRST_AGENT_EPOCH: u64 = 1;
 
 impl Shard {
--- a/src/coordination/shard/persistence/tests.rs
+++ b/src/coordination/shard/persistence/tests.rs
@@ -115,7 +115,7 @@
     snapshot_interval: INTERVAL,
 };
 
-fn push_rentals(queue: &mut WriteQueue, requests: std::ops::Range<u32>) {
+fn push_rental_deletions(queue: &mut WriteQueue, requests: std::ops::Range<u32>) {
     for n in requests {
         let request = format!("request-{n}");
         let mutation = Mutation::delete(format!("b/0/{request}"));
@@ -136,7 +136,7 @@
 fn one_transaction_is_in_flight_at_a_time_and_leaves_room_for_the_sequence_number() {
     let now = Instant::now();
     let mut queue = WriteQueue::default();
-    push_rentals(&mut queue, 0..9);
+    push_rental_deletions(&mut queue, 0..9);
     let write = next_write(&mut queue, now).expect("a transaction");
     assert_eq!(write.mutations.len(), LIMITS.txn_ops - 1);
     assert_eq!(write.purposes.len(), write.mutations.len());
@@ -155,13 +155,13 @@
     let start = Instant::now();
     let at = |seconds| start + Duration::from_secs(seconds);
     let mut queue = WriteQueue::default();
-    push_rentals(&mut queue, 0..7);
+    push_rental_deletions(&mut queue, 0..7);
     // Seven records and the sequence number spend eight tokens, of which two were available.
     let write = next_write(&mut queue, start).expect("a transaction");
     queue.write_applied(&write);
-    push_rentals(&mut queue, 7..8);
+    push_rental_deletions(&mut queue, 7..8);
     assert_eq!(next_write(&mut queue, at(1)), None);
-    push_rentals(&mut queue, 8..10);
+    push_rental_deletions(&mut queue, 8..10);
     assert_eq!(
         next_write(&mut queue, at(3)),
         None,
@@ -192,7 +192,7 @@
         None,
         "one snapshot token is left"
     );
-    push_rentals(&mut queue, 0..1);
+    push_rental_deletions(&mut queue, 0..1);
     let mixed = next_write(&mut queue, start).expect("a record and a chunk");
     let purposes = &mixed.purposes[..];
     assert!(
@@ -221,7 +221,7 @@
     let admit = WritePurpose::Admit(machine.clone());
     let mut queue = WriteQueue::default();
     queue.put_roster_entry(&machine, record, LIMITS.value_bytes, admit.clone());
-    push_rentals(&mut queue, 0..1);
+    push_rental_deletions(&mut queue, 0..1);
     queue.begin_snapshot_round(&chunks(&[("a", 1)]), Vec::new(), now);
     let refused = next_write(&mut queue, now).expect("a transaction");
     assert_eq!(refused.mutations.len(), 3);
--- a/src/coordination/shard/policy.rs
+++ b/src/coordination/shard/policy.rs
@@ -9,21 +9,21 @@
 use crate::settings::Settings;
 use crate::settings::platform::{ServiceLevelObjective, Team};
 
-/// The share of the key-value store's write rate that the shard's own records (roster, rentals)
-/// may use; the records of jobs need the rest.
+/// The share of the key-value store's write rate that the shard's own records (roster, rentals,
+/// delegations) may use; the records of jobs need the rest.
 const RECORD_WRITE_SHARE: f64 = 0.3;
 
 /// The lower bound of a team's fair share, in cores or accelerators.
 const MIN_FAIR_SHARE: f64 = 1.0;
 
-/// Added to the time after which a worker's lease has certainly expired: the lease starts when
-/// the answer reaches the worker, which is later than the controller sent it.
+/// Margin of [`Policy::worker_lease_bound`] for the delivery of an answer: the worker's lease
+/// starts when the answer reaches the worker, which is later than the controller sent it.
 const LEASE_MARGIN: Duration = Duration::from_millis(300);
 
 /// Service-level objectives with a time of this many seconds or more are ignored.
 const MAX_OBJECTIVE_S: f64 = 1e9;
 
-/// The smallest multiple of a deadline that a service-level objective may name.
+/// Service-level objectives that name a smaller multiple of a deadline are ignored.
 const MIN_DEADLINE_MULTIPLE: f64 = 0.1;
 /// Service-level objectives that name this multiple of a deadline or a larger one are ignored.
 const MAX_DEADLINE_MULTIPLE: f64 = 1e3;
@@ -79,18 +79,18 @@
     pub value_bytes: usize,
     /// The shortest time between the starts of two snapshot rounds.
     pub snapshot_interval: Duration,
-    /// The age of changes without a durable snapshot beyond which no task is started.
+    /// No task is started while some change is older than this and not yet in a durable snapshot.
     pub max_staleness: Duration,
     /// The most mutations per second for snapshots.
     pub snapshot_writes_per_s: f64,
-    /// The most mutations per second for the shard's own records (roster, rentals).
+    /// The most mutations per second for the shard's own records (roster, rentals, delegations).
     pub record_writes_per_s: f64,
     /// The time without contact after which a machine gets no new tasks.
     pub suspect_after: Duration,
     /// The time without contact after which a machine is declared dead.
     pub dead_after: Duration,
-    /// The tasks of each job class for which free capacity is kept, as a multiple of the class's
-    /// live tasks.
+    /// The least number of further tasks of each job class for which capacity is kept free, as a
+    /// multiple of the class's live tasks.
     pub headroom: f64,
     /// How long a machine has to be idle before it is deleted.
     pub idle_timeout: Duration,
@@ -139,7 +139,8 @@
     }
 
     /// A team's weight in fair sharing of the capacity beyond all guaranteed quota: its own
-    /// guaranteed quota, or the smallest guaranteed quota of any other team if it has none.
+    /// guaranteed quota, or the smallest guaranteed quota of any other team if it has none. At
+    /// least `MIN_FAIR_SHARE`.
     pub fn fair_share(&self, team: &str) -> f64 {
         let own = self.teams.get(team).map_or(0.0, TeamPolicy::guaranteed);
         if own > 0.0 {
@@ -151,14 +152,15 @@
     }
 
     /// How long a worker that still answers commands may go without a periodic heartbeat before
-    /// its machine gets no new tasks. A worker whose leader has just changed takes a while to find
-    /// the new one.
+    /// its machine gets no new tasks: [`Self::suspect_after`], but at least half of a worker's
+    /// lease, because a worker whose leader has just changed takes a while to find the new one.
     pub fn heartbeat_overdue(&self) -> Duration {
         self.suspect_after.max(self.worker_lease / 2)
     }
 
-    /// How long after this controller last answered a worker's heartbeat the worker's lease has
-    /// certainly expired, although the worker's clock may run slow and this controller's fast.
+    /// The time after which a worker's lease has certainly expired, counted from when this
+    /// controller last answered the worker's heartbeat. Allows for a worker's clock that runs slow
+    /// and a controller's clock that runs fast.
     pub fn worker_lease_bound(&self) -> Duration {
         clock_drift::max_elapsed(self.worker_lease) + LEASE_MARGIN
     }
--- a/src/coordination/shard/scheduler/starvation.rs
+++ b/src/coordination/shard/scheduler/starvation.rs
@@ -1,5 +1,5 @@
-//! Starvation: a job that has waited for long without the start of a single task gets one task
-//! started before all others.
+//! Starvation: if a job was accepted long ago and none of its tasks is live or completed, one of
+//! them is started before the tasks of all jobs that are not starving.
 
 use std::time::{Duration, Instant};
 
@@ -10,15 +10,15 @@
 use crate::protocol::JobId;
 use crate::protocol::users::JobSpec;
 
-/// The time since acceptance without the start of any task after which a job counts as starving.
-/// Users count a wait of more than four minutes as an outage.
+/// A job counts as starving if it was accepted longer ago than this and none of its tasks is live
+/// or completed. Users count a wait of more than four minutes as an outage.
 const STARVATION_WAIT: Duration = Duration::from_secs(150);
-/// The most starving jobs that one pass serves, by starting a task or reserving a machine.
+/// Maximum number of starving jobs that one pass serves, by starting a task or reserving a machine.
 const MAX_STARVING_JOBS: usize = 16;
 
 impl Shard {
     /// Starts one task of each starving job, regardless of priority and fair share, or reserves a
-    /// machine for the job if the task finds none. Nothing is preempted for the task.
+    /// machine for the job if the task cannot be placed. Nothing is preempted for the task.
     pub(super) fn serve_starving_jobs(
         &mut self,
         pass: &mut SchedulingPass,
@@ -52,18 +52,19 @@
 
     fn is_starving(&self, job: &Job, wall_ms: u64, now: Instant) -> bool {
         let age = Duration::from_millis(wall_ms.saturating_sub(job.accepted_at_ms));
-        let never_started = job.live().is_empty() && job.done().is_empty();
+        let has_no_live_or_done_task = job.live().is_empty() && job.done().is_empty();
         age > STARVATION_WAIT
             && !job.spec.is_gang()
             && !job.is_crash_looping()
             && job.waiting() > 0
-            && never_started
+            && has_no_live_or_done_task
             && job.not_before.is_none_or(|at| at <= now)
             && self.placements_reconciled(job)
     }
 
-    /// Reserves the emptiest machine of a type on which a task of a job fits. Without the
-    /// reservation, smaller batch tasks would take each resource there as it becomes free.
+    /// Reserves the machine with the most free cores among those that the job may use and whose
+    /// type is large enough for one of its tasks. Without the reservation, smaller batch tasks
+    /// would take the machine's resources as soon as they become free.
     fn reserve_for_starving(&self, job: &Job, pass: &mut SchedulingPass) {
         let spec = &job.spec;
         let emptiest = pass
--- a/src/coordination/shard/tests/scale/records.rs
+++ b/src/coordination/shard/tests/scale/records.rs
@@ -41,8 +41,8 @@
     let mut writes = 0;
     let mut value_bytes = 8192;
     while roster.has_mutations() {
-        // The second half of the pages is written under the lower limit, then all pages are
-        // written again.
+        // From here on the lower limit applies: to the pages that are not written yet, and to the
+        // forty written before, since every page now has a changed entry and is written again.
         if writes == 40 {
             value_bytes = 2048;
             for n in 0..ENTRIES {
@@ -86,8 +86,8 @@
     names
 }
 
-/// Writing the placements of sixty thousand single-task jobs would take longer than the maximum
-/// staleness of the snapshot, so that the shard would launch no more tasks.
+/// Writing a snapshot with the placements of sixty thousand single-task jobs would take longer than
+/// the maximum staleness, and the shard would launch no more tasks.
 #[test]
 fn sixty_thousand_tasks_do_not_make_the_snapshot_stale() {
     let policy = small_store_policy();
@@ -120,7 +120,7 @@
     assert_eq!(stale_seconds, 0, "{mutations} mutations were written");
 }
 
-/// Applies the shard's writes until it decides no more; returns the number of their mutations.
+/// Applies the shard's writes until it issues no more; returns the number of their mutations.
 fn apply_writes(script: &mut ScriptedShard) -> usize {
     let mut mutations = 0;
     loop {
--- a/src/coordination/shard/tests/simulation/gangs.rs
+++ b/src/coordination/shard/tests/simulation/gangs.rs
@@ -27,7 +27,7 @@
 /// What the tasks of a gang attempt observe of each other.
 #[derive(Clone, Copy, PartialEq)]
 enum GangStatus {
-    /// Some tasks are missing, or their machines hang.
+    /// Some tasks are missing or not ready, or their machines hang.
     Incomplete,
     Running,
     Completed,
@@ -52,15 +52,15 @@
         let mut attempts: BTreeMap<GangAttempt, u32> = BTreeMap::new();
         for worker in self.workers.values().filter(|worker| !worker.is_dead) {
             let is_hanging = is_fault_active(worker.hangs_until, self.now);
-            for ((task, number), state) in &worker.tasks {
-                if state.state == TaskState::Ended || !self.truth.is_gang(&task.job) {
+            for ((task, number), worker_task) in &worker.tasks {
+                if worker_task.state == TaskState::Ended || !self.truth.is_gang(&task.job) {
                     continue;
                 }
                 let attempt = GangAttempt {
                     job: task.job.clone(),
                     number: *number,
                 };
-                let is_ready = matches!(state.state, TaskState::Waiting | TaskState::Running);
+                let is_ready = matches!(worker_task.state, TaskState::Waiting | TaskState::Running);
                 *attempts.entry(attempt).or_default() += u32::from(is_ready && !is_hanging);
             }
         }
@@ -96,11 +96,13 @@
         truth: &mut GroundTruth,
         now: Instant,
     ) {
-        let is_of_attempt = |((task, number), state): &(&(TaskId, u64), &mut WorkerTask)| {
-            task.job == attempt.job && *number == attempt.number && state.state != TaskState::Ended
+        let is_of_attempt = |((task, number), worker_task): &(&(TaskId, u64), &mut WorkerTask)| {
+            task.job == attempt.job
+                && *number == attempt.number
+                && worker_task.state != TaskState::Ended
         };
-        for ((task, _), state) in self.tasks.iter_mut().filter(is_of_attempt) {
-            if !state.advance_in_gang(status, now) {
+        for ((task, _), worker_task) in self.tasks.iter_mut().filter(is_of_attempt) {
+            if !worker_task.advance_in_gang(status, now) {
                 continue;
             }
             if status == GangStatus::Completed {
--- a/src/coordination/tests/cancellation_freshness.rs
+++ b/src/coordination/tests/cancellation_freshness.rs
@@ -109,7 +109,8 @@
             .record_final("run-000001", &final_record, CANCELLED_REVISION);
     }
 
-    /// Advances the clock; the leader extends its lease by votes to a second from then.
+    /// Advances the clock, then extends the leader's lease, as its peer's votes would, to one
+    /// second after the new time.
     fn advance(&self, time: Duration) {
         self.clock.advance(time);
         self.lease.extend(self.leader.now() + seconds(1));
@@ -184,14 +185,14 @@
         outage.record_confirmations_of(&outage.peer.clone());
         assert!(
             outage.heartbeat().is_some(),
-            "a confirmation a second keeps all leases renewed"
+            "one confirmation per second keeps all leases renewed"
         );
     }
 }
 
-/// A job is cancelled in the same way through a controller that confirms nothing to the leader,
-/// because it runs an older version or is unreachable. The votes that extend the leader's own lease
-/// must not be enough to renew worker leases.
+/// While the store refuses the leader, a job is cancelled through a controller that confirms
+/// nothing to the leader, because it runs an older version or is unreachable. The votes that extend
+/// the leader's own lease must not be enough to renew worker leases.
 #[tokio::test]
 async fn a_leader_without_fresh_cancellations_suspends_lease_renewals() {
     let mut outage = StoreOutage::new().await;
@@ -219,7 +220,7 @@
 }
 
 /// The controller that cancelled the job has crashed. Its next incarnation does not know of the
-/// cancellation, so that its confirmations do not count.
+/// cancellation, so the confirmations of that incarnation must not count.
 #[tokio::test]
 async fn confirmations_of_a_later_incarnation_do_not_count() {
     let mut outage = StoreOutage::new().await;
@@ -277,7 +278,7 @@
         accepted_at_ms: 0,
         spec: spec(),
     };
-    let is_open = outage.leader.with_shard(&lease, "jobs", |shard, now| {
+    let is_unfinished = outage.leader.with_shard(&lease, "jobs", |shard, now| {
         outage
             .leader
             .notify_job_accepted(shard, "run-000001", ACCEPTED_REVISION, record, now);
@@ -285,7 +286,7 @@
         job.is_some_and(|job| job.final_stage.is_none())
     });
     assert_eq!(
-        is_open,
+        is_unfinished,
         Some(false),
         "run-000001 does not become unfinished again"
     );
