--- a/src/coordination/shard/autoscaler/drain.rs
+++ b/src/coordination/shard/autoscaler/drain.rs
@@ -78,7 +78,7 @@
         }
         if had_no_sources
             && sources.is_empty()
-            && self.policy.holds_capacity()
+            && self.policy.holds_capacity_for_quota()
             && let Some(next) = self.autoscaler_view().next_move_to_main_zone(capacities)
         {
             self.stop_service(&next);
@@ -104,7 +104,7 @@
     /// Most machines that are drained at the same time. If capacity is held for quota anyway,
     /// moving few services is worth more than saving one machine.
     fn max_drained_at_once(&self) -> usize {
-        if self.policy.holds_capacity() {
+        if self.policy.holds_capacity_for_quota() {
             1
         } else {
             1 + self.machines.len() / MACHINES_PER_DRAIN
@@ -180,7 +180,7 @@
                 let machine = self.machines.get(capacity.machine.as_ref()?)?;
                 // If capacity is held for quota, batch tasks beside services stay, so only what is
                 // free now counts.
-                let free = if self.policy.holds_capacity() {
+                let free = if self.policy.holds_capacity_for_quota() {
                     capacity.free
                 } else {
                     self.free_beside_services(machine)?
--- a/src/coordination/shard/autoscaler/forecast.rs
+++ b/src/coordination/shard/autoscaler/forecast.rs
@@ -59,7 +59,7 @@
     /// held for quota. No machine is drained if fewer cores would stay free on the machines with
     /// services.
     pub(in crate::coordination::shard) fn forecast_service_cores(&self, now: Instant) -> f64 {
-        if self.policy.holds_capacity() {
+        if self.policy.holds_capacity_for_quota() {
             return 0.0;
         }
         let horizon_s = self.shortest_usual_boot().as_secs_f64() * SERVICE_FORECAST_BOOT_FACTOR;
--- a/src/coordination/shard/autoscaler/release.rs
+++ b/src/coordination/shard/autoscaler/release.rs
@@ -15,7 +15,7 @@
 /// Whether scale-in can release an on-demand machine once its batch tasks have ended: neither a
 /// service nor reserved quota keeps the machine.
 pub(in crate::coordination::shard) fn is_releasable(machine: &Machine, policy: &Policy) -> bool {
-    !machine.spot && !policy.holds_capacity() && !hosts_services(machine)
+    !machine.spot && !policy.holds_capacity_for_quota() && !hosts_services(machine)
 }
 
 /// Whether a machine is releasable and past the first half of its minimum billed time, which is
--- a/src/coordination/shard/policy.rs
+++ b/src/coordination/shard/policy.rs
@@ -134,7 +134,7 @@
 
     /// Whether some team has guaranteed cores. Machines for them are then kept even while nothing
     /// runs on them.
-    pub fn holds_capacity(&self) -> bool {
+    pub fn holds_capacity_for_quota(&self) -> bool {
         self.teams.values().any(|team| team.cores > 0.0)
     }
 
--- a/src/coordination/shard/scheduler/placement.rs
+++ b/src/coordination/shard/scheduler/placement.rs
@@ -27,7 +27,7 @@
         let spec = &job.spec;
         let unconstrained = spec.kind == JobKind::Batch && !spec.one_zone && !spec.scatter;
         let has_started = !job.live().is_empty() || !job.done().is_empty();
-        if !self.policy.holds_capacity()
+        if !self.policy.holds_capacity_for_quota()
             || !unconstrained
             || spec.tasks < MIN_TASKS_TO_SEED_IMAGE
             || has_started
@@ -86,7 +86,7 @@
     ) -> bool {
         let spec = &job.spec;
         spec.kind == JobKind::Service
-            && !self.policy.holds_capacity()
+            && !self.policy.holds_capacity_for_quota()
             && pass.candidates().iter().any(|candidate| {
                 !candidate.is_releasable
                     && candidate.allows(spec)
--- a/src/coordination/shard/scheduler/scoring.rs
+++ b/src/coordination/shard/scheduler/scoring.rs
@@ -26,7 +26,7 @@
     /// Spreads tasks if capacity is held for quota guarantees: scale-in does not release those
     /// machines anyway. Packs them otherwise.
     fn for_policy(policy: &Policy) -> Self {
-        if policy.holds_capacity() {
+        if policy.holds_capacity_for_quota() {
             Self::Spreading
         } else {
             Self::BinPacking
--- a/src/coordination/shard/tests/autoscaling.rs
+++ b/src/coordination/shard/tests/autoscaling.rs
@@ -54,7 +54,7 @@
         .forecast_service_cores(script.now);
     assert!((4.0..8.0).contains(&forecast_cores), "{forecast_cores}");
     let with_quotas = ScriptedShard::empty();
-    assert!(with_quotas.shard.policy.holds_capacity());
+    assert!(with_quotas.shard.policy.holds_capacity_for_quota());
     assert_eq!(
         with_quotas
             .shard
