--- a/src/coordination/shard/autoscaler/machine_loss.rs
+++ b/src/coordination/shard/autoscaler/machine_loss.rs
@@ -104,7 +104,7 @@
     /// arriving.
     fn is_missing_periodic_heartbeats(&self, machine: &Machine, now: Instant) -> bool {
         machine.last_contact.is_some()
-            && machine.since_periodic_heartbeat(now) >= self.policy.heartbeat_overdue()
+            && machine.since_periodic_heartbeat(now) >= self.policy.heartbeat_overdue_after()
     }
 
     /// The zones that are likely partitioned, because almost all of their machines are unreachable.
--- a/src/coordination/shard/machines/mod.rs
+++ b/src/coordination/shard/machines/mod.rs
@@ -246,7 +246,7 @@
             && self.preemption_notice.is_none()
             && !self.is_missing_from_list
             && self.since_last_contact(now) < policy.suspect_after
-            && self.since_periodic_heartbeat(now) < policy.heartbeat_overdue()
+            && self.since_periodic_heartbeat(now) < policy.heartbeat_overdue_after()
             && self.load.unknown_attempts == 0
     }
 
--- a/src/coordination/shard/policy.rs
+++ b/src/coordination/shard/policy.rs
@@ -154,7 +154,7 @@
     /// How long a worker that still answers commands may go without a periodic heartbeat before
     /// its machine gets no new tasks: [`Self::suspect_after`], but at least half of a worker's
     /// lease, because a worker whose leader has just changed takes a while to find the new one.
-    pub fn heartbeat_overdue(&self) -> Duration {
+    pub fn heartbeat_overdue_after(&self) -> Duration {
         self.suspect_after.max(self.worker_lease / 2)
     }
 
--- a/src/coordination/shard/tests/combined_faults.rs
+++ b/src/coordination/shard/tests/combined_faults.rs
@@ -71,7 +71,7 @@
     for id in ["vm-1", "vm-2", "vm-3", "vm-4"] {
         script.heartbeat(id, Vec::new());
     }
-    let heartbeat_overdue = script.shard.policy.heartbeat_overdue();
+    let heartbeat_overdue = script.shard.policy.heartbeat_overdue_after();
     let lease = script.shard.policy.worker_lease_bound();
     let advance_one_second = |script: &mut ScriptedShard| {
         for id in ["vm-2", "vm-3", "vm-4"] {
