--- a/src/coordination/leadership/job_watch.rs
+++ b/src/coordination/leadership/job_watch.rs
@@ -101,7 +101,7 @@
     let jobs: Vec<_> = items
         .into_iter()
         .filter_map(parse_job)
-        .filter(|job| !node.job_index.has_ended(&job.id, job.mod_revision))
+        .filter(|job| !node.job_index.has_finished(&job.id, job.mod_revision))
         .collect();
     node.with_shard(lease, "jobs", |shard, now| {
         shard.resync_jobs(jobs, revision, now);
--- a/src/coordination/shard_events.rs
+++ b/src/coordination/shard_events.rs
@@ -93,7 +93,7 @@
 
     fn finished_jobs_unknown_to(&self, shard: &Shard) -> Vec<JobId> {
         let is_newly_finished = |job: &&Job| {
-            job.final_stage.is_none() && self.job_index.has_ended(&job.id, job.mod_revision)
+            job.final_stage.is_none() && self.job_index.has_finished(&job.id, job.mod_revision)
         };
         let jobs = shard.jobs().values().filter(is_newly_finished);
         jobs.map(|job| job.id.clone()).collect()
@@ -109,7 +109,7 @@
         record: JobRecord,
         now: Instant,
     ) {
-        if !self.job_index.has_ended(id, mod_revision) {
+        if !self.job_index.has_finished(id, mod_revision) {
             shard.job_accepted(id, mod_revision, record, now);
         }
     }
--- a/src/storage/job_index.rs
+++ b/src/storage/job_index.rs
@@ -116,14 +116,14 @@
     }
 
     /// A counter that increases whenever some job may have ceased to be open. If it has increased,
-    /// [`Self::has_ended`] may return a different result.
+    /// [`Self::has_finished`] may return a different result.
     pub fn change_count(&self) -> u64 {
         self.state().change_count()
     }
 
-    /// Whether the job whose record had this revision is known to have ended.
-    pub fn has_ended(&self, id: &str, mod_revision: u64) -> bool {
-        self.state().has_ended(id, mod_revision)
+    /// Whether the job whose record had this revision is known to have finished.
+    pub fn has_finished(&self, id: &str, mod_revision: u64) -> bool {
+        self.state().has_finished(id, mod_revision)
     }
 
     /// Whether the job was open at the last catch-up read.
--- a/src/storage/job_index/state.rs
+++ b/src/storage/job_index/state.rs
@@ -48,7 +48,7 @@
         self.open_jobs.contains(id)
     }
 
-    pub(super) fn has_ended(&self, id: &str, mod_revision: u64) -> bool {
+    pub(super) fn has_finished(&self, id: &str, mod_revision: u64) -> bool {
         self.final_states.contains_key(id)
             || (!self.open_jobs.contains(id)
                 && self.revision.is_some_and(|known| mod_revision <= known))
